--- a/cmd/drumpath/cmds/gateway.go
+++ b/cmd/drumpath/cmds/gateway.go
@@ -106,7 +106,7 @@
 		case <-in.stop:
 			return
 		case <-in.reload:
-			log.Info("settings file to be read again", "file", path)
+			log.Info("settings reload requested", "file", path)
 		case <-t.C:
 		}
 		settings, err := config.LoadGateway(path)
--- a/pkg/control/claims.go
+++ b/pkg/control/claims.go
@@ -366,7 +366,7 @@
 	var have claimRow
 	if row.Version > 0 {
 		if err := json.Unmarshal(row.Value, &have); err != nil {
-			c.log.Error("claim row can't be read", "row", row.Key, "err", err)
+			c.log.Error("claim row can't be decoded", "row", row.Key, "err", err)
 			return c.decide(w.claimWrite, w.value.State, &TakenError{State: ClaimHeld})
 		}
 	}
--- a/pkg/control/leases.go
+++ b/pkg/control/leases.go
@@ -178,7 +178,7 @@
 		s.row = leaseRow{}
 		if row.Version > 0 {
 			if err := json.Unmarshal(row.Value, &s.row); err != nil {
-				l.log.Error("lease row can't be read", "row", row.Key, "err", err)
+				l.log.Error("lease row can't be decoded", "row", row.Key, "err", err)
 				return false
 			}
 		}
@@ -192,7 +192,7 @@
 	next := leaseRow{Holder: l.node, Epoch: s.row.Epoch + 1, Nonce: newNonce()}
 	l.mu.Unlock()
 	if l.write(ctx, name, next) {
-		l.log.Info("lease taken", "lease", name, "epoch", next.Epoch)
+		l.log.Info("lease acquired", "lease", name, "epoch", next.Epoch)
 	}
 }
 
@@ -212,7 +212,7 @@
 	next := leaseRow{Epoch: s.row.Epoch, Nonce: newNonce()}
 	l.mu.Unlock()
 	if l.write(ctx, name, next) {
-		l.log.Info("lease given back", "lease", name)
+		l.log.Info("lease released", "lease", name)
 	}
 }
 
--- a/pkg/events/catalogue_test.go
+++ b/pkg/events/catalogue_test.go
@@ -14,19 +14,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// logged are the folders and files whose lines the catalogue declares.
-var logged = []string{"../../service/gateway/*.go", "../../service/suspects/*.go", "../../service/ratelimit/*.go", "../../pkg/rollout/*.go", "../../cmd/drumpath/cmds/gateway.go"}
+// loggingFiles are the files whose log lines the catalogue declares.
+var loggingFiles = []string{"../../service/gateway/*.go", "../../service/suspects/*.go", "../../service/ratelimit/*.go", "../../pkg/rollout/*.go", "../../cmd/drumpath/cmds/gateway.go"}
 
-// line is one call of a logger in the code.
-type line struct {
+// logCall is a call of a logger in the source.
+type logCall struct {
 	at   string
 	name string
 	keys []string
 }
 
-func linesOf(t *testing.T) (list []line) {
+func logCalls(t *testing.T) (list []logCall) {
 	fset := token.NewFileSet()
-	for _, pattern := range logged {
+	for _, pattern := range loggingFiles {
 		files, err := filepath.Glob(pattern)
 		assert.NilError(t, err)
 		assert.Assert(t, len(files) > 0, pattern)
@@ -37,7 +37,7 @@
 			f, err := parser.ParseFile(fset, name, nil, 0)
 			assert.NilError(t, err)
 			ast.Inspect(f, func(n ast.Node) bool {
-				if l, ok := lineOf(fset, n); ok {
+				if l, ok := parseLogCall(fset, n); ok {
 					list = append(list, l)
 				}
 				return true
@@ -47,8 +47,8 @@
 	return list
 }
 
-// lineOf reads a call such as log.Info("message", "key", value).
-func lineOf(fset *token.FileSet, n ast.Node) (l line, ok bool) {
+// parseLogCall recognises calls such as log.Info("message", "key", value).
+func parseLogCall(fset *token.FileSet, n ast.Node) (l logCall, ok bool) {
 	call, isCall := n.(*ast.CallExpr)
 	if !isCall || len(call.Args) == 0 {
 		return l, false
@@ -61,7 +61,7 @@
 	texts := make([]string, len(call.Args))
 	for i, a := range call.Args {
 		if lit, isLit := a.(*ast.BasicLit); isLit && lit.Kind == token.STRING {
-			texts[i], _ = strconv.Unquote(lit.Value) // The parser has read it.
+			texts[i], _ = strconv.Unquote(lit.Value) // The parser has accepted the literal.
 		}
 	}
 	if texts[0] == "" {
@@ -74,15 +74,15 @@
 	return l, true
 }
 
-func TestCodeLogsWhatIsDeclared(t *testing.T) {
+func TestLogCallsMatchCatalogue(t *testing.T) {
 	declared := map[string]Event{}
 	for _, e := range Catalogue {
 		_, twice := declared[e.Name]
 		assert.Assert(t, !twice, "%q is declared twice", e.Name)
 		declared[e.Name] = e
 	}
-	used := map[string]bool{"lines left out": true}
-	for _, l := range linesOf(t) {
+	used := map[string]bool{"log lines dropped": true}
+	for _, l := range logCalls(t) {
 		e, ok := declared[l.name]
 		assert.Assert(t, ok, "%s: %q is not declared", l.at, l.name)
 		used[l.name] = true
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestPageIsMadeFromTheCatalogue(t *testing.T) {
+func TestLogsPageMatchesCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../docs/LOGS.md")
 	assert.NilError(t, err)
 	assert.Equal(t, string(page), Markdown(), "run go run ./_scripts/logs > docs/LOGS.md")
--- a/pkg/events/doc.go
+++ b/pkg/events/doc.go
@@ -1,6 +1,6 @@
-// Package events is the log of a node: which lines there are, with which keys,
-// and a writer that bounds them and never holds anyone up.
+// Package events declares the log lines of a node and their keys, and implements
+// a bounded slog.Handler that never blocks its callers.
 //
 // Lines are logged through log/slog. Catalogue declares each line with its keys;
-// a test holds the code against it, and docs/LOGS.md is made from it.
+// a test checks the code against it, and docs/LOGS.md is generated from it.
 package events
--- a/pkg/events/handler.go
+++ b/pkg/events/handler.go
@@ -12,65 +12,65 @@
 )
 
 const (
-	// ringSize is how many lines may wait to be written: some seconds of a busy
-	// node's, in a few hundred kilobytes.
+	// ringSize is how many lines may wait to be written: some seconds' worth of a
+	// busy node, in a few hundred kilobytes.
 	ringSize = 4096
-	// routineShare is the part of the ring that routine lines may fill, so that
-	// there is room for failures.
+	// routineShare is the fraction of the ring that routine lines may fill; the
+	// rest is reserved for changes and failures.
 	routineShare = 0.5
-	// leftOutEvery is how often it is told how many lines were left out.
-	leftOutEvery = time.Second
+	// reportDroppedEvery is the interval between "log lines dropped" lines.
+	reportDroppedEvery = time.Second
 )
 
 // Handler is a slog.Handler whose lines are written by a goroutine of its own. A
-// line that finds no room is left out and counted: a process whose output nobody
-// reads goes on as before.
+// line for which the ring has no room is dropped and counted, so a process whose
+// output nobody reads is not blocked.
 type Handler struct {
-	shared *writer
+	writer *writer
 	attrs  []slog.Attr
 }
 
-// writer is what a handler and those derived from it share.
+// writer is shared by a handler and those derived from it by WithAttrs.
 type writer struct {
-	level   slog.Leveler
-	classes map[string]Class
-	ring    chan slog.Record
-	limit   *rate.Limiter // Of routine lines.
-	left    [len(classNames)]atomic.Int64
-	next    slog.Handler
-	done    chan struct{}
-	once    sync.Once
-	ended   chan struct{}
+	level        slog.Leveler
+	classes      map[string]Class
+	ring         chan slog.Record
+	routineLimit *rate.Limiter // For routine lines.
+	dropped      [len(classNames)]atomic.Int64
+	output       slog.Handler
+	done         chan struct{}
+	once         sync.Once
+	stopped      chan struct{}
 }
 
 // NewHandler returns a handler that writes JSON lines to w, at most perSecond
-// routine ones a second.
+// routine lines per second.
 func NewHandler(w io.Writer, level slog.Leveler, perSecond int) *Handler {
 	s := &writer{
-		level:   level,
-		classes: map[string]Class{},
-		ring:    make(chan slog.Record, ringSize),
-		limit:   rate.NewLimiter(rate.Limit(perSecond), perSecond),
-		next:    slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level}),
-		done:    make(chan struct{}),
-		ended:   make(chan struct{}),
+		level:        level,
+		classes:      map[string]Class{},
+		ring:         make(chan slog.Record, ringSize),
+		routineLimit: rate.NewLimiter(rate.Limit(perSecond), perSecond),
+		output:       slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level}),
+		done:         make(chan struct{}),
+		stopped:      make(chan struct{}),
 	}
 	for _, e := range Catalogue {
 		s.classes[e.Name] = e.Class
 	}
 	go s.run()
-	return &Handler{shared: s}
+	return &Handler{writer: s}
 }
 
 // Enabled implements slog.Handler.
-func (h *Handler) Enabled(_ context.Context, l slog.Level) bool { return l >= h.shared.level.Level() }
+func (h *Handler) Enabled(_ context.Context, l slog.Level) bool { return l >= h.writer.level.Level() }
 
-// Handle implements slog.Handler; it never waits.
+// Handle implements slog.Handler; it never blocks.
 func (h *Handler) Handle(_ context.Context, r slog.Record) error {
-	s := h.shared
+	s := h.writer
 	class := s.classOf(&r)
-	if class == Routine && (len(s.ring) > int(routineShare*ringSize) || !s.limit.Allow()) {
-		s.left[class].Add(1)
+	if class == Routine && (len(s.ring) > int(routineShare*ringSize) || !s.routineLimit.Allow()) {
+		s.dropped[class].Add(1)
 		return nil
 	}
 	r = r.Clone()
@@ -78,13 +78,13 @@
 	select {
 	case s.ring <- r:
 	default:
-		s.left[class].Add(1)
+		s.dropped[class].Add(1)
 	}
 	return nil
 }
 
-// classOf is the declared class; a line that is not declared is a failure if it
-// warns and a change otherwise.
+// classOf returns the declared class. Undeclared lines are failures from level
+// warn on and changes below it.
 func (s *writer) classOf(r *slog.Record) Class {
 	class, ok := s.classes[r.Message]
 	switch {
@@ -99,39 +99,39 @@
 
 // WithAttrs implements slog.Handler.
 func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Handler{shared: h.shared, attrs: append(append([]slog.Attr(nil), h.attrs...), attrs...)}
+	return &Handler{writer: h.writer, attrs: append(append([]slog.Attr(nil), h.attrs...), attrs...)}
 }
 
-// WithGroup implements slog.Handler; lines have no groups.
+// WithGroup implements slog.Handler; groups are ignored, as no line uses them.
 func (h *Handler) WithGroup(string) slog.Handler { return h }
 
-// LeftOut is how many lines of a class were left out so far.
-func (h *Handler) LeftOut(c Class) int64 { return h.shared.left[c].Load() }
+// Dropped returns how many lines of a class were dropped so far.
+func (h *Handler) Dropped(c Class) int64 { return h.writer.dropped[c].Load() }
 
-// Close writes what waits and ends the writer; it waits no longer than for limit,
-// as the output may take nothing.
-func (h *Handler) Close(limit time.Duration) {
-	h.shared.once.Do(func() { close(h.shared.done) })
+// Close writes the queued lines and stops the writer. It waits for at most timeout,
+// as the output may be blocked.
+func (h *Handler) Close(timeout time.Duration) {
+	h.writer.once.Do(func() { close(h.writer.done) })
 	select {
-	case <-h.shared.ended:
-	case <-time.After(limit):
+	case <-h.writer.stopped:
+	case <-time.After(timeout):
 	}
 }
 
 func (s *writer) run() {
-	defer close(s.ended)
-	t := time.NewTicker(leftOutEvery)
+	defer close(s.stopped)
+	t := time.NewTicker(reportDroppedEvery)
 	defer t.Stop()
-	var told [len(classNames)]int64
+	var reported [len(classNames)]int64
 	for {
 		select {
 		case r := <-s.ring:
 			s.write(r)
 		case <-t.C:
-			s.tellLeftOut(&told)
+			s.writeDropped(&reported)
 		case <-s.done:
 			s.drain()
-			s.tellLeftOut(&told)
+			s.writeDropped(&reported)
 			return
 		}
 	}
@@ -148,20 +148,20 @@
 	}
 }
 
-// write can't tell anyone of a failure: the output is the only place for it.
-func (s *writer) write(r slog.Record) { _ = s.next.Handle(context.Background(), r) }
-
-// tellLeftOut writes a line if lines were left out since the last one.
-func (s *writer) tellLeftOut(told *[len(classNames)]int64) {
-	r := slog.NewRecord(time.Now(), slog.LevelWarn, "lines left out", 0)
-	any := false
-	for c := range s.left {
-		n := s.left[c].Load()
-		r.AddAttrs(slog.Int64(Class(c).String(), n-told[c]))
-		any = any || n > told[c]
-		told[c] = n
+// write ignores errors: the output that failed is the only place to report them.
+func (s *writer) write(r slog.Record) { _ = s.output.Handle(context.Background(), r) }
+
+// writeDropped logs the number of dropped lines if any were dropped since the last call.
+func (s *writer) writeDropped(reported *[len(classNames)]int64) {
+	r := slog.NewRecord(time.Now(), slog.LevelWarn, "log lines dropped", 0)
+	someDropped := false
+	for c := range s.dropped {
+		n := s.dropped[c].Load()
+		r.AddAttrs(slog.Int64(Class(c).String(), n-reported[c]))
+		someDropped = someDropped || n > reported[c]
+		reported[c] = n
 	}
-	if any {
+	if someDropped {
 		s.write(r)
 	}
 }
--- a/pkg/events/handler_test.go
+++ b/pkg/events/handler_test.go
@@ -13,22 +13,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// stuck is an output that takes nothing until it is released.
-type stuck struct {
+// blockedOutput blocks every write until release is closed.
+type blockedOutput struct {
 	release chan struct{}
 	mu      sync.Mutex
 	buf     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedOutput) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-func TestOutputThatNobodyReadsHoldsNobodyUp(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	out := &blockedOutput{release: make(chan struct{})}
 	h := NewHandler(out, slog.LevelInfo, 1_000_000)
 	log := slog.New(h)
 	for i := range 3 * ringSize {
@@ -37,17 +37,17 @@
 	for i := range 100 {
 		log.Info("refused", "request", i)
 	}
-	assert.Assert(t, h.LeftOut(Routine) > 0)
-	assert.Equal(t, h.LeftOut(Failure), int64(0), "there is room for failures")
+	assert.Assert(t, h.Dropped(Routine) > 0)
+	assert.Equal(t, h.Dropped(Failure), int64(0), "failures have reserved room")
 	close(out.release)
 	h.Close(time.Minute)
 	text := out.buf.String()
 	assert.Equal(t, strings.Count(text, `"msg":"refused"`), 100)
-	assert.Assert(t, strings.Contains(text, `"msg":"lines left out"`))
-	assert.Assert(t, strings.Contains(text, fmt.Sprintf(`"routine":%d`, h.LeftOut(Routine))))
+	assert.Assert(t, strings.Contains(text, `"msg":"log lines dropped"`))
+	assert.Assert(t, strings.Contains(text, fmt.Sprintf(`"routine":%d`, h.Dropped(Routine))))
 }
 
-func TestRoutineLinesAreBoundedAndOthersAreNot(t *testing.T) {
+func TestOnlyRoutineLinesAreRateLimited(t *testing.T) {
 	var out bytes.Buffer
 	h := NewHandler(&out, slog.LevelInfo, 10)
 	log := slog.New(h).With("node", "n1")
@@ -71,7 +71,7 @@
 	}
 }
 
-func BenchmarkLineLeftOut(b *testing.B) {
+func BenchmarkDroppedLine(b *testing.B) {
 	h := NewHandler(io.Discard, slog.LevelInfo, 0)
 	defer h.Close(time.Minute)
 	log := slog.New(h)
--- a/pkg/events/markdown.go
+++ b/pkg/events/markdown.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// Markdown is docs/LOGS.md.
+// Markdown returns the text of docs/LOGS.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString(`# Log lines
 
-Made from pkg/events/catalogue.go by ` + "`go run ./_scripts/logs > docs/LOGS.md`" + `; a test
-holds it against the catalogue, and the catalogue against the code.
+Generated from pkg/events/catalogue.go by ` + "`go run ./_scripts/logs > docs/LOGS.md`" + `; a
+test checks this page against the catalogue, and the catalogue against the code.
 
 A node writes JSON lines to standard output, each with ` + "`time`, `level` and `msg`" + `.
-They never hold a request up. Routine lines are sampled first when there are
-too many, failures last; "lines left out" tells how many are missing.
+Logging never blocks a request. When there are too many lines, routine lines are
+dropped first, others only when the queue is full; "log lines dropped" counts them.
 Durations are in nanoseconds unless their key says otherwise.
 `)
 	for _, e := range Catalogue {
--- a/pkg/rollout/lease.go
+++ b/pkg/rollout/lease.go
@@ -158,7 +158,7 @@
 			continue
 		}
 		if err := json.Unmarshal(r.Value, &l.row); err != nil {
-			l.log.Error("lease row can't be read", "err", err)
+			l.log.Error("lease row can't be decoded", "err", err)
 			return false, 0
 		}
 		l.version = r.Version
@@ -201,7 +201,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if next.Fence != l.row.Fence {
-		l.log.Info("lease taken", "lease", l.key, "fence", next.Fence, "version", listing.Version)
+		l.log.Info("lease acquired", "lease", l.key, "fence", next.Fence, "version", listing.Version)
 	}
 	l.row, l.version = next, listing.Version
 	l.sent = sent
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -307,7 +307,7 @@
 		report, err := r.engines.Report(ctx, t.Addr)
 		switch {
 		case err != nil:
-			r.log.Warn("replica not asked", "replica", t.ID, "err", err)
+			r.log.Warn("replica state not read", "replica", t.ID, "err", err)
 		case !report.Started.IsZero() && !t.Started.IsZero() && !report.Started.Equal(t.Started):
 			// It has started anew: what it has and has taken is listed anew, too.
 			return backoffTerm
--- a/service/entry/answer.go
+++ b/service/entry/answer.go
@@ -203,5 +203,5 @@
 
 func (s *Server) finishFailed(r *Run, f *Failure) {
 	s.parts.Metrics.Cut.Add(1)
-	r.log.Warn("answer cut", "code", f.Code, "ran", f.Ran, "err", f.Message)
+	r.log.Warn("answer aborted", "code", f.Code, "ran", f.Ran, "err", f.Message)
 }
--- a/service/entry/imports.go
+++ b/service/entry/imports.go
@@ -101,7 +101,7 @@
 		return true
 	}
 	m.ImportsFailed.Add(1)
-	r.log.Info("import gave nothing, recomputing", "store", d.Import.Store, "upstream", d.Replica, "err", err)
+	r.log.Info("import failed, recomputing", "store", d.Import.Store, "upstream", d.Replica, "err", err)
 	if now.Sub(start) >= d.Import.GiveUp {
 		booking.GiveUp(now)
 	} else {
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -282,7 +282,7 @@
 		if r.nobody = notRun.Reason == upstream.ReasonUnreachable; r.nobody {
 			r.unreached++
 		}
-		r.log.Info("upstream did not run it", "upstream", replica, "reason", notRun.Reason)
+		r.log.Info("upstream did not run the request", "upstream", replica, "reason", notRun.Reason)
 		return r.failure(refusal(CodeNoUpstream, noUpstreamRetry, "%v", err)), true
 	case errors.As(err, &crossed):
 		r.parts.Metrics.Crossed.Add(1)
--- a/service/entry/server.go
+++ b/service/entry/server.go
@@ -130,7 +130,7 @@
 func (s *Server) Start() {
 	s.wg.Go(func() {
 		if err := s.http.Serve(s.ln); err != nil {
-			s.parts.Log.Error("entry server ended", "err", err)
+			s.parts.Log.Error("entry server failed", "err", err)
 		}
 	})
 }
--- a/service/gateway/attempt.go
+++ b/service/gateway/attempt.go
@@ -213,7 +213,7 @@
 	}
 	if n := x.g.conns.lost(a.choice.ID); n > 0 {
 		x.g.metrics.dropped.Add(int64(n))
-		x.g.log.Warn("resting connections closed", "request", x.terms.ID, "replica", a.choice.ID, "quiet", quiet, "closed", n)
+		x.g.log.Warn("idle connections closed", "request", x.terms.ID, "replica", a.choice.ID, "quiet", quiet, "closed", n)
 	}
 }
 
--- a/service/gateway/beliefs.go
+++ b/service/gateway/beliefs.go
@@ -318,7 +318,7 @@
 	if err != nil {
 		b.unusable++
 		delete(b.upstreams, r.Key)
-		b.log.Error("upstream not usable, left out", "row", r.Key, "version", r.Version, "err", err)
+		b.log.Error("upstream row invalid, ignored", "row", r.Key, "version", r.Version, "err", err)
 		return false
 	}
 	if known && u.OlderStart(&old.Upstream) {
@@ -380,7 +380,7 @@
 		return false
 	}
 	e.Draining = true
-	b.log.Info("replica says that it drains", "upstream", e.ID, "service", e.Service, "list_age", now.Sub(b.heard))
+	b.log.Info("replica reports draining", "upstream", e.ID, "service", e.Service, "list_age", now.Sub(b.heard))
 	b.rebuild(now)
 	return true
 }
--- a/service/gateway/directory.go
+++ b/service/gateway/directory.go
@@ -38,7 +38,7 @@
 	go func() {
 		defer close(s.done)
 		if err := s.http.Serve(&listener{Listener: s.ln, log: g.log}); err != nil {
-			g.log.Error("side server ended", "err", err)
+			g.log.Error("auxiliary HTTP server failed", "err", err)
 		}
 	}()
 }
--- a/service/gateway/evacuations.go
+++ b/service/gateway/evacuations.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if _, there := b.regions[hall]; !there && len(b.regions) > 0 {
-		b.log.Warn("evacuation of a data hall that is not known", "hall", hall, "version", version)
+		b.log.Warn("evacuation of unknown data hall ignored", "hall", hall, "version", version)
 		return
 	}
 	switch {
@@ -52,7 +52,7 @@
 // word of it comes a moment later: they are taken to be cold until then.
 func (b *Beliefs) takeBack(hall string, e *evacuation, version int64, now time.Time) {
 	e.version, e.ended = version, now
-	b.log.Info("data hall taken back", "hall", hall, "version", version, "after", now.Sub(e.since))
+	b.log.Info("data hall evacuation ended", "hall", hall, "version", version, "after", now.Sub(e.since))
 	s := b.snapshot.Load()
 	if s == nil {
 		return
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -215,16 +215,16 @@
 	g.wg.Go(func() { g.nodes.run(g.ctx, g.conf().Peer.LoadEvery.Std()) })
 	g.wg.Go(func() {
 		if err := g.clients.accept(g, &listener{Listener: g.entry, log: g.log}); err != nil && !g.closing.Load() {
-			g.log.Error("no longer accepting", "err", err)
+			g.log.Error("request listener failed", "err", err)
 		}
 	})
 	g.log.Info("node started", "node", g.conf().Node.Name, "entry", g.conf().Entry.Listen,
 		"directory", g.conf().Entry.Directory, "peer", g.conf().Peer.Listen, "store", g.conf().Platform.Store)
 	if err := boottime.Err(); err != nil {
-		g.log.Warn("suspensions of the machine are not found", "node", g.conf().Node.Name, "err", err)
+		g.log.Warn("machine suspension can't be detected", "node", g.conf().Node.Name, "err", err)
 	}
 	if off := g.conf().Without.Names(); len(off) > 0 {
-		g.log.Warn("mechanisms are off", "node", g.conf().Node.Name, "without", off)
+		g.log.Warn("mechanisms disabled", "node", g.conf().Node.Name, "without", off)
 	}
 }
 
--- a/service/gateway/holdings.go
+++ b/service/gateway/holdings.go
@@ -275,7 +275,7 @@
 		}
 		if err != nil {
 			if !lost {
-				h.log.Warn("engine's events lost", "replica", u.ID, "err", err)
+				h.log.Warn("engine event stream lost", "replica", u.ID, "err", err)
 				h.take(route.HeldChanges{Engine: u.ID, Silent: true})
 			}
 			lost = true
@@ -283,7 +283,7 @@
 			continue
 		}
 		if lost {
-			h.log.Info("engine's events back", "replica", u.ID, "boot", c.Boot)
+			h.log.Info("engine event stream restored", "replica", u.ID, "boot", c.Boot)
 		}
 		h.clock.hear(c.Clock, boottime.Now())
 		whole := since == 0 || c.Lost || c.Boot != boot
@@ -354,14 +354,14 @@
 			return
 		case err != nil:
 			if !lost {
-				h.log.Warn("teller of held state lost", "peer", addr, "err", err)
+				h.log.Warn("engine cache updates from peer lost", "peer", addr, "err", err)
 				h.silence(t)
 			}
 			lost, epoch = true, 0
 			sleep(ctx, heldRetry)
 			continue
 		case lost:
-			h.log.Info("teller of held state back", "peer", addr)
+			h.log.Info("engine cache updates from peer restored", "peer", addr)
 			lost = false
 		}
 		epoch, from = a.Epoch, a.Next
@@ -388,7 +388,7 @@
 	for _, n := range list {
 		c, err := n.unpack()
 		if err != nil {
-			h.log.Error("news of held state not understood", "err", err)
+			h.log.Error("engine cache update from peer can't be decoded", "err", err)
 			continue
 		}
 		h.take(c)
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -180,7 +180,7 @@
 func (n *nodes) note(to []netip.AddrPort, method string, params any) int {
 	sent, err := n.probes.Note(to, method, params)
 	if err != nil {
-		n.log.Error("note not sent", "method", method, "err", err)
+		n.log.Error("notification not sent", "method", method, "err", err)
 	}
 	return sent
 }
--- a/service/gateway/loads_heard.go
+++ b/service/gateway/loads_heard.go
@@ -97,7 +97,7 @@
 	}
 	if err != nil {
 		n.dropped.Add(1)
-		n.log.Debug("state not understood", "err", err)
+		n.log.Debug("node state can't be decoded", "err", err)
 		return note, s, old, false
 	}
 	if note.From == n.self.Name {
--- a/service/gateway/news.go
+++ b/service/gateway/news.go
@@ -146,7 +146,7 @@
 	var w newsNote
 	if err := json.Unmarshal(params, &w); err != nil {
 		n.dropped.Add(1)
-		n.log.Debug("news not understood", "err", err)
+		n.log.Debug("replica updates can't be decoded", "err", err)
 		return
 	}
 	if w.Pass {
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -162,7 +162,7 @@
 		}
 		var row nodeRow
 		if err := json.Unmarshal(r.Value, &row); err != nil {
-			n.log.Error("node row can't be read", "row", r.Key, "err", err)
+			n.log.Error("node row can't be decoded", "row", r.Key, "err", err)
 			continue
 		}
 		if r.Key != n.self.Name && row.Peer.IsValid() {
--- a/service/gateway/reader_serve.go
+++ b/service/gateway/reader_serve.go
@@ -101,7 +101,7 @@
 				_, err = r.own(ctx, changesRequest{Table: q.Table, Whole: true}, 0)
 			}
 			if err != nil {
-				r.log.Warn("store not read for another node", "table", tableName(q.Table), "err", err)
+				r.log.Warn("store read for peer failed", "table", tableName(q.Table), "err", err)
 			}
 			return
 		}
--- a/service/gateway/reader_table.go
+++ b/service/gateway/reader_table.go
@@ -101,7 +101,7 @@
 		if former := x.former[row.Key]; len(former) > 0 && len(row.Value) >= baseLeast {
 			q := changesRequest{After: since, Have: rowRef{Key: row.Key, Version: former[0].Version}}
 			if _, err := x.tell(q); err != nil {
-				r.log.Error("rows not packed", "row", row.Key, "version", row.Version, "err", err)
+				r.log.Error("row not encoded for peers", "row", row.Key, "version", row.Version, "err", err)
 			}
 		}
 	}
--- a/service/gateway/readers.go
+++ b/service/gateway/readers.go
@@ -303,13 +303,13 @@
 	for _, row := range l.Rows {
 		size += len(row.Value)
 	}
-	r.log.Info("operator's rows heard", "version", l.Version, "rows", len(l.Rows),
+	r.log.Info("operator rows received", "version", l.Version, "rows", len(l.Rows),
 		"bytes", size, "by", by, "after", boottime.Since(begun))
 }
 
 // doubt has a reader that has failed by err done without for a while.
 func (r *readers) doubt(t site.Table, addr netip.AddrPort, begun time.Time, err error) {
-	r.log.Warn("reader passed over", "table", tableName(t), "peer", addr, "after", boottime.Since(begun), "err", err)
+	r.log.Warn("table read through peer failed", "table", tableName(t), "peer", addr, "after", boottime.Since(begun), "err", err)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.doubted[addr] = boottime.Now().Add(directTerm)
--- a/service/gateway/suspension.go
+++ b/service/gateway/suspension.go
@@ -83,7 +83,7 @@
 		return false
 	}
 	if g.suspension.since.CompareAndSwap(since, nil) {
-		g.log.Info("serves again after a suspension", "node", g.conf().Node.Name, "after", took)
+		g.log.Info("serving resumed after suspension", "node", g.conf().Node.Name, "after", took)
 	}
 	return true
 }
--- a/service/node/directory.go
+++ b/service/node/directory.go
@@ -182,7 +182,7 @@
 func (d *Directory) updateAt(owner control.Member, req peer.UpdateRequest) {
 	if owner.Name == d.self {
 		if err := d.Apply(req); err != nil {
-			d.log.Error("own directory update", "err", err)
+			d.log.Error("own directory update failed", "err", err)
 		}
 		return
 	}
--- a/service/node/engine_watch.go
+++ b/service/node/engine_watch.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	if ev.Boot != w.boot || (len(ev.Events) > 0 && !w.follows(ev.Events)) {
-		w.log.Info("cache events have a gap", "upstream", w.name, "after", w.seq)
+		w.log.Info("gap in cache events", "upstream", w.name, "after", w.seq)
 		return w.readAll(ctx)
 	}
 	w.take(ev.Events)
--- a/service/node/loads.go
+++ b/service/node/loads.go
@@ -108,7 +108,7 @@
 		r, err := st.Load(ctx)
 		cancel()
 		if err != nil {
-			l.log.Debug("no load report", "upstream", st.Name, "err", err)
+			l.log.Debug("load report not read", "upstream", st.Name, "err", err)
 			continue
 		}
 		l.ReportStore(st.Name, r)
@@ -142,7 +142,7 @@
 	defer cancel()
 	r, err := e.Load(ctx)
 	if err != nil {
-		l.log.Debug("no load report", "upstream", e.Name, "err", err)
+		l.log.Debug("load report not read", "upstream", e.Name, "err", err)
 		return
 	}
 	l.Report(e.Name, r)
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -97,7 +97,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := n.Config.Load(ctx); err != nil {
-		n.Log.Debug("no snapshot", "err", err)
+		n.Log.Debug("configuration snapshot not loaded", "err", err)
 	}
 	n.join(ctx)
 	n.Spread.Refresh(ctx)
--- a/service/node/platform_list.go
+++ b/service/node/platform_list.go
@@ -73,7 +73,7 @@
 	}
 	list, err := p.client.List(ctx)
 	if err != nil {
-		p.log.Debug("no list of VMs", "err", err)
+		p.log.Debug("list of VMs not read", "err", err)
 		return
 	}
 	var leaving []netip.AddrPort
@@ -135,7 +135,7 @@
 		}
 		g.Go(func() error {
 			if err := p.peers.Notify(ctx, m.Peer, peer.MethodLeaving, peer.LeavingNews{Leaving: leaving}); err != nil {
-				p.log.Debug("node not told who leaves", "node", m.Name, "err", err)
+				p.log.Debug("list of leaving VMs not sent", "node", m.Name, "err", err)
 			}
 			return nil
 		})
--- a/service/node/reconcile.go
+++ b/service/node/reconcile.go
@@ -165,7 +165,7 @@
 func (r *Reconciler) reconcile(ctx context.Context, state *config.State, e engineClient) {
 	have, err := e.State(ctx)
 	if err != nil {
-		r.log.Debug("engine not read", "upstream", e.Name, "err", err)
+		r.log.Debug("engine state not read", "upstream", e.Name, "err", err)
 		return
 	}
 	r.note(e.Name, have)
@@ -190,7 +190,7 @@
 		Weights: want,
 	}
 	if err := e.Order(ctx, order); err != nil {
-		r.log.Warn("order not taken", "upstream", e.Name, "err", err)
+		r.log.Warn("order not accepted", "upstream", e.Name, "err", err)
 		return
 	}
 	r.log.Info("order given", "upstream", e.Name, "weights", want, "epoch", fence.Epoch, "seq", fence.Seq)
--- a/service/node/store_watch.go
+++ b/service/node/store_watch.go
@@ -107,7 +107,7 @@
 	}
 	marks, err := c.Marks.Unpack()
 	if err != nil || len(marks) == 0 {
-		w.log.Warn("object without marks", "upstream", w.name, "key", c.Object.Key, "err", err)
+		w.log.Warn("object without usable marks", "upstream", w.name, "key", c.Object.Key, "err", err)
 		return
 	}
 	w.tellStored(u, storedEntry{object: c.Object, marks: marks, packed: c.Marks})
--- a/service/node/suspects.go
+++ b/service/node/suspects.go
@@ -30,7 +30,7 @@
 func (t *suspectTeller) Note(to []netip.AddrPort, method string, params any) int {
 	sent, err := t.probes.Note(to, method, params)
 	if err != nil {
-		t.log.Error("note not sent", "method", method, "err", err)
+		t.log.Error("notification not sent", "method", method, "err", err)
 	}
 	return sent
 }
--- a/service/peer/probes.go
+++ b/service/peer/probes.go
@@ -66,7 +66,7 @@
 	}
 	for _, addr := range to {
 		if _, err := p.conn.WriteToUDPAddrPort(body, addr); err != nil {
-			p.log.Debug("note not sent", "to", addr, "err", err)
+			p.log.Debug("notification not sent", "to", addr, "err", err)
 			continue
 		}
 		sent += len(body)
--- a/service/ratelimit/grants.go
+++ b/service/ratelimit/grants.go
@@ -127,7 +127,7 @@
 			return takeAnswer{} // Its client has left, which says nothing of the owner.
 		}
 		l.counts.silent.Add(1)
-		l.log.Debug("no grant to send", "replica", u.ID, "owner", owner.Name, "err", err)
+		l.log.Debug("grant not received", "replica", u.ID, "owner", owner.Name, "err", err)
 		return takeAnswer{WaitMS: silentWait.Milliseconds()}
 	}
 	return a
@@ -208,7 +208,7 @@
 		defer cancel()
 		if err := l.client.Notify(ctx, owner.Peer, method, news); err != nil {
 			// The next answer of the replica tells it again.
-			l.log.Debug("owner not told", "method", method, "replica", news.Replica, "err", err)
+			l.log.Debug("rate limit owner not notified", "method", method, "replica", news.Replica, "err", err)
 		}
 	})
 }
--- a/service/ratelimit/limits.go
+++ b/service/ratelimit/limits.go
@@ -119,7 +119,7 @@
 	switch {
 	case a.Limit.Said == site.RateUnreadable:
 		l.counts.unread.Add(1)
-		l.log.Debug("rate of a replica can't be read", "replica", u.ID)
+		l.log.Debug("replica rate limit can't be decoded", "replica", u.ID)
 	case a.Limit.Said == site.RateNamed && a.Limit.PerSecond < mostNamed:
 		l.named(u, quota.Rate{PerSecond: a.Limit.PerSecond, At: now}, now)
 	case l.ledger.Empty() || a.NotRun:
@@ -170,9 +170,9 @@
 	change := l.ledger.Note(u.StartKey(), r, now)
 	switch change {
 	case quota.ChangeBegun, quota.ChangeRate:
-		l.log.Info("replica names a limit", "replica", u.ID, "per_second", r.PerSecond, "age", now.Sub(r.At), "owner", l.owner(u.StartKey()).Name)
+		l.log.Info("replica rate limit set", "replica", u.ID, "per_second", r.PerSecond, "age", now.Sub(r.At), "owner", l.owner(u.StartKey()).Name)
 	case quota.ChangeEnded:
-		l.log.Info("limit of a replica is over", "replica", u.ID, "age", now.Sub(r.At))
+		l.log.Info("replica rate limit removed", "replica", u.ID, "age", now.Sub(r.At))
 	}
 	return change
 }
--- a/service/suspects/grants.go
+++ b/service/suspects/grants.go
@@ -76,7 +76,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), askTerm)
 			defer cancel()
 			if err := s.client.Notify(ctx, o.Peer, MethodOver, runRequest{Content: f, Node: s.self.Name}); err != nil {
-				s.log.Debug("end of a watched request not told", "err", err) // It lapses.
+				s.log.Debug("grant for watched request not returned", "err", err) // It lapses.
 			}
 		})
 	}
--- a/service/suspects/kept.go
+++ b/service/suspects/kept.go
@@ -36,7 +36,7 @@
 func (s *Suspects) Load(r site.Row, now time.Time) {
 	var row blockedRow
 	if err := json.Unmarshal(r.Value, &row); err != nil {
-		s.log.Error("row of blocked requests can't be read", "row", r.Key, "err", err)
+		s.log.Error("row of blocked requests can't be decoded", "row", r.Key, "err", err)
 		return
 	}
 	written := now.Add(-max(0, time.Duration(now.UnixMilli()-row.Written)*time.Millisecond))
@@ -60,7 +60,7 @@
 		s.mu.Lock()
 		s.keepNext = now.Add(keepRetry)
 		s.mu.Unlock()
-		s.log.Warn("blocked requests not written", "err", err)
+		s.log.Warn("list of blocked requests not written", "err", err)
 	}
 }
 
--- a/service/suspects/learn.go
+++ b/service/suspects/learn.go
@@ -81,7 +81,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !s.learning.knows {
-			s.log.Warn("serves without having heard what is blocked", "node", s.self.Name, "after", learnMost)
+			s.log.Warn("serving without the list of blocked requests", "node", s.self.Name, "after", learnMost)
 		}
 		s.endWait()
 	})
--- a/service/suspects/news.go
+++ b/service/suspects/news.go
@@ -146,7 +146,7 @@
 func (s *Suspects) Hear(params json.RawMessage) {
 	var w casesNote
 	if err := json.Unmarshal(params, &w); err != nil {
-		s.log.Debug("suspects not understood", "err", err)
+		s.log.Debug("suspects notification can't be decoded", "err", err)
 		return
 	}
 	if w.Pass {
@@ -208,7 +208,7 @@
 func (s *Suspects) Compare(params json.RawMessage) {
 	var w digestNote
 	if err := json.Unmarshal(params, &w); err != nil || !w.From.IsValid() {
-		s.log.Debug("digest not understood", "err", err)
+		s.log.Debug("suspects digest can't be decoded", "err", err)
 		return
 	}
 	own := s.register.Digest()
