--- a/pkg/explain/cause.go
+++ b/pkg/explain/cause.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// lateFirst is from when on the time to the first byte is spoken of.
-const lateFirst = 300 * time.Millisecond
+// slowFirstByte is the time to the first byte from which on its causes are listed.
+const slowFirstByte = 300 * time.Millisecond
 
-// cause finds the sentence for a request; failed says that it was not answered in
-// good order.
+// cause returns the sentence that explains a request's end; failed says that it got no
+// successful answer.
 func cause(r *Report) (sentence string, failed bool) {
 	last := &r.Lines[len(r.Lines)-1]
 	switch last.Msg {
 	case "refused":
-		return refusal(r, last), true
+		return explainRefusal(r, last), true
 	case "client left":
-		return fmt.Sprintf("The client closed its connection after %s, %s.", short(last.Duration("after")), progress(r)), true
+		return fmt.Sprintf("The client closed its connection after %s, %s.", formatDuration(last.Duration("after")), progressNote(r)), true
 	case "cut by a stop":
-		return fmt.Sprintf("The node was stopped and closed the connection after %s, %s.", short(last.Duration("after")), progress(r)), true
+		return fmt.Sprintf("The node was stopped and closed the connection after %s, %s.", formatDuration(last.Duration("after")), progressNote(r)), true
 	case "stream cut":
-		return fmt.Sprintf("The stream was broken off towards the client: %s.", stream(r, last)), true
+		return fmt.Sprintf("The stream to the client was aborted: %s.", streamCause(r, last)), true
 	case "replica failed":
 		return fmt.Sprintf("Replica %s ran it and answered %s after %s (%s); that answer was delivered.",
-			last.Text("replica"), last.Text("status"), short(last.Duration("after")), refusals(r)), true
+			last.Text("replica"), last.Text("status"), formatDuration(last.Duration("after")), listRefusals(r)), true
 	case "answered":
-		return answered(r, last)
+		return explainAnswer(r, last)
 	default:
 		return fmt.Sprintf("The last line is %q: the process ended before the request did, or later lines are missing.", last.Msg), true
 	}
 }
 
-// refusal explains an answer of the node's own.
-func refusal(r *Report, l *Line) string {
+// explainRefusal explains an error with which the node itself answered.
+func explainRefusal(r *Report, l *Line) string {
 	ran := "It did not run"
 	if l.Int("attempts") > 0 {
 		ran = "It may have run"
@@ -42,64 +42,64 @@
 	why := ""
 	switch l.Text("reason") {
 	case "overloaded":
-		why = fmt.Sprintf("the prompt would have waited too long: the median replica had prompts wait %s, %s of %s replicas could be used, and the node served %s requests",
-			short(l.Duration("median_wait")), l.Text("usable"), l.Text("replicas"), l.Text("in_flight"))
+		why = fmt.Sprintf("the prompt would have waited too long: the expected wait at the median replica was %s, %s of %s replicas could be used, and the node was serving %s requests",
+			formatDuration(l.Duration("median_wait")), l.Text("usable"), l.Text("replicas"), l.Text("in_flight"))
 	case "replicas_full":
-		why = fmt.Sprintf("all %s replicas that were offered it refused or could not be reached (%s)", l.Text("not_run"), refusals(r))
+		why = fmt.Sprintf("all %s replicas that were tried refused or could not be reached (%s)", l.Text("not_run"), listRefusals(r))
 	case "no_replica":
 		why = fmt.Sprintf("%s of %s replicas of service %s could be used; the list of upstreams was %s old%s",
-			l.Text("usable"), l.Text("replicas"), l.Text("service"), short(l.Duration("list_age")), away(l))
+			l.Text("usable"), l.Text("replicas"), l.Text("service"), formatDuration(l.Duration("list_age")), storeOutage(l))
 	case "cold":
-		why = fmt.Sprintf("the replicas of service %s that may be used were left out: cold, or taken to be as they had not been reached, and this node's share of them was used up (%s of %s could be used)",
+		why = fmt.Sprintf("the replicas of service %s that may be used were cold, or assumed to be as they had not been reached, and this node's share of requests to cold replicas was used up (%s of %s could be used)",
 			l.Text("service"), l.Text("usable"), l.Text("replicas"))
 	case "limited":
-		why = fmt.Sprintf("the replicas of service %s that may be used take only so many requests a second from all nodes together, as their answers say, and that was used up (%s of %s could be used)",
+		why = fmt.Sprintf("the replicas of service %s that may be used have named in their answers a limit of requests per second from all nodes together, and it was used up (%s of %s could be used)",
 			l.Text("service"), l.Text("usable"), l.Text("replicas"))
 	case "backoff":
-		why = fmt.Sprintf("the replicas of service %s that may be used had turned requests of this node away and asked it to send them nothing for a while (%s of %s could be used)",
+		why = fmt.Sprintf("the replicas of service %s that may be used had refused requests and asked this node to back off (%s of %s could be used)",
 			l.Text("service"), l.Text("usable"), l.Text("replicas"))
 	case "draining":
-		why = fmt.Sprintf("the replicas of service %s are about to end, as their rows or their answers say (%s of %s could be used)",
+		why = fmt.Sprintf("the replicas of service %s are draining, according to their rows or their answers (%s of %s could be used)",
 			l.Text("service"), l.Text("usable"), l.Text("replicas"))
 	case "evacuated":
-		why = fmt.Sprintf("the replicas of service %s that may be used were left out: their data halls are evacuated", l.Text("service"))
+		why = fmt.Sprintf("the replicas of service %s that may be used are in evacuated data halls", l.Text("service"))
 	case "outside_homes":
-		why = fmt.Sprintf("the replicas of service %s were left out: they are outside the homes of the request", l.Text("service"))
+		why = fmt.Sprintf("the replicas of service %s are outside the home regions of the request", l.Text("service"))
 	case "deadline":
-		why = "its time was over" + waiting(r)
+		why = "its deadline had passed" + deadlineContext(r)
 	case "answer_lost":
-		why = "the answer was lost: " + lost(r)
+		why = "the answer was lost: " + lostAnswer(r)
 	case "ends_replicas":
-		why = "replicas ended under the same content: " + ended(r)
+		why = "replicas ended under the same content: " + listEndedReplicas(r)
 	case "suspected":
 		why = "replicas ended under the same content, and another such request was under way"
 	case "suspended":
-		why = "the node's machine had been suspended, and it had not heard yet what held then"
+		why = "the node's machine had been suspended, and the node had not refreshed its state yet"
 	case "no_configuration":
-		why = "the node had just started and knew no configuration" + away(l)
+		why = "the node had just started and had no configuration yet" + storeOutage(l)
 	case "no_route":
-		why = fmt.Sprintf("no route of configuration %s has this host and path; the list of upstreams was last heard of %s before", l.Text("config"), short(l.Duration("list_age")))
+		why = fmt.Sprintf("no route of configuration %s has this host and path; the list of upstreams was last confirmed %s before", l.Text("config"), formatDuration(l.Duration("list_age")))
 	case "unknown_key":
-		why = fmt.Sprintf("no organisation of configuration %s holds the key", l.Text("config"))
+		why = fmt.Sprintf("no organisation of configuration %s has the API key", l.Text("config"))
 	default:
-		why = "what the client sent can't be served (" + l.Text("reason") + ")"
+		why = "the client's request can't be served (" + l.Text("reason") + ")"
 	}
-	return fmt.Sprintf("Answered %s after %s: %s. %s.", l.Text("status"), short(l.Duration("after")), why, ran)
+	return fmt.Sprintf("Answered %s after %s: %s. %s.", l.Text("status"), formatDuration(l.Duration("after")), why, ran)
 }
 
-// answered explains an answer that may have come late.
-func answered(r *Report, l *Line) (string, bool) {
+// explainAnswer describes a delivered answer and, if it was late, why.
+func explainAnswer(r *Report, l *Line) (string, bool) {
 	s := fmt.Sprintf("Answered by %s after %d ms, the first byte after %d ms (expected %d ms)",
 		l.Text("replica"), l.Int("all_ms"), l.Int("first_ms"), l.Int("expected_ms"))
 	var why []string
 	if before := l.Int("before_ms"); before > 0 {
-		why = append(why, fmt.Sprintf("it waited %d ms here before it was sent", before))
+		why = append(why, fmt.Sprintf("it waited %d ms at the node before it was sent", before))
 	}
-	if time.Duration(l.Int("first_ms"))*time.Millisecond >= lateFirst {
-		why = append(why, lateReasons(l)...)
+	if time.Duration(l.Int("first_ms"))*time.Millisecond >= slowFirstByte {
+		why = append(why, slowReasons(l)...)
 	}
 	if n := l.Int("attempts") + l.Int("not_run"); n > 1 {
-		why = append(why, fmt.Sprintf("it took %d attempts (%s)", n, refusals(r)))
+		why = append(why, fmt.Sprintf("it took %d attempts (%s)", n, listRefusals(r)))
 	}
 	if len(why) > 0 {
 		s += ": " + strings.Join(why, "; ")
@@ -107,23 +107,23 @@
 	return s + ".", false
 }
 
-func lateReasons(l *Line) []string {
+func slowReasons(l *Line) []string {
 	var why []string
 	if l.Int("weights") < l.Int("newest") {
-		why = append(why, fmt.Sprintf("the replica had weights %d while %d were named", l.Int("weights"), l.Int("newest")))
+		why = append(why, fmt.Sprintf("the replica had weights %d while version %d was named", l.Int("weights"), l.Int("newest")))
 	}
 	shared, kept := l.Int("shared"), l.Int("kept")
 	if shared > 0 && kept < shared {
-		why = append(why, fmt.Sprintf("%d of its %d shared tokens were neither held by the replica nor to be fetched, so they were read", shared-kept, shared))
+		why = append(why, fmt.Sprintf("%d of its %d shared tokens were neither held by the replica nor fetched, so they were computed", shared-kept, shared))
 	}
 	if l.Int("fetched") > 0 && l.Int("first_ms") > 2*l.Int("expected_ms") {
-		why = append(why, fmt.Sprintf("it fetched %d tokens, and what it fetched or the replica came later than expected", l.Int("fetched")))
+		why = append(why, fmt.Sprintf("it fetched %d tokens, and the fetch or the replica took longer than expected", l.Int("fetched")))
 	}
 	return why
 }
 
-// refusals lists what replicas answered or why they were not reached.
-func refusals(r *Report) string {
+// listRefusals lists the attempts that failed, with the replicas' statuses.
+func listRefusals(r *Report) string {
 	var list []string
 	for i := range r.Lines {
 		l := &r.Lines[i]
@@ -139,59 +139,59 @@
 		}
 	}
 	if len(list) == 0 {
-		return "no line tells more"
+		return "no line gives details"
 	}
 	return strings.Join(list, ", ")
 }
 
-func lost(r *Report) string {
+func lostAnswer(r *Report) string {
 	for i := len(r.Lines) - 1; i >= 0; i-- {
 		l := &r.Lines[i]
 		if l.Msg == "answer lost" || l.Msg == "answer cut short" || l.Msg == "stream broke off" {
 			return fmt.Sprintf("%s, replica %s: %s", l.Msg, l.Text("replica"), l.Text("err"))
 		}
 	}
-	return refusals(r)
+	return listRefusals(r)
 }
 
-// ended lists the replicas that ended under what the request asks.
-func ended(r *Report) string {
+// listEndedReplicas lists the replicas that ended under the request's content.
+func listEndedReplicas(r *Report) string {
 	for i := len(r.Lines) - 1; i >= 0; i-- {
 		var list []string
 		if l := &r.Lines[i]; l.Msg == "request blocked" && json.Unmarshal(l.Values["replicas"], &list) == nil {
 			return strings.Join(list, ", ")
 		}
 	}
-	return "no line tells which"
+	return "no line names them"
 }
 
-func stream(r *Report, l *Line) string {
+func streamCause(r *Report, l *Line) string {
 	if l.Text("reason") == "deadline" {
-		return "its time was over while it streamed"
+		return "its deadline passed while it was streaming"
 	}
-	return lost(r)
+	return lostAnswer(r)
 }
 
-func waiting(r *Report) string {
+func deadlineContext(r *Report) string {
 	if n := len(r.Lines); n > 1 {
-		return ", after " + refusals(r)
+		return ", after " + listRefusals(r)
 	}
-	return " while a replica worked on it or was silent"
+	return " while a replica was running it or not responding"
 }
 
-func progress(r *Report) string {
+func progressNote(r *Report) string {
 	if len(r.Lines) > 1 {
-		return "after " + refusals(r)
+		return "after " + listRefusals(r)
 	}
-	return "before its answer was whole"
+	return "before its answer was complete"
 }
 
-// away tells of an absence of the store that may matter.
-func away(l *Line) string {
+// storeOutage mentions an outage of the platform's store that may have been the cause.
+func storeOutage(l *Line) string {
 	if d := l.Duration("store_away"); d > 0 && d < 10*time.Second {
-		return fmt.Sprintf(", and the platform's store could not be reached %s before", short(d))
+		return fmt.Sprintf(", and the platform's store could not be reached %s before", formatDuration(d))
 	}
 	return ""
 }
 
-func short(d time.Duration) string { return d.Round(time.Millisecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
--- a/pkg/explain/doc.go
+++ b/pkg/explain/doc.go
@@ -1,2 +1,2 @@
-// Package explain finds out from nodes' log lines why a request ended as it did.
+// Package explain determines from nodes' log lines why a request ended as it did.
 package explain
--- a/pkg/explain/line.go
+++ b/pkg/explain/line.go
@@ -10,15 +10,16 @@
 type Line struct {
 	Time time.Time
 	Msg  string
-	// Node is whose line it is, "" if the input does not say.
+	// Node is the node that logged the line, "" if the input does not say.
 	Node string
-	// Values are the line's other values, as they stand there.
+	// Values are all attributes of the line, as raw JSON.
 	Values map[string]json.RawMessage
 	seq    int
 }
 
-// parseLine reads a line of JSON, which may stand behind other text: a log
-// shipper's time and the name of the machine, say. ok is false if there is none.
+// parseLine parses a JSON line, which may have a prefix such as a log shipper's
+// timestamp and host name; the prefix's last word is taken as the node. ok is false
+// if the text has no valid line.
 func parseLine(text []byte) (l Line, ok bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
@@ -36,7 +37,7 @@
 	return l, true
 }
 
-// Text returns a value as text, "" if there is none.
+// Text returns an attribute as text, "" if the line has none of this key.
 func (l *Line) Text(key string) string {
 	raw, ok := l.Values[key]
 	if !ok {
@@ -49,7 +50,7 @@
 	return string(raw)
 }
 
-// Int returns a whole number, 0 if there is none.
+// Int returns an integer attribute, 0 if there is none.
 func (l *Line) Int(key string) int64 {
 	var n int64
 	if json.Unmarshal(l.Values[key], &n) != nil {
@@ -58,5 +59,5 @@
 	return n
 }
 
-// Duration returns a value in nanoseconds.
+// Duration returns an attribute that is given in nanoseconds.
 func (l *Line) Duration(key string) time.Duration { return time.Duration(l.Int(key)) }
--- a/pkg/explain/report.go
+++ b/pkg/explain/report.go
@@ -8,27 +8,28 @@
 	"slices"
 )
 
-// Report is what the lines tell of one request.
+// Report is what the log lines say about one request.
 type Report struct {
 	Request string
-	// Lines are those of the request, in order.
+	// Lines are the request's lines, in order.
 	Lines []Line
-	// Before are the lines that tell what its nodes believed: the last of each
-	// kind about the configuration, the weights, the store, and its replicas.
+	// Before are the lines that show the state of the request's nodes and replicas
+	// before it: the last one of each kind about the configuration, the weights, the
+	// stores, the replicas and the request's content.
 	Before []Line
-	// Cause says in one sentence why the request ended as it did.
+	// Cause is a short text that says why the request ended as it did.
 	Cause string
-	// Failed says that it was not answered in good order.
+	// Failed says that the request got no successful answer.
 	Failed bool
 }
 
-// ErrUnknown says that no line names the request.
+// ErrUnknown is returned if no line names the request.
 var ErrUnknown = errors.New("no line names this request")
 
-// maxLine is the longest line that is read.
+// maxLine is the maximum length of a line in bytes.
 const maxLine = 1 << 20
 
-// Read reads lines and reports on a request.
+// Read reads log lines and reports on a request.
 func Read(request string, inputs ...io.Reader) (Report, error) {
 	var all []Line
 	for _, in := range inputs {
@@ -44,7 +45,7 @@
 			return Report{}, err
 		}
 	}
-	// Lines of one process come in its order, whatever its clock does.
+	// Lines of one node keep their order in the input, as its clock may be set back.
 	slices.SortStableFunc(all, func(a, b Line) int {
 		if a.Node == b.Node {
 			return cmp.Compare(a.seq, b.seq)
@@ -75,14 +76,14 @@
 	if last < 0 {
 		return r, ErrUnknown
 	}
-	r.Before = beliefs(all[:last], nodes, replicas, contents)
+	r.Before = nodeStateBefore(all[:last], nodes, replicas, contents)
 	r.Cause, r.Failed = cause(&r)
 	return r, nil
 }
 
-// beliefKinds are lines of which the last one of a node tells what it believed;
-// the value is the key that tells such lines apart.
-var beliefKinds = map[string]string{
+// nodeMessages are messages whose last occurrence at a node shows that node's state.
+// The value is the attribute by which such lines are kept apart.
+var nodeMessages = map[string]string{
 	"configuration in force": "",
 	"weights named":          "model",
 	"store lost":             "table",
@@ -98,8 +99,9 @@
 	"configuration not usable, the last one stays": "",
 }
 
-// replicaKinds are lines of any node that tell of a replica.
-var replicaKinds = map[string]string{
+// replicaMessages are messages of any node about a replica; the value is the attribute
+// that names it.
+var replicaMessages = map[string]string{
 	"upstream listed":            "upstream",
 	"upstream dropped":           "upstream",
 	"order given":                "replica",
@@ -107,35 +109,35 @@
 	"replica not reached":        "replica",
 }
 
-// contentKinds are lines of any node that tell of a content, whichever request had it; the
-// value is the key that tells such lines apart.
-var contentKinds = map[string]string{
+// contentMessages are messages of any node about a content, whichever request had it. The
+// value is the attribute by which such lines are kept apart.
+var contentMessages = map[string]string{
 	"replica ended under a request": "replica",
 	"request suspected":             "verdict",
 	"request no longer suspected":   "content",
 }
 
-// pairs are kinds of which only the later one counts.
-var pairs = map[string]string{
+// supersedes maps messages to the opposite message; only the later line of the two is kept.
+var supersedes = map[string]string{
 	"store back":               "store lost",
 	"store reached again":      "store not reached, other nodes are asked",
 	"store of kept state back": "store of kept state lost",
 }
 
-func beliefs(all []Line, nodes, replicas, contents map[string]bool) []Line {
+func nodeStateBefore(all []Line, nodes, replicas, contents map[string]bool) []Line {
 	kept := map[string]Line{}
 	for _, l := range all {
-		if key, ok := beliefKinds[l.Msg]; ok && nodes[l.Node] {
+		if key, ok := nodeMessages[l.Msg]; ok && nodes[l.Node] {
 			kind := l.Msg
-			if first, paired := pairs[kind]; paired {
-				kind = first
+			if opposite, paired := supersedes[kind]; paired {
+				kind = opposite
 			}
 			kept[l.Node+"\x00"+kind+"\x00"+l.Text(key)] = l
 		}
-		if key, ok := replicaKinds[l.Msg]; ok && replicas[l.Text(key)] {
+		if key, ok := replicaMessages[l.Msg]; ok && replicas[l.Text(key)] {
 			kept[l.Msg+"\x00"+l.Text(key)] = l
 		}
-		if key, ok := contentKinds[l.Msg]; ok && contents[l.Text("content")] {
+		if key, ok := contentMessages[l.Msg]; ok && contents[l.Text("content")] {
 			kept[l.Msg+"\x00"+l.Text(key)] = l
 		}
 	}
--- a/pkg/explain/report_test.go
+++ b/pkg/explain/report_test.go
@@ -34,15 +34,15 @@
   6.4000 n1 {"time":"2026-01-01T00:00:06.4Z","level":"INFO","msg":"refused","request":"r12","status":503,"reason":"suspected","after":100000,"attempts":0}
 `
 
-func TestCauseOfEachKindOfFailure(t *testing.T) {
+func TestCauseNamesEachKindOfFailure(t *testing.T) {
 	for id, c := range map[string]struct {
 		failed bool
 		words  []string
 	}{
 		"r1":  {true, []string{"503", "all 2 replicas", "a answered 503", "b was not reached", "did not run"}},
 		"r2":  {true, []string{"300ms", "3 of 18 replicas"}},
-		"r3":  {true, []string{"broken off", "stream broke off", "replica a"}},
-		"r4":  {false, []string{"900 ms", "weights 1 while 2", "7000 of its 7000"}},
+		"r3":  {true, []string{"client was aborted", "stream broke off", "replica a"}},
+		"r4":  {false, []string{"900 ms", "weights 1 while version 2", "7000 of its 7000"}},
 		"r6":  {true, []string{"b ran it", "500", "a answered 500 after running it"}},
 		"r5":  {true, []string{"client closed", "90ms"}},
 		"r7":  {true, []string{"node was stopped", "40ms"}},
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestBeliefsAreThoseOfTheRequestsNodes(t *testing.T) {
+func TestStateBeforeIsThatOfTheRequestsNodes(t *testing.T) {
 	r, err := Read("r1", strings.NewReader(log))
 	assert.NilError(t, err)
 	assert.Equal(t, len(r.Lines), 3)
@@ -69,21 +69,21 @@
 	assert.DeepEqual(t, kinds, []string{"n1 configuration in force", "n1 store back", "n1 replica not reached"})
 }
 
-// A kind that no line has would leave a belief out without a word.
-func TestKindsOfBeliefsAreLogged(t *testing.T) {
+// A message missing from the catalogue would silently never match a line.
+func TestStateMessagesAreInTheCatalogue(t *testing.T) {
 	logged := map[string]bool{}
 	for _, e := range events.Catalogue {
 		logged[e.Name] = true
 	}
-	for _, kinds := range []map[string]string{beliefKinds, replicaKinds, pairs} {
+	for _, kinds := range []map[string]string{nodeMessages, replicaMessages, supersedes} {
 		for kind := range kinds {
 			assert.Assert(t, logged[kind], kind)
 		}
 	}
 }
 
-// A blocked request has an ID of its own; the replicas ended under others of its content.
-func TestBlockedRequestLeadsToTheReplicasThatEnded(t *testing.T) {
+// A blocked request has its own ID: the replicas ended under other requests with the same content.
+func TestBlockedRequestListsReplicasThatEndedUnderItsContent(t *testing.T) {
 	r, err := Read("r11", strings.NewReader(log))
 	assert.NilError(t, err)
 	var ended []string
@@ -95,13 +95,13 @@
 	assert.DeepEqual(t, ended, []string{"n1 s1 d", "n2 s2 e"})
 }
 
-func TestUnknownRequest(t *testing.T) {
+func TestReadReportsUnknownRequest(t *testing.T) {
 	_, err := Read("r9", strings.NewReader(log))
 	assert.ErrorIs(t, err, ErrUnknown)
 }
 
-// Lines of several files are put in order of time.
-func TestLinesOfSeveralFiles(t *testing.T) {
+// Lines of different files are ordered by time.
+func TestLinesOfSeveralFilesAreOrderedByTime(t *testing.T) {
 	a := `n1 {"time":"2026-01-01T00:00:02Z","msg":"refused","request":"r","reason":"deadline","status":504,"attempts":1}`
 	b := `n2 {"time":"2026-01-01T00:00:01Z","msg":"answer lost","request":"r","replica":"x","err":"reset"}`
 	r, err := Read("r", strings.NewReader(a), strings.NewReader(b))
