--- a/cmd/drumpath/cmds/check.go
+++ b/cmd/drumpath/cmds/check.go
@@ -38,7 +38,7 @@
 func (c *checkCommand) check() error {
 	if c.Gateway {
 		s, err := config.LoadGateway(c.Config)
-		if off := s.Without.Names(); err == nil && c.Strict && len(off) > 0 {
+		if off := s.Disabled.Names(); err == nil && c.Strict && len(off) > 0 {
 			return eris.Errorf("%s: without: mechanisms are off: %s", c.Config, strings.Join(off, ", "))
 		}
 		return err
--- a/pkg/config/gateway.go
+++ b/pkg/config/gateway.go
@@ -22,7 +22,7 @@
 	// Evacuation is how a data hall is left that operators evacuate.
 	Evacuation EvacuationSettings `json:"evacuation"`
 	Log        LogSettings        `json:"log"`
-	Without    WithoutSettings    `json:"without"`
+	Disabled   DisabledMechanisms `json:"without"`
 	Test       TestSettings       `json:"test"`
 }
 
--- a/pkg/config/without.go
+++ b/pkg/config/without.go
@@ -2,10 +2,10 @@
 
 import "reflect"
 
-// WithoutSettings switches mechanisms of a gateway's decisions off, one by one, to
+// DisabledMechanisms switches mechanisms of a gateway's decisions off, one by one, to
 // measure what each is worth; what takes a mechanism's place is plain and keeps all
 // rules. With none named everything is on, as a node in service is meant to be.
-type WithoutSettings struct {
+type DisabledMechanisms struct {
 	// Home is that a prompt's shared parts belong to one replica, the same for all nodes.
 	Home bool `json:"home"`
 	// Held is that engines' own events tell what each holds.
@@ -45,7 +45,7 @@
 }
 
 // Names lists the settings' names of all mechanisms that are off, in order.
-func (w WithoutSettings) Names() (off []string) {
+func (w DisabledMechanisms) Names() (off []string) {
 	v := reflect.ValueOf(w)
 	for i := range v.NumField() {
 		if v.Field(i).Bool() {
--- a/pkg/config/without_test.go
+++ b/pkg/config/without_test.go
@@ -9,8 +9,8 @@
 func TestMechanismsAreOnUnlessNamed(t *testing.T) {
 	s, err := ParseGateway(deployTemplate(t, nil))
 	assert.NilError(t, err)
-	assert.Equal(t, len(s.Without.Names()), 0)
-	assert.DeepEqual(t, WithoutSettings{Saves: true, Resting: true}.Names(), []string{"saves", "resting"})
+	assert.Equal(t, len(s.Disabled.Names()), 0)
+	assert.DeepEqual(t, DisabledMechanisms{Saves: true, Resting: true}.Names(), []string{"saves", "resting"})
 }
 
 func TestUnknownMechanismIsAFault(t *testing.T) {
--- a/pkg/control/leases.go
+++ b/pkg/control/leases.go
@@ -68,8 +68,8 @@
 	return l
 }
 
-// GroupOf names the lease under which a duty is done.
-func GroupOf(duty string) string {
+// LeaseFor names the lease under which a duty is done.
+func LeaseFor(duty string) string {
 	return fmt.Sprintf("lease/%02d", hashDuty(duty)%LeaseGroups)
 }
 
--- a/pkg/control/log.go
+++ b/pkg/control/log.go
@@ -117,8 +117,8 @@
 	return append([]Entry(nil), l.entries[max(0, len(l.entries)-limit):]...)
 }
 
-// Take applies what a peer sent; older or unconnected entries are ignored.
-func (l *Log) Take(d Delta) {
+// Merge applies what a peer sent; older or unconnected entries are ignored.
+func (l *Log) Merge(d Delta) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.State != nil && d.State.Version > l.state.Version {
@@ -207,7 +207,7 @@
 			return l.takeSnapshot(ctx, have)
 		}
 	}
-	l.Take(Delta{Entries: entries})
+	l.Merge(Delta{Entries: entries})
 	return nil
 }
 
@@ -227,7 +227,7 @@
 	if s.Version <= have {
 		return eris.Errorf("snapshot is at version %d, not past %d", s.Version, have)
 	}
-	l.Take(Delta{State: &s})
+	l.Merge(Delta{State: &s})
 	return nil
 }
 
@@ -258,7 +258,7 @@
 			return 0, err
 		}
 		if won {
-			l.Take(Delta{Entries: []Entry{entry}})
+			l.Merge(Delta{Entries: []Entry{entry}})
 			l.snapshot(ctx, entry.Version)
 			return entry.Version, nil
 		}
--- a/pkg/control/log_test.go
+++ b/pkg/control/log_test.go
@@ -119,7 +119,7 @@
 	assert.NilError(t, c.Refresh(t.Context()))
 	assert.Equal(t, c.State().Version, uint64(3*snapshotEvery))
 	d := f.log("d")
-	d.Take(a.Since(0))
+	d.Merge(a.Since(0))
 	assert.Equal(t, d.State().Version, uint64(3*snapshotEvery))
 }
 
@@ -131,9 +131,9 @@
 	old := a.Since(0)
 	_, err = a.Propose(t.Context(), createModel("m2"), 0)
 	assert.NilError(t, err)
-	b.Take(a.Since(0))
-	b.Take(old)
-	b.Take(Delta{State: config.NewState()})
+	b.Merge(a.Since(0))
+	b.Merge(old)
+	b.Merge(Delta{State: config.NewState()})
 	assert.Equal(t, b.State().Version, uint64(2))
 }
 
--- a/pkg/control/member.go
+++ b/pkg/control/member.go
@@ -51,10 +51,10 @@
 // node to be among the widest.
 const wideShare = 0.5
 
-// Widest lists the members whose links are about as wide as the widest one's.
+// WithWidestLinks lists the members whose links are about as wide as the widest one's.
 // Duties that send much fall to these: a node with a narrow link would hold up all
 // that wait for it, and its own requests.
-func Widest(members []Member) []Member {
+func WithWidestLinks(members []Member) []Member {
 	most := 0.0
 	for _, m := range members {
 		most = max(most, m.Link)
--- a/pkg/control/members.go
+++ b/pkg/control/members.go
@@ -176,9 +176,9 @@
 	return out
 }
 
-// Late returns the indirect probes for members that have not answered in good
+// IndirectProbes returns the indirect probes for members that have not answered in good
 // time; it is to be called a few times a period.
-func (m *Members) Late(now time.Time, version uint64) []Packet {
+func (m *Members) IndirectProbes(now time.Time, version uint64) []Packet {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Packet
@@ -252,9 +252,9 @@
 	return m.seq
 }
 
-// Greet returns probes for nodes of which only the address is known. They tell of this node
+// ProbeSeeds returns probes for nodes of which only the address is known. They tell of this node
 // only: where all nodes start together, each is greeted by each.
-func (m *Members) Greet(addrs []netip.AddrPort) []Packet {
+func (m *Members) ProbeSeeds(addrs []netip.AddrPort) []Packet {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Packet
--- a/pkg/control/members_halls_test.go
+++ b/pkg/control/members_halls_test.go
@@ -49,7 +49,7 @@
 					addrs = append(addrs, testAddr(j))
 				}
 			}
-			f.send(i, v.Greet(addrs))
+			f.send(i, v.ProbeSeeds(addrs))
 		}
 	}
 }
--- a/pkg/control/members_test.go
+++ b/pkg/control/members_test.go
@@ -75,7 +75,7 @@
 		f.now = f.now.Add(testPeriod / 2)
 		for i, v := range f.views {
 			if i != f.suspended {
-				f.send(i, v.Late(f.now, 0))
+				f.send(i, v.IndirectProbes(f.now, 0))
 			}
 		}
 		f.now = f.now.Add(testPeriod / 2)
@@ -193,7 +193,7 @@
 				addrs = append(addrs, testAddr(i))
 			}
 		}
-		f.send(restarted, f.views[restarted].Greet(addrs))
+		f.send(restarted, f.views[restarted].ProbeSeeds(addrs))
 		assert.Equal(t, len(f.views[restarted].Working()), nodes)
 		f.run(2)
 		for viewer := range nodes {
--- a/pkg/control/view.go
+++ b/pkg/control/view.go
@@ -79,10 +79,10 @@
 	return v
 }
 
-// Audience are the addresses to tell what all other members are to hear: all of halls with
+// Recipients are the addresses to tell what all other members are to hear: all of halls with
 // at most so many others, and of each larger one a member that tells it on there, another
 // one at each try. duty names the duty of telling it on.
-func (v *View) Audience(self string, most int, duty string, try int) (direct, relays []netip.AddrPort) {
+func (v *View) Recipients(self string, most int, duty string, try int) (direct, relays []netip.AddrPort) {
 	for _, hall := range v.Halls() {
 		others := slices.DeleteFunc(slices.Clone(v.Hall(hall).Present), func(m Member) bool { return m.Name == self })
 		if len(others) <= most {
@@ -91,7 +91,7 @@
 			}
 			continue
 		}
-		owners := Owners(Widest(others), duty+hall, try+1)
+		owners := Owners(WithWidestLinks(others), duty+hall, try+1)
 		relays = append(relays, owners[len(owners)-1].Peer)
 	}
 	return direct, relays
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -93,9 +93,9 @@
 	return a.rate, true
 }
 
-// Note takes in what was seen. What is older than what is known is passed over: news may come
+// Observe takes in what was seen. What is older than what is known is passed over: news may come
 // in any order.
-func (l *Ledger) Note(subject string, r Rate, now time.Time) Change {
+func (l *Ledger) Observe(subject string, r Rate, now time.Time) Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, ok := l.subjects[subject]
--- a/pkg/quota/ledger_test.go
+++ b/pkg/quota/ledger_test.go
@@ -42,7 +42,7 @@
 		{5000, 1, 49_000, 50_001},
 	} {
 		l := NewLedger()
-		assert.Equal(t, l.Note("s", named(c.rate, 0), after(0)), ChangeBegun)
+		assert.Equal(t, l.Observe("s", named(c.rate, 0), after(0)), ChangeBegun)
 		n := given(l, c.part, 0, 10_000)
 		assert.Assert(t, n >= c.least && n <= c.most, "%g a second, part %g: %d", c.rate, c.part, n)
 	}
@@ -51,7 +51,7 @@
 // What is not asked for is kept for a moment only: nobody gets many at once after a rest.
 func TestWhatWasLeftUnusedIsNotGivenOutLater(t *testing.T) {
 	l := NewLedger()
-	l.Note("s", named(8, 0), after(0))
+	l.Observe("s", named(8, 0), after(0))
 	assert.Equal(t, given(l, 1, 60_000, 60_005), 1)
 	assert.Equal(t, given(l, 1, 60_005, 60_015), 2, "a quarter of a second's, and one")
 	assert.Equal(t, given(l, 1, 60_015, 60_100), 0)
@@ -61,17 +61,17 @@
 
 func TestOldNewsChangeNothing(t *testing.T) {
 	l := NewLedger()
-	assert.Equal(t, l.Note("s", ended(5), after(5)), ChangeNone, "of what was never named")
+	assert.Equal(t, l.Observe("s", ended(5), after(5)), ChangeNone, "of what was never named")
 	assert.Assert(t, l.Empty())
-	assert.Equal(t, l.Note("s", named(2, 100), after(100)), ChangeBegun)
-	assert.Equal(t, l.Note("s", ended(99), after(200)), ChangeNone, "an answer that was under way")
-	assert.Equal(t, l.Note("s", named(3, 50), after(200)), ChangeNone)
-	assert.Equal(t, l.Note("s", named(2, 150), after(200)), ChangeNone, "the same again")
-	assert.Equal(t, l.Note("s", named(3, 160), after(200)), ChangeRate)
-	assert.Equal(t, l.Note("s", ended(170), after(200)), ChangeEnded)
+	assert.Equal(t, l.Observe("s", named(2, 100), after(100)), ChangeBegun)
+	assert.Equal(t, l.Observe("s", ended(99), after(200)), ChangeNone, "an answer that was under way")
+	assert.Equal(t, l.Observe("s", named(3, 50), after(200)), ChangeNone)
+	assert.Equal(t, l.Observe("s", named(2, 150), after(200)), ChangeNone, "the same again")
+	assert.Equal(t, l.Observe("s", named(3, 160), after(200)), ChangeRate)
+	assert.Equal(t, l.Observe("s", ended(170), after(200)), ChangeEnded)
 	assert.Equal(t, given(l, 1, 200, 205), -1, "no grant is needed")
-	assert.Equal(t, l.Note("s", named(3, 165), after(300)), ChangeNone, "late news of before")
-	assert.Equal(t, l.Note("s", named(3, 180), after(300)), ChangeBegun)
+	assert.Equal(t, l.Observe("s", named(3, 165), after(300)), ChangeNone, "late news of before")
+	assert.Equal(t, l.Observe("s", named(3, 180), after(300)), ChangeBegun)
 	assert.Equal(t, l.Count(), 1)
 	l.Forget(after(300).Add(idleTerm + time.Second))
 	assert.Assert(t, l.Empty())
@@ -80,9 +80,9 @@
 // A rate that falls takes back what was free by the old one.
 func TestRateThatFallsLeavesNoRest(t *testing.T) {
 	l := NewLedger()
-	l.Note("s", named(100, 0), after(0))
+	l.Observe("s", named(100, 0), after(0))
 	assert.Equal(t, given(l, 1, 1000, 1005), 2)
-	assert.Equal(t, l.Note("s", named(0.5, 1010), after(1010)), ChangeRate)
+	assert.Equal(t, l.Observe("s", named(0.5, 1010), after(1010)), ChangeRate)
 	n := given(l, 1, 1010, 5010)
 	assert.Assert(t, n >= 2 && n <= 3, "%d in 4 s", n)
 }
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -29,15 +29,15 @@
 	Targets() []Target
 	// Rank is how many nodes come before this one for a duty.
 	Rank(duty string) int
-	// Steer has all nodes send requests elsewhere for a while.
-	Steer(t Target, d time.Duration)
-	// Steered is how many replicas requests are sent elsewhere from, at the word of
+	// AvoidForSwap has all nodes send requests elsewhere for a while.
+	AvoidForSwap(t Target, d time.Duration)
+	// Swapping is how many replicas requests are sent elsewhere from, at the word of
 	// any node.
-	Steered() int
-	// Serves notes what a replica has said that it serves.
-	Serves(t Target, version int64)
-	// Drains notes that a replica has said that it drains.
-	Drains(t Target)
+	Swapping() int
+	// RecordWeights notes what a replica has said that it serves.
+	RecordWeights(t Target, version int64)
+	// RecordDraining notes that a replica has said that it drains.
+	RecordDraining(t Target)
 }
 
 // Target is a replica and the weights that it is to serve.
@@ -51,8 +51,8 @@
 func (t *Target) behind() bool { return t.Weights[t.Model] < t.Version }
 
 const (
-	// Every is the period of Step.
-	Every = 100 * time.Millisecond
+	// StepInterval is the period of Step.
+	StepInterval = 100 * time.Millisecond
 	// groups is into how many parts the replicas are divided. Each has a lease,
 	// so that a holder that is lost holds up its part only, and each swaps its
 	// replicas one after the other or a few at once.
@@ -150,8 +150,8 @@
 	return r
 }
 
-// Unbounded lets all replicas be swapped at once; it is to be called before Step.
-func (r *Rollout) Unbounded() { r.unbounded = true }
+// SetUnbounded lets all replicas be swapped at once; it is to be called before Step.
+func (r *Rollout) SetUnbounded() { r.unbounded = true }
 
 // groupOf says to which group a replica belongs.
 func groupOf(id string) int { return int(xxhash.Sum64String(id) % groups) }
@@ -290,10 +290,10 @@
 func (r *Rollout) mayBegin(t Target, most int) bool {
 	r.beginMu.Lock()
 	defer r.beginMu.Unlock()
-	if r.fleet.Steered() >= most {
+	if r.fleet.Swapping() >= most {
 		return false
 	}
-	r.fleet.Steer(t, steerTime+steerTerm)
+	r.fleet.AvoidForSwap(t, steerTime+steerTerm)
 	return true
 }
 
@@ -312,17 +312,17 @@
 			// It has started anew: what it has and has taken is listed anew, too.
 			return backoffTerm
 		case report.Draining:
-			r.fleet.Drains(t)
+			r.fleet.RecordDraining(t)
 			return backoffTerm
 		case report.Weights[t.Model] >= t.Version:
-			r.fleet.Serves(t, report.Weights[t.Model])
+			r.fleet.RecordWeights(t, report.Weights[t.Model])
 			if !ordered.IsZero() {
 				g.noteDone(r.now().Sub(ordered))
 			}
 			r.log.Info("replica serves new weights", "replica", t.ID, "model", t.Model, "version", report.Weights[t.Model])
 			return 0
 		case report.Busy:
-			r.fleet.Steer(t, steerTerm)
+			r.fleet.AvoidForSwap(t, steerTerm)
 			end = r.now().Add(orderTerm)
 		case ordered.IsZero():
 			if !r.order(ctx, g, t, report.Orders) {
@@ -330,7 +330,7 @@
 			}
 			ordered = r.now()
 			g.noteOrdered(t.ID, ordered)
-			r.fleet.Steer(t, steerTerm)
+			r.fleet.AvoidForSwap(t, steerTerm)
 			end = r.now().Add(orderTerm)
 		}
 		r.sleep(askEvery)
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -190,15 +190,15 @@
 
 func (e eyes) Rank(string) int { return e.ranks[e.node] }
 
-func (e eyes) Steer(t Target, d time.Duration) {
+func (e eyes) AvoidForSwap(t Target, d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.until[t.ID] = time.Now().Add(d)
 	e.steered = append(e.steered, t.ID)
 }
 
-// Steered counts those that load: nodes hear at once what others begin.
-func (e eyes) Steered() int {
+// Swapping counts those that load: nodes hear at once what others begin.
+func (e eyes) Swapping() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
@@ -210,13 +210,13 @@
 	return n
 }
 
-func (e eyes) Serves(t Target, _ int64) {
+func (e eyes) RecordWeights(t Target, _ int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.until, t.ID)
 }
 
-func (e eyes) Drains(t Target) {
+func (e eyes) RecordDraining(t Target) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.drained = append(e.drained, t.ID)
@@ -253,7 +253,7 @@
 			defer r.Close()
 			for ctx.Err() == nil {
 				r.Step(ctx)
-				time.Sleep(Every)
+				time.Sleep(StepInterval)
 			}
 		})
 	}
@@ -404,7 +404,7 @@
 		r.Step(t.Context())
 		assert.Assert(t, len(s.rows) > 0)
 		r.Release(t.Context())
-		time.Sleep(Every)
+		time.Sleep(StepInterval)
 		r.Step(t.Context())
 		for key, row := range s.rows {
 			var l leaseRow
--- a/pkg/route/admission.go
+++ b/pkg/route/admission.go
@@ -55,7 +55,7 @@
 	Tenant
 	finish  float64 // Virtual time up to which it has had its share.
 	inside  int
-	waiting queue.Heap[*Place]
+	waiting queue.Heap[*AdmissionTicket]
 	tokens  *rate.Limiter
 	noted   float64 // Its part of Admission.shares.
 }
@@ -95,13 +95,13 @@
 	growPart   = 10
 )
 
-// First is the time from the way in to the first token that most requests keep
+// FirstTokenTime is the time from the way in to the first token that most requests keep
 // to: the mean and twice the mean deviation.
 //
 // It fades while no first token comes, and is nothing while nobody is inside: if
 // it is ever longer than the deadlines, all would be refused and nothing would
 // show that the way is short again.
-func (a *Admission) First(now time.Time) time.Duration {
+func (a *Admission) FirstTokenTime(now time.Time) time.Duration {
 	const deviations = 2
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -123,22 +123,22 @@
 	a.admit(now)
 }
 
-// Offer asks for a place: the answer is a place, which may be ready at once, or
+// Enqueue asks for a place: the answer is a place, which may be ready at once, or
 // a *RefusedError. The request must be inside before limit; cost is in tokens.
-func (a *Admission) Offer(t Tenant, cost float64, priority int, limit, now time.Time) (*Place, error) {
+func (a *Admission) Enqueue(t Tenant, cost float64, priority int, limit, now time.Time) (*AdmissionTicket, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	q := a.tenant(t)
 	if q.tokens != nil {
 		if ok, after := takeTokens(q.tokens, cost, now); !ok {
-			return nil, &RefusedError{Reason: RefusedRate, RetryAfter: after}
+			return nil, &RefusedError{Reason: RefusedRateLimit, RetryAfter: after}
 		}
 	}
 	if wait := a.expectedWait(q); now.Add(wait).After(limit) {
-		return nil, &RefusedError{Reason: RefusedLoad, RetryAfter: max(minRetry, wait)}
+		return nil, &RefusedError{Reason: RefusedOverload, RetryAfter: max(minRetry, wait)}
 	}
 	a.seq++
-	p := &Place{
+	p := &AdmissionTicket{
 		admission: a,
 		tenant:    q,
 		cost:      max(1, cost),
@@ -267,15 +267,15 @@
 // AdmissionStatus is what a dump shows of admission.
 type AdmissionStatus struct {
 	Capacity int                     `json:"capacity"`
-	Inside   int                     `json:"inside"`
+	Admitted int                     `json:"inside"`
 	MeanHold time.Duration           `json:"mean_hold_ns"`
 	Tenants  map[string]TenantStatus `json:"organisations"`
 }
 
 // TenantStatus is what a dump shows of one organisation's queue.
 type TenantStatus struct {
-	Inside  int `json:"inside"`
-	Waiting int `json:"waiting"`
+	Admitted int `json:"inside"`
+	Waiting  int `json:"waiting"`
 }
 
 // Status returns the queues' lengths.
@@ -284,12 +284,12 @@
 	defer a.mu.Unlock()
 	s := AdmissionStatus{
 		Capacity: a.capacity,
-		Inside:   a.inside,
+		Admitted: a.inside,
 		MeanHold: a.meanHold,
 		Tenants:  map[string]TenantStatus{},
 	}
 	for name, q := range a.tenants {
-		s.Tenants[name] = TenantStatus{Inside: q.inside, Waiting: q.waiting.Len()}
+		s.Tenants[name] = TenantStatus{Admitted: q.inside, Waiting: q.waiting.Len()}
 	}
 	return s
 }
--- a/pkg/route/admission_test.go
+++ b/pkg/route/admission_test.go
@@ -15,7 +15,7 @@
 
 func tenant(name string) Tenant { return Tenant{Name: name, Share: 1} }
 
-func inside(p *Place) bool {
+func inside(p *AdmissionTicket) bool {
 	select {
 	case <-p.Ready():
 		return true
@@ -30,7 +30,7 @@
 		a := NewAdmission()
 		now := testNow
 		capacity := minCapacity
-		var open []*Place
+		var open []*AdmissionTicket
 		limits := map[string]int{"a": 0, "b": 3, "c": 0}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
@@ -39,13 +39,13 @@
 				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "tenant")
 				tn := Tenant{Name: name, Share: 1, Concurrency: limits[name]}
 				cost := rapid.Float64Range(1, 1000).Draw(t, "cost")
-				p, err := a.Offer(tn, cost, rapid.IntRange(0, 2).Draw(t, "priority"), now.Add(time.Hour), now)
+				p, err := a.Enqueue(tn, cost, rapid.IntRange(0, 2).Draw(t, "priority"), now.Add(time.Hour), now)
 				assert.NilError(t, err)
 				open = append(open, p)
 			case op == 2 && len(open) > 0:
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "leave")
-				open[i].Leave(now)
-				open[i].Leave(now)
+				open[i].Release(now)
+				open[i].Release(now)
 				open = append(open[:i], open[i+1:]...)
 			case op == 3:
 				capacity = rapid.IntRange(minCapacity, 12).Draw(t, "capacity")
@@ -59,10 +59,10 @@
 				}
 			}
 			s := a.Status()
-			assert.Equal(t, s.Inside, n)
+			assert.Equal(t, s.Admitted, n)
 			for name, q := range s.Tenants {
-				assert.Equal(t, q.Inside, perTenant[name])
-				assert.Assert(t, limits[name] == 0 || q.Inside <= limits[name])
+				assert.Equal(t, q.Admitted, perTenant[name])
+				assert.Assert(t, limits[name] == 0 || q.Admitted <= limits[name])
 			}
 			waiting := len(open) - n
 			mayEnter := 0
@@ -79,14 +79,14 @@
 func TestLargeOrganisationDoesNotStarveSmallOnes(t *testing.T) {
 	a := NewAdmission()
 	now := testNow
-	var big, small []*Place
+	var big, small []*AdmissionTicket
 	for range 200 {
-		p, err := a.Offer(tenant("big"), 100, 0, now.Add(time.Hour), now)
+		p, err := a.Enqueue(tenant("big"), 100, 0, now.Add(time.Hour), now)
 		assert.NilError(t, err)
 		big = append(big, p)
 	}
 	for range 10 {
-		p, err := a.Offer(tenant("small"), 100, 0, now.Add(time.Hour), now)
+		p, err := a.Enqueue(tenant("small"), 100, 0, now.Add(time.Hour), now)
 		assert.NilError(t, err)
 		small = append(small, p)
 	}
@@ -95,7 +95,7 @@
 	all := append(big, small...)
 	for range 24 {
 		i := slices.IndexFunc(all, inside)
-		all[i].Leave(now)
+		all[i].Release(now)
 		all = slices.Delete(all, i, i+1)
 	}
 	for i, p := range small {
@@ -106,10 +106,10 @@
 func TestSharesAreWeighted(t *testing.T) {
 	a := NewAdmission()
 	now := testNow
-	open := map[string][]*Place{}
+	open := map[string][]*AdmissionTicket{}
 	for range 300 {
 		for name, share := range map[string]float64{"one": 1, "three": 3} {
-			p, err := a.Offer(Tenant{Name: name, Share: share}, 10, 0, now.Add(time.Hour), now)
+			p, err := a.Enqueue(Tenant{Name: name, Share: share}, 10, 0, now.Add(time.Hour), now)
 			assert.NilError(t, err)
 			open[name] = append(open[name], p)
 		}
@@ -119,7 +119,7 @@
 		for name, list := range open {
 			for i, p := range list {
 				if inside(p) {
-					p.Leave(now)
+					p.Release(now)
 					left[name]++
 					open[name] = append(list[:i:i], list[i+1:]...)
 					break
@@ -135,26 +135,26 @@
 	a := NewAdmission()
 	now := testNow
 	for range 100 {
-		_, err := a.Offer(tenant("o"), 1, 0, now.Add(time.Hour), now)
+		_, err := a.Enqueue(tenant("o"), 1, 0, now.Add(time.Hour), now)
 		assert.NilError(t, err)
 	}
-	_, err := a.Offer(tenant("o"), 1, 0, now.Add(time.Second), now)
+	_, err := a.Enqueue(tenant("o"), 1, 0, now.Add(time.Second), now)
 	var refused *RefusedError
 	assert.Assert(t, errors.As(err, &refused), "%v", err)
-	assert.Equal(t, refused.Reason, RefusedLoad)
+	assert.Equal(t, refused.Reason, RefusedOverload)
 	assert.Assert(t, refused.RetryAfter > time.Second)
 }
 
 func TestTokenLimit(t *testing.T) {
 	a := NewAdmission()
 	limited := Tenant{Name: "o", Share: 1, TokensPerSecond: 100}
-	_, err := a.Offer(limited, 200, 0, testNow.Add(time.Hour), testNow)
+	_, err := a.Enqueue(limited, 200, 0, testNow.Add(time.Hour), testNow)
 	assert.NilError(t, err)
-	_, err = a.Offer(limited, 100, 0, testNow.Add(time.Hour), testNow)
+	_, err = a.Enqueue(limited, 100, 0, testNow.Add(time.Hour), testNow)
 	var refused *RefusedError
 	assert.Assert(t, errors.As(err, &refused), "%v", err)
-	assert.Equal(t, refused.Reason, RefusedRate)
-	_, err = a.Offer(limited, 100, 0, testNow.Add(time.Hour), testNow.Add(refused.RetryAfter+time.Millisecond))
+	assert.Equal(t, refused.Reason, RefusedRateLimit)
+	_, err = a.Enqueue(limited, 100, 0, testNow.Add(time.Hour), testNow.Add(refused.RetryAfter+time.Millisecond))
 	assert.NilError(t, err)
 }
 
@@ -164,17 +164,17 @@
 			a := NewAdmission()
 			a.SetCapacity(200, testNow)
 			for i := range tenants {
-				p, err := a.Offer(tenant(fmt.Sprint(i)), 1, 0, testNow.Add(time.Hour), testNow)
+				p, err := a.Enqueue(tenant(fmt.Sprint(i)), 1, 0, testNow.Add(time.Hour), testNow)
 				assert.NilError(b, err)
-				p.Leave(testNow)
+				p.Release(testNow)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				p, err := a.Offer(tenant("17"), 1, 0, testNow.Add(time.Hour), testNow)
+				p, err := a.Enqueue(tenant("17"), 1, 0, testNow.Add(time.Hour), testNow)
 				if err != nil {
 					b.Fatal(err)
 				}
-				p.Leave(testNow)
+				p.Release(testNow)
 			}
 		})
 	}
@@ -183,32 +183,32 @@
 func TestAdaptShrinksWhenReplicasQueueAndGrowsWhenTheyDoNot(t *testing.T) {
 	a := NewAdmission()
 	for range 50 {
-		_, err := a.Offer(tenant("o"), 1, 0, testNow.Add(time.Hour), testNow)
+		_, err := a.Enqueue(tenant("o"), 1, 0, testNow.Add(time.Hour), testNow)
 		assert.NilError(t, err)
 	}
 	for range 40 {
 		a.Adapt(0, 30, testNow)
 	}
-	assert.Equal(t, a.Status().Inside, 30)
+	assert.Equal(t, a.Status().Admitted, 30)
 	for range 40 {
 		a.Adapt(time.Second, 30, testNow)
 	}
 	assert.Equal(t, a.Status().Capacity, minCapacity)
-	assert.Equal(t, a.Status().Inside, 30, "nobody is put out")
+	assert.Equal(t, a.Status().Admitted, 30, "nobody is put out")
 }
 
 // Once first tokens have come so late that no deadline allows for them, requests
 // must be let in again to see whether that is still so.
 func TestAllowanceForTheFirstTokenFades(t *testing.T) {
 	a := NewAdmission()
-	p, err := a.Offer(tenant("o"), 1, 0, testNow.Add(time.Hour), testNow)
+	p, err := a.Enqueue(tenant("o"), 1, 0, testNow.Add(time.Hour), testNow)
 	assert.NilError(t, err)
 	for range 200 {
-		p.First(testNow.Add(time.Minute))
+		p.FirstToken(testNow.Add(time.Minute))
 	}
 	late := testNow.Add(time.Minute)
-	assert.Assert(t, a.First(late) > 10*time.Second)
-	assert.Assert(t, a.First(late.Add(10*time.Second)) < 10*time.Millisecond)
-	p.Leave(late)
-	assert.Equal(t, a.First(late), time.Duration(0), "nobody is inside")
+	assert.Assert(t, a.FirstTokenTime(late) > 10*time.Second)
+	assert.Assert(t, a.FirstTokenTime(late.Add(10*time.Second)) < 10*time.Millisecond)
+	p.Release(late)
+	assert.Equal(t, a.FirstTokenTime(late), time.Duration(0), "nobody is inside")
 }
--- a/pkg/route/band.go
+++ b/pkg/route/band.go
@@ -5,14 +5,14 @@
 // ones than those of the last band count as of that.
 const bands = 4
 
-// Banded are tokens by urgency, those of the most urgent prompts first.
-type Banded [bands]int
+// BandTokens are tokens by urgency, those of the most urgent prompts first.
+type BandTokens [bands]int
 
 // bandOf is the band of a priority, of which 0 is the most urgent.
 func bandOf(priority int) int { return max(0, min(priority, bands-1)) }
 
 // upTo is how many tokens a prompt of a band waits behind.
-func (b Banded) upTo(band int) int {
+func (b BandTokens) upTo(band int) int {
 	n := 0
 	for _, tokens := range b[:band+1] {
 		n += tokens
@@ -21,7 +21,7 @@
 }
 
 // Plus is the sum of two.
-func (b Banded) Plus(o Banded) Banded {
+func (b BandTokens) Plus(o BandTokens) BandTokens {
 	for i := range b {
 		b[i] += o[i]
 	}
@@ -29,7 +29,7 @@
 }
 
 // Minus takes away what another has; nothing becomes less than none.
-func (b Banded) Minus(o Banded) Banded {
+func (b BandTokens) Minus(o BandTokens) BandTokens {
 	for i := range b {
 		b[i] = max(0, b[i]-o[i])
 	}
--- a/pkg/route/choose.go
+++ b/pkg/route/choose.go
@@ -36,7 +36,7 @@
 
 // choose picks the replica for a request, nil if none may take it. Those that are passed
 // over are only used if there is no other.
-func (p *Pool) choose(n *Need, home *member, now time.Time) *member {
+func (p *Pool) choose(n *PickInput, home *member, now time.Time) *member {
 	for _, passedOver := range []bool{false, true} {
 		list, least := p.candidates[:0], math.Inf(1)
 		for _, m := range p.list {
@@ -88,7 +88,7 @@
 }
 
 // weigh returns the candidate that costs least.
-func (p *Pool) weigh(list []candidate, n *Need, now time.Time) (chosen *member) {
+func (p *Pool) weigh(list []candidate, n *PickInput, now time.Time) (chosen *member) {
 	best := math.Inf(1)
 	for _, c := range list {
 		cost := c.idle + p.busyTime(c.m, n, p.lateness(c.m, now), now) + p.rng.Float64()*tieTime.Seconds()
--- a/pkg/route/cold.go
+++ b/pkg/route/cold.go
@@ -38,11 +38,11 @@
 	warmTerm = 2 * time.Second
 )
 
-// NewColdLimit is how many requests all nodes together may send a cold replica in any second
+// ColdRequestLimit is how many requests all nodes together may send a cold replica in any second
 // if it bears rate a second: that times overage, or that and the slack where it is less than
 // one. The slack is else left for nodes that have not yet heard that the replica is cold. ok
 // is false if there is no limit, as with a rate of 0.
-func NewColdLimit(rate, overage, slack float64) (most int, ok bool) {
+func ColdRequestLimit(rate, overage, slack float64) (most int, ok bool) {
 	if rate <= 0 {
 		return 0, false
 	}
@@ -63,9 +63,9 @@
 	Share(replica uint64, hall string, most int) int
 }
 
-// LimitCold sets how many requests a replica may get from all nodes in a second while it is
+// SetColdLimit sets how many requests a replica may get from all nodes in a second while it is
 // cold, and what this node's share of them is; without shares there is no limit.
-func (p *Pool) LimitCold(most int, s ColdShares) {
+func (p *Pool) SetColdLimit(most int, s ColdShares) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.coldLimited, p.coldMost, p.coldShares = s != nil, most, s
@@ -135,9 +135,9 @@
 	return !told
 }
 
-// Broke records that a replica broke a connection off instead of answering: it may have
+// RecordDisconnect records that a replica broke a connection off instead of answering: it may have
 // started again. Other nodes aren't told, as it may be the connection only.
-func (p *Pool) Broke(id string, now time.Time) {
+func (p *Pool) RecordDisconnect(id string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m, ok := p.replicas[id]; ok {
@@ -145,8 +145,8 @@
 	}
 }
 
-// Presume takes a replica to be cold, at the word of another node that did not reach it.
-func (p *Pool) Presume(w Whom, now time.Time) {
+// PresumeCold takes a replica to be cold, at the word of another node that did not reach it.
+func (p *Pool) PresumeCold(w ReplicaRef, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m, ok := p.find(w); ok && p.coldLimited {
--- a/pkg/route/cold_test.go
+++ b/pkg/route/cold_test.go
@@ -54,7 +54,7 @@
 		rate := rapid.Float64Range(0, 500).Draw(t, "rate")
 		overage := rapid.Float64Range(1, 3).Draw(t, "overage")
 		slack := rapid.Float64Range(0, 10).Draw(t, "slack")
-		most, ok := NewColdLimit(rate, overage, slack)
+		most, ok := ColdRequestLimit(rate, overage, slack)
 		assert.Equal(t, ok, rate > 0)
 		assert.Assert(t, float64(most) <= rate*overage+slack)
 		assert.Assert(t, !ok || most > 0 || rate*overage+slack < 1)
@@ -68,7 +68,7 @@
 		now := testNow
 		p := newTestPool(1, 1)
 		shares := divide(0, rapid.IntRange(1, 8).Draw(t, "nodes"), rapid.IntRange(1, 20).Draw(t, "most"))
-		p.LimitCold(0, shares)
+		p.SetColdLimit(0, shares)
 		share := shares.Share(rendezvous.Hash("r00"), "", 0)
 		list := testReplicas(1, 1)
 		list[0].ColdUntil = now.Add(time.Minute)
@@ -76,11 +76,11 @@
 		var sent []time.Time
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
-			c, ok := p.Pick(&Need{Model: "m", Tokens: 100, Send: true}, now)
+			c, ok := p.Pick(&PickInput{Model: "m", Tokens: 100, Send: true}, now)
 			if !ok {
-				why := p.WhyNone(&Need{Model: "m", Tokens: 100}, now)
+				why := p.Availability(&PickInput{Model: "m", Tokens: 100}, now)
 				assert.Equal(t, why.Excluded[ExcludedCold], 1)
-				assert.Assert(t, why.Retry >= leastReturn)
+				assert.Assert(t, why.RetryAfter >= leastReturn)
 				continue
 			}
 			sent = append(sent, now)
@@ -99,35 +99,35 @@
 // nodes are told once a second, and a node that reaches nobody tells nothing.
 func TestReplicaThatWasNotReachedIsTakenToBeCold(t *testing.T) {
 	p := newTestPool(6, 1)
-	p.LimitCold(10, divide(0, 1, 10))
-	assert.Assert(t, p.Lost("r00", testNow))
-	assert.Assert(t, !p.Lost("r00", testNow.Add(100*time.Millisecond)), "it was told of a moment ago")
+	p.SetColdLimit(10, divide(0, 1, 10))
+	assert.Assert(t, p.RecordUnreachable("r00", testNow))
+	assert.Assert(t, !p.RecordUnreachable("r00", testNow.Add(100*time.Millisecond)), "it was told of a moment ago")
 	assert.Equal(t, p.CountCold(testNow), 1)
 	p.Begin(pickFrom(t, p), testNow).End(OutcomeOK, testNow)
-	assert.Assert(t, p.Lost("r00", testNow.Add(2*time.Second)))
-	assert.Assert(t, p.Lost("r01", testNow.Add(2*time.Second)))
-	assert.Assert(t, !p.Lost("r02", testNow.Add(2*time.Second)), "this node's own way is at fault")
-	p.Presume(Whom{ID: "r03"}, testNow.Add(2*time.Second))
+	assert.Assert(t, p.RecordUnreachable("r00", testNow.Add(2*time.Second)))
+	assert.Assert(t, p.RecordUnreachable("r01", testNow.Add(2*time.Second)))
+	assert.Assert(t, !p.RecordUnreachable("r02", testNow.Add(2*time.Second)), "this node's own way is at fault")
+	p.PresumeCold(ReplicaRef{ID: "r03"}, testNow.Add(2*time.Second))
 	assert.Equal(t, p.CountCold(testNow.Add(2*time.Second)), 3)
 	assert.Equal(t, p.CountCold(testNow.Add(2*time.Second+presumeTerm)), 0)
 	p.Begin(pickFrom(t, p), testNow).End(OutcomeOK, testNow)
-	p.Broke("r04", testNow.Add(2*time.Second))
+	p.RecordDisconnect("r04", testNow.Add(2*time.Second))
 	assert.Equal(t, p.CountCold(testNow.Add(2*time.Second)), 4)
 	p = newTestPool(6, 1)
-	p.LimitCold(10, divide(0, 1, 10))
+	p.SetColdLimit(10, divide(0, 1, 10))
 	for i := range 6 {
-		p.Broke(fmt.Sprintf("r%02d", i), testNow)
+		p.RecordDisconnect(fmt.Sprintf("r%02d", i), testNow)
 	}
 	assert.Equal(t, p.CountCold(testNow), ownFault-1, "this node's connections are at fault")
-	p.LimitCold(0, nil)
+	p.SetColdLimit(0, nil)
 	assert.Equal(t, p.CountCold(testNow), 0, "the configuration has no limit any more")
 	unlimited := newTestPool(6, 1)
-	assert.Assert(t, !unlimited.Lost("r00", testNow), "its replicas are never cold")
+	assert.Assert(t, !unlimited.RecordUnreachable("r00", testNow), "its replicas are never cold")
 	assert.Equal(t, unlimited.CountCold(testNow), 0)
 }
 
 func pickFrom(t *testing.T, p *Pool) Choice {
-	c, ok := p.Pick(&Need{Model: "m", Tokens: 100}, testNow)
+	c, ok := p.Pick(&PickInput{Model: "m", Tokens: 100}, testNow)
 	assert.Assert(t, ok)
 	return c
 }
@@ -139,23 +139,23 @@
 	list := testReplicas(2, 1)
 	list[0].Started = testNow.Add(-time.Hour)
 	p.Configure(list, testNow)
-	old := WhomOf(&list[0])
-	p.Serves(old, "m", 3)
-	p.Lost("r00", testNow)
-	c, ok := p.Pick(&Need{Model: "m", Tokens: 100, Exclude: []string{"r01"}}, testNow)
+	old := RefOf(&list[0])
+	p.RecordWeights(old, "m", 3)
+	p.RecordUnreachable("r00", testNow)
+	c, ok := p.Pick(&PickInput{Model: "m", Tokens: 100, Exclude: []string{"r01"}}, testNow)
 	assert.Assert(t, ok && c.Weights == 3)
 	p.Begin(c, testNow)
 	list[0].Started = testNow
 	p.Configure(list, testNow)
-	c, ok = p.Pick(&Need{Model: "m", Tokens: 100, Exclude: []string{"r01"}}, testNow)
+	c, ok = p.Pick(&PickInput{Model: "m", Tokens: 100, Exclude: []string{"r01"}}, testNow)
 	assert.Assert(t, ok && c.Weights == 1 && c.Ahead == 0)
 	assert.Equal(t, len(p.AppendLoads(nil)), 0)
 	assert.Assert(t, !p.Status(testNow)[0].Ejected)
-	p.Serves(old, "m", 5) // Word of the old start comes late.
-	p.Steer(old, "m", 5, testNow.Add(time.Second))
-	assert.Equal(t, p.Steered(testNow), 0)
+	p.RecordWeights(old, "m", 5) // Word of the old start comes late.
+	p.AvoidForSwap(old, "m", 5, testNow.Add(time.Second))
+	assert.Equal(t, p.Swapping(testNow), 0)
 	assert.Equal(t, p.Upstreams()[0].Weights["m"], int64(1))
-	p.SetPeers(map[Key]PeerLoad{KeyOf(list[0].ID + "@0"): {Requests: 9}})
+	p.SetPeers(map[NameHash]PeerLoad{HashName(list[0].ID + "@0"): {Requests: 9}})
 	assert.Equal(t, p.Status(testNow)[0].Others.Requests, 0)
 }
 
@@ -169,13 +169,13 @@
 	list[5].Region = "" // Not known.
 	p.Configure(list, testNow)
 	for range 50 {
-		c, ok := p.Pick(&Need{Model: "m", Tokens: 100, Homed: true, Homes: []string{"region1", "region2"}}, testNow)
+		c, ok := p.Pick(&PickInput{Model: "m", Tokens: 100, HomesOnly: true, Homes: []string{"region1", "region2"}}, testNow)
 		assert.Assert(t, ok && (c.ID == "r01" || c.ID == "r02" || c.ID == "r04"))
 	}
-	need := &Need{Model: "m", Tokens: 100, Homed: true}
+	need := &PickInput{Model: "m", Tokens: 100, HomesOnly: true}
 	_, ok := p.Pick(need, testNow)
 	assert.Assert(t, !ok, "route and organisation have no region in common")
-	assert.Equal(t, p.WhyNone(need, testNow).Excluded[ExcludedOutside], 6)
+	assert.Equal(t, p.Availability(need, testNow).Excluded[ExcludedOutside], 6)
 }
 
 // coldReplay is a data hall's outage and return: a third of 60 replicas is down for 1 s while
@@ -209,7 +209,7 @@
 // hallEnd is a request under way.
 type hallEnd struct {
 	at     time.Time
-	flight *Flight
+	flight *InFlightRequest
 }
 
 type hallNote struct {
@@ -248,7 +248,7 @@
 		p := NewPool(fmt.Sprintf("h%d", i%3), rand.New(rand.NewPCG(seed, uint64(i))))
 		p.Configure(h.list, testNow)
 		if r.shares != nil {
-			p.LimitCold(0, r.shares(i))
+			p.SetColdLimit(0, r.shares(i))
 		}
 		h.pools = append(h.pools, p)
 		h.hears = append(h.hears, back.Add(time.Duration(100+h.rng.IntN(1200))*time.Millisecond))
@@ -268,13 +268,13 @@
 // settle ends what is over by now, and tells what is due.
 func (h *hall) settle(now time.Time) {
 	for len(h.ends) > 0 && !h.ends[0].at.After(now) {
-		h.ends[0].flight.First(h.ends[0].at)
+		h.ends[0].flight.FirstByte(h.ends[0].at)
 		h.ends[0].flight.End(OutcomeOK, h.ends[0].at)
 		h.ends = h.ends[1:]
 	}
 	for len(h.notes) > 0 && !h.notes[0].at.After(now) {
 		for _, p := range h.pools {
-			p.Presume(Whom{ID: h.notes[0].id}, now)
+			p.PresumeCold(ReplicaRef{ID: h.notes[0].id}, now)
 		}
 		h.notes = h.notes[1:]
 	}
@@ -287,7 +287,7 @@
 		h.hears[node] = time.Time{}
 		p.Configure(h.cold, now)
 	}
-	need := &Need{Model: "m", Tokens: 3000, Memory: 3000, Capacity: 40_000, Send: true}
+	need := &PickInput{Model: "m", Tokens: 3000, Memory: 3000, Capacity: 40_000, Send: true}
 	after := !now.Before(back)
 	if after {
 		h.sent++
@@ -300,7 +300,7 @@
 		f := p.Begin(c, now)
 		if c.DataHall == h.list[0].DataHall && !now.Before(down) && !after {
 			f.End(OutcomeFailed, now)
-			if p.Lost(c.ID, now) {
+			if p.RecordUnreachable(c.ID, now) {
 				h.notes = append(h.notes, hallNote{now.Add(hallNews), c.ID})
 			}
 			need.Exclude = append(need.Exclude, c.ID)
@@ -344,7 +344,7 @@
 
 // tellAll has each node know what the others have in flight.
 func tellAll(pools []*Pool) {
-	sum := map[Key]PeerLoad{}
+	sum := map[NameHash]PeerLoad{}
 	own := make([][]ReplicaLoad, len(pools))
 	for i, p := range pools {
 		own[i] = p.AppendLoads(nil)
--- a/pkg/route/estimator.go
+++ b/pkg/route/estimator.go
@@ -38,7 +38,7 @@
 type estimator struct {
 	fleet   *Fleet
 	links   *Links
-	weights Weights
+	weights CostWeights
 	imports bool
 }
 
@@ -170,11 +170,11 @@
 			Cached:    hotTokens,
 			Recompute: q.Chain.Tokens - h.Tokens(),
 			Import: &Import{
-				Store:  h.Upstream,
-				Object: *h.Object,
-				Chunks: h.Chunks,
-				Bytes:  bytes,
-				GiveUp: p.giveUp(r, gain, wait, fetch),
+				Store:   h.Upstream,
+				Object:  *h.Object,
+				Chunks:  h.Chunks,
+				Bytes:   bytes,
+				Timeout: p.giveUp(r, gain, wait, fetch),
 			},
 			Wait:    wait,
 			Fetch:   fetch,
--- a/pkg/route/estimator_test.go
+++ b/pkg/route/estimator_test.go
@@ -57,7 +57,7 @@
 	return prompt.Holding{Upstream: store, Chunks: chunks, Object: &prompt.Object{Chunks: chunks}}
 }
 
-var evenWeights = Weights{Latency: 1, Recompute: 1, Link: 0.1, Patience: 200 * time.Millisecond}
+var evenWeights = CostWeights{Latency: 1, Recompute: 1, Link: 0.1, Patience: 200 * time.Millisecond}
 
 func place(t *testing.T, f *Fleet, l *Links, q *Request) Decision {
 	t.Helper()
@@ -201,21 +201,21 @@
 }
 
 func TestKeepLearnsThatNewTailsDoNotReturn(t *testing.T) {
-	k := NewKeep(evenWeights)
-	in := KeepInput{Organisation: "o", Chain: testRequest(100).Chain, PrefillRate: 10_000, TokenBytes: 1000, LinkRate: 100e6}
-	_, ok := k.Export(in)
+	k := NewExportPolicy(evenWeights)
+	in := ExportInput{Organisation: "o", Chain: testRequest(100).Chain, PrefillRate: 10_000, TokenBytes: 1000, LinkRate: 100e6}
+	_, ok := k.SelectMark(in)
 	assert.Assert(t, ok, "a first prompt may return")
 	for range 100 {
-		k.Export(in)
+		k.SelectMark(in)
 	}
-	_, ok = k.Export(in)
+	_, ok = k.SelectMark(in)
 	assert.Assert(t, !ok, "prompts of this organisation never return")
 	in.Match.Sightings = []prompt.Sighting{{Chunks: 60, Times: 3}}
-	mark, ok := k.Export(in)
+	mark, ok := k.SelectMark(in)
 	assert.Assert(t, ok)
 	assert.Equal(t, mark.Chunks, 60)
 	in.Match.Holdings = []prompt.Holding{kept("s", 60)}
-	_, ok = k.Export(in)
+	_, ok = k.SelectMark(in)
 	assert.Assert(t, !ok, "it is stored already")
 }
 
@@ -250,11 +250,11 @@
 		l.Report("s1", 1e6, int64(rapid.IntRange(0, 10_000_000).Draw(t, "queue")), testNow)
 		q := testRequest(100)
 		q.Match.Holdings = []prompt.Holding{hot("e1", 100), kept("s1", 100)}
-		w := Weights{Latency: 1, Recompute: 100, Patience: 200 * time.Millisecond}
+		w := CostWeights{Latency: 1, Recompute: 100, Patience: 200 * time.Millisecond}
 		now := testNow.Add(2 * time.Millisecond)
 		d, err := NewPolicy(config.PolicyDrumpath, f, l, w).Place(q, now)
 		assert.NilError(t, err)
-		hasty, err := NewPolicy(config.PolicyDrumpath, f, l, Weights{Latency: 1}).Place(q, now)
+		hasty, err := NewPolicy(config.PolicyDrumpath, f, l, CostWeights{Latency: 1}).Place(q, now)
 		assert.NilError(t, err)
 		assert.Assert(t, d.FirstToken() <= hasty.FirstToken()+w.Patience)
 	})
@@ -264,13 +264,13 @@
 	l := NewLinks()
 	l.Report("s", 100e6, 0, testNow)
 	l.Report("e", 100e6, 0, testNow)
-	l.Counted("s", 500e6, 5*time.Second, testNow)
+	l.UpdateCounters("s", 500e6, 5*time.Second, testNow)
 	assert.Equal(t, l.Estimate("s", "e", 10e6, testNow), 100*time.Millisecond)
-	l.Counted("s", 510e6, 6*time.Second, testNow)
+	l.UpdateCounters("s", 510e6, 6*time.Second, testNow)
 	assert.Equal(t, l.Estimate("s", "e", 10e6, testNow), time.Second)
-	l.Counted("s", 0, 0, testNow) // It has restarted.
-	l.Counted("s", 100e6, time.Second, testNow)
-	l.Counted("s", 200e6, 2*time.Second, testNow)
+	l.UpdateCounters("s", 0, 0, testNow) // It has restarted.
+	l.UpdateCounters("s", 100e6, time.Second, testNow)
+	l.UpdateCounters("s", 200e6, 2*time.Second, testNow)
 	assert.Equal(t, l.Estimate("s", "e", 10e6, testNow), 100*time.Millisecond)
 }
 
@@ -287,7 +287,7 @@
 		near = append(near, fmt.Sprint("e", i))
 		f.Report(near[i], testReport(1000*i))
 	}
-	f.SetNear(near)
+	f.SetPolled(near)
 	now := testNow.Add(time.Second)
 	f.MedianWait(now)
 	for range 50 {
--- a/pkg/route/exclusion.go
+++ b/pkg/route/exclusion.go
@@ -38,7 +38,7 @@
 
 // exclusion says why a replica may not be sent a request, and what is known of the rate that
 // it names if it may be. The caller holds mu.
-func (p *Pool) exclusion(m *member, n *Need, now time.Time) (why Exclusion, rate RateState) {
+func (p *Pool) exclusion(m *member, n *PickInput, now time.Time) (why Exclusion, rate RateState) {
 	if !n.mayRunIn(m.Region) {
 		return ExcludedOutside, rate
 	}
@@ -90,12 +90,12 @@
 }
 
 // serves says whether a replica has weights that a request may run on, as far as is known.
-func (m *member) serves(n *Need) bool {
+func (m *member) serves(n *PickInput) bool {
 	if n.Model == "" || len(m.Weights) == 0 {
 		return true
 	}
 	version, serves := m.Weights[n.Model]
-	return serves && version >= n.Oldest
+	return serves && version >= n.MinVersion
 }
 
 // BackOff has nothing sent to a start of a replica for a while, as it asked this node. Of several
@@ -119,8 +119,8 @@
 	}
 }
 
-// BacksOff says whether a replica has asked this node to send it nothing now.
-func (p *Pool) BacksOff(id string, now time.Time) bool {
+// InBackoff says whether a replica has asked this node to send it nothing now.
+func (p *Pool) InBackoff(id string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m, ok := p.replicas[id]
@@ -136,18 +136,18 @@
 	return ok && m.Started.Equal(u.Started) && m.forAll(now) == NotExcluded
 }
 
-// Absence is why no replica may take a request.
-type Absence struct {
+// Availability is why no replica may take a request.
+type Availability struct {
 	// Excluded is how many replicas are left out, by reason.
 	Excluded map[Exclusion]int
-	// Free is how many may take it.
-	Free int
-	// Retry is when to come back where some will take it after a known time, 0 where none will.
-	Retry time.Duration
+	// Eligible is how many may take it.
+	Eligible int
+	// RetryAfter is when to come back where some will take it after a known time, 0 where none will.
+	RetryAfter time.Duration
 }
 
-// WhyNone finds out why no replica may take a request.
-func (p *Pool) WhyNone(n *Need, now time.Time) (a Absence) {
+// Availability finds out why no replica may take a request.
+func (p *Pool) Availability(n *PickInput, now time.Time) (a Availability) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a.Excluded = map[Exclusion]int{}
@@ -160,7 +160,7 @@
 	for _, m := range p.list {
 		why, rate := p.exclusion(m, n, now)
 		if why == NotExcluded {
-			a.Free++
+			a.Eligible++
 			continue
 		}
 		a.Excluded[why]++
@@ -174,7 +174,7 @@
 		}
 	}
 	if known {
-		a.Retry = max(leastReturn, wait) + rand.N(returnSpread)
+		a.RetryAfter = max(leastReturn, wait) + rand.N(returnSpread)
 	}
 	return a
 }
--- a/pkg/route/exclusion_test.go
+++ b/pkg/route/exclusion_test.go
@@ -24,15 +24,15 @@
 	p.BackOff(&list[0], 3*time.Second, testNow)
 	p.Configure(list[1:], testNow.Add(time.Second))
 	p.Configure(list, testNow.Add(2*time.Second))
-	assert.Assert(t, p.BacksOff("a", testNow.Add(2900*time.Millisecond)))
-	assert.Assert(t, !p.BacksOff("a", testNow.Add(3*time.Second+backoffSpread)))
-	assert.Equal(t, picks(p, &Need{}, "a"), 0)
+	assert.Assert(t, p.InBackoff("a", testNow.Add(2900*time.Millisecond)))
+	assert.Assert(t, !p.InBackoff("a", testNow.Add(3*time.Second+backoffSpread)))
+	assert.Equal(t, picks(p, &PickInput{}, "a"), 0)
 
 	// It may ask while it isn't listed.
 	p.Configure(list[1:], testNow)
 	p.BackOff(&list[0], 6*time.Second, testNow)
 	p.Configure(list, testNow)
-	assert.Assert(t, p.BacksOff("a", testNow.Add(5*time.Second)))
+	assert.Assert(t, p.InBackoff("a", testNow.Add(5*time.Second)))
 }
 
 func TestBackoffIsOfOneStartOfAReplica(t *testing.T) {
@@ -41,9 +41,9 @@
 	p.Configure(old, testNow)
 	p.BackOff(&old[0], 3*time.Second, testNow)
 	p.Configure(startsOf(time.UnixMilli(6)), testNow)
-	assert.Assert(t, !p.BacksOff("a", testNow))
+	assert.Assert(t, !p.InBackoff("a", testNow))
 	p.BackOff(&old[0], 9*time.Second, testNow) // An answer of the start before comes late.
-	assert.Assert(t, !p.BacksOff("a", testNow))
+	assert.Assert(t, !p.InBackoff("a", testNow))
 }
 
 func TestStartThatIsToldWithItsTimeLaterIsTheSame(t *testing.T) {
@@ -53,7 +53,7 @@
 	p.Configure(told, testNow)
 	assert.Assert(t, p.Accepts(&told[0], testNow))
 	p.BackOff(&told[0], time.Second, testNow)
-	assert.Assert(t, p.BacksOff("a", testNow))
+	assert.Assert(t, p.InBackoff("a", testNow))
 }
 
 // Of several backoffs the last end counts, and an answer that is served ends none.
@@ -76,9 +76,9 @@
 			}
 		}
 		if end.After(now) {
-			assert.Assert(t, p.BacksOff("a", end.Add(-time.Nanosecond)))
+			assert.Assert(t, p.InBackoff("a", end.Add(-time.Nanosecond)))
 		}
-		assert.Assert(t, !p.BacksOff("a", end.Add(backoffSpread)))
+		assert.Assert(t, !p.InBackoff("a", end.Add(backoffSpread)))
 	})
 }
 
@@ -122,12 +122,12 @@
 	list[1].Draining = true
 	p.Configure(list, testNow)
 	p.BackOff(&list[0], 3*time.Second, testNow)
-	_, ok := p.Pick(&Need{}, testNow)
+	_, ok := p.Pick(&PickInput{}, testNow)
 	assert.Assert(t, !ok)
-	why := p.WhyNone(&Need{Exclude: []string{"a"}}, testNow)
+	why := p.Availability(&PickInput{Exclude: []string{"a"}}, testNow)
 	assert.DeepEqual(t, why.Excluded, map[Exclusion]int{ExcludedBackoff: 1, ExcludedDraining: 1})
-	assert.Equal(t, why.Free, 0)
-	assert.Assert(t, why.Retry >= 3*time.Second && why.Retry <= 3*time.Second+backoffSpread+returnSpread, "%v", why.Retry)
+	assert.Equal(t, why.Eligible, 0)
+	assert.Assert(t, why.RetryAfter >= 3*time.Second && why.RetryAfter <= 3*time.Second+backoffSpread+returnSpread, "%v", why.RetryAfter)
 	assert.DeepEqual(t, p.Excluded(testNow), why.Excluded)
 	_, usable := p.Count(testNow)
 	assert.Equal(t, usable, 0)
@@ -164,7 +164,7 @@
 			for at := time.Duration(0); at < whole; at += step {
 				now := testNow.Add(at)
 				i := rng.IntN(c.nodes)
-				need := Need{Send: true}
+				need := PickInput{Send: true}
 				for {
 					choice, ok := pools[i].Pick(&need, now)
 					assert.Assert(t, ok)
--- a/pkg/route/fleet.go
+++ b/pkg/route/fleet.go
@@ -53,10 +53,10 @@
 	}
 }
 
-// SetNear sets whose load this node asks for. In a large fleet these are few,
+// SetPolled sets whose load this node asks for. In a large fleet these are few,
 // and requests that no replica holds anything for are placed among them: of the
 // others nothing is known, and no news would look like no load.
-func (f *Fleet) SetNear(names []string) {
+func (f *Fleet) SetPolled(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.near = map[string][]*replica{}
@@ -195,10 +195,10 @@
 
 // Begin records that a request was sent to a replica; tokens are those it has
 // to compute.
-func (f *Fleet) Begin(name string, tokens int, now time.Time) *Ticket {
+func (f *Fleet) Begin(name string, tokens int, now time.Time) *InFlightRun {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := &Ticket{fleet: f, name: name, begun: now, tokens: tokens}
+	t := &InFlightRun{fleet: f, name: name, begun: now, tokens: tokens}
 	if r, ok := f.replicas[name]; ok {
 		r.tickets[t] = struct{}{}
 	}
--- a/pkg/route/flight.go
+++ b/pkg/route/flight.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Flight is one of this node's own requests in flight at a replica.
-type Flight struct {
+// InFlightRequest is one of this node's own requests in flight at a replica.
+type InFlightRequest struct {
 	pool     *Pool
 	member   *member
 	tokens   int
@@ -19,15 +19,15 @@
 }
 
 // Begin records that a request is sent to a chosen replica.
-func (p *Pool) Begin(c Choice, now time.Time) *Flight {
+func (p *Pool) Begin(c Choice, now time.Time) *InFlightRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m, ok := p.replicas[c.ID]
 	if !ok {
 		// It has just left; the request goes there all the same.
-		m = &member{Upstream: c.Upstream, flights: map[*Flight]struct{}{}, late: 1}
+		m = &member{Upstream: c.Upstream, flights: map[*InFlightRequest]struct{}{}, late: 1}
 	}
-	k := &Flight{
+	k := &InFlightRequest{
 		pool:     p,
 		member:   m,
 		tokens:   c.Read,
@@ -45,16 +45,16 @@
 	return k
 }
 
-// First records that the first byte of the answer has come. It returns by how
+// FirstByte records that the first byte of the answer has come. It returns by how
 // much later than expected.
-func (k *Flight) First(now time.Time) (excess time.Duration) {
+func (k *InFlightRequest) FirstByte(now time.Time) (excess time.Duration) {
 	k.pool.mu.Lock()
 	defer k.pool.mu.Unlock()
 	k.noteFirst(now)
 	return now.Sub(k.begun) - k.expected
 }
 
-func (k *Flight) noteFirst(now time.Time) {
+func (k *InFlightRequest) noteFirst(now time.Time) {
 	if k.first {
 		return
 	}
@@ -74,7 +74,7 @@
 const minSample = 1024
 
 // learn fits the time to the first byte as a base and a time for each token.
-func (p *Pool) learn(k *Flight, took float64) {
+func (p *Pool) learn(k *InFlightRequest, took float64) {
 	if k.tokens == 0 {
 		return
 	}
@@ -87,7 +87,7 @@
 }
 
 // End records how the request ended; later calls do nothing.
-func (k *Flight) End(o Outcome, now time.Time) {
+func (k *InFlightRequest) End(o Outcome, now time.Time) {
 	p := k.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/route/followed.go
+++ b/pkg/route/followed.go
@@ -8,7 +8,7 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Followed chooses of which engines a node of a data hall keeps what they hold: all of
+// SelectTracked chooses of which engines a node of a data hall keeps what they hold: all of
 // its own hall's, as far as there is room for most, then as many of each other hall. In
 // every hall they are taken in one order, the same for all nodes: what another hall wants
 // to know of is always among what the engines' own hall knows of.
@@ -17,7 +17,7 @@
 // holds some 40 times a second, and all nodes heard of all. One engine more now takes the
 // place of at most one other, or adds itself. Prompts at engines that are not followed are
 // placed by their homes and by what stores have.
-func Followed(hall string, engines []site.Upstream, most int) map[string][]site.Upstream {
+func SelectTracked(hall string, engines []site.Upstream, most int) map[string][]site.Upstream {
 	halls := map[string][]site.Upstream{}
 	for _, u := range engines {
 		halls[u.DataHall] = append(halls[u.DataHall], u)
--- a/pkg/route/followed_test.go
+++ b/pkg/route/followed_test.go
@@ -31,9 +31,9 @@
 func TestFollowingBendsAsAFleetGrows(t *testing.T) {
 	const most = 64
 	all := enginesIn(5, 120)
-	before := followedIDs(Followed("h0", all[:1], most))
+	before := followedIDs(SelectTracked("h0", all[:1], most))
 	for n := 2; n <= len(all); n++ {
-		now := followedIDs(Followed("h0", all[:n], most))
+		now := followedIDs(SelectTracked("h0", all[:n], most))
 		assert.Equal(t, len(now), min(n, most))
 		lost := 0
 		for id := range before {
@@ -54,10 +54,10 @@
 		home := map[string]map[string]bool{}
 		for h := range 5 {
 			hall := fmt.Sprint("h", h)
-			home[hall] = followedIDs(map[string][]site.Upstream{hall: Followed(hall, all, most)[hall]})
+			home[hall] = followedIDs(map[string][]site.Upstream{hall: SelectTracked(hall, all, most)[hall]})
 		}
 		for h := range 5 {
-			for hall, list := range Followed(fmt.Sprint("h", h), all, most) {
+			for hall, list := range SelectTracked(fmt.Sprint("h", h), all, most) {
 				for _, u := range list {
 					assert.Assert(t, home[hall][u.ID], "%s of %s, %d each", u.ID, hall, each)
 				}
--- a/pkg/route/held.go
+++ b/pkg/route/held.go
@@ -24,23 +24,23 @@
 	return PartHash(d.Sum64())
 }
 
-// HeldChange says that an engine holds more or less of a part: Tokens are those held
+// EngineCacheChange says that an engine holds more or less of a part: Tokens are those held
 // now, 0 for none.
-type HeldChange struct {
+type EngineCacheChange struct {
 	Part   PartHash
 	Tokens int
 }
 
-// HeldChanges is news of what one engine holds.
-type HeldChanges struct {
+// EngineCacheUpdate is news of what one engine holds.
+type EngineCacheUpdate struct {
 	Engine string
-	// Silent says that the engine's own word can't be heard: what is known of it is
+	// Stale says that the engine's own word can't be heard: what is known of it is
 	// not to be used until it can be again.
-	Silent bool
-	// Whole says that the changes are all that it holds, and that what was known
+	Stale bool
+	// Full says that the changes are all that it holds, and that what was known
 	// before is void.
-	Whole   bool
-	Changes []HeldChange
+	Full    bool
+	Changes []EngineCacheChange
 }
 
 // heldEngine is what this node knows of what one engine holds. It is the engine's own
@@ -57,7 +57,7 @@
 
 // SetEngines sets which engines of a service there are; what is known of those that
 // stay is kept.
-func (k *Kept) SetEngines(service string, list []site.Upstream, e *site.Engine) {
+func (k *CacheIndex) SetEngines(service string, list []site.Upstream, e *site.Engine) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	there := make(map[string]bool, len(list))
@@ -79,17 +79,17 @@
 	}
 }
 
-// ApplyHeld takes in news of what an engine holds.
-func (k *Kept) ApplyHeld(c HeldChanges) {
+// ApplyEngineUpdate takes in news of what an engine holds.
+func (k *CacheIndex) ApplyEngineUpdate(c EngineCacheUpdate) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	h, ok := k.engines[c.Engine]
 	if !ok {
 		return
 	}
-	h.known = h.known || c.Whole // Changes alone don't tell what was held before them.
-	h.heard = !c.Silent && h.known
-	if c.Whole {
+	h.known = h.known || c.Full // Changes alone don't tell what was held before them.
+	h.heard = !c.Stale && h.known
+	if c.Full {
 		k.clear(h)
 	}
 	for _, v := range c.Changes {
@@ -98,7 +98,7 @@
 }
 
 // hold notes a change, also in the index of who holds a part; the caller holds mu.
-func (k *Kept) hold(h *heldEngine, c HeldChange) {
+func (k *CacheIndex) hold(h *heldEngine, c EngineCacheChange) {
 	holders := k.holders[c.Part]
 	at := slices.Index(holders, h)
 	switch {
@@ -119,30 +119,30 @@
 }
 
 // clear forgets all that an engine holds; the caller holds mu.
-func (k *Kept) clear(h *heldEngine) {
+func (k *CacheIndex) clear(h *heldEngine) {
 	for part := range maps.Clone(h.parts) {
-		k.hold(h, HeldChange{Part: part})
+		k.hold(h, EngineCacheChange{Part: part})
 	}
 }
 
-// Held lists all that an engine is known to hold, for other nodes to hear.
-func (k *Kept) Held(id string) HeldChanges {
+// EngineContents lists all that an engine is known to hold, for other nodes to hear.
+func (k *CacheIndex) EngineContents(id string) EngineCacheUpdate {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := HeldChanges{Engine: id, Whole: true, Silent: true}
+	c := EngineCacheUpdate{Engine: id, Full: true, Stale: true}
 	if h, ok := k.engines[id]; ok {
-		c.Silent = !h.heard
+		c.Stale = !h.heard
 		for part, tokens := range h.parts {
-			c.Changes = append(c.Changes, HeldChange{Part: part, Tokens: tokens})
+			c.Changes = append(c.Changes, EngineCacheChange{Part: part, Tokens: tokens})
 		}
 	}
 	return c
 }
 
-// DoubtEngine has nothing fetched from an engine for a while: it was not reached, or
+// AvoidEngine has nothing fetched from an engine for a while: it was not reached, or
 // its answer was lost, and a dead one costs whoever fetches from it more than reading
 // does.
-func (k *Kept) DoubtEngine(id string, until time.Time) {
+func (k *CacheIndex) AvoidEngine(id string, until time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if h, ok := k.engines[id]; ok && until.After(h.doubted) {
@@ -155,8 +155,8 @@
 	return h.heard && !h.Draining && !h.Evacuated && !now.Before(h.doubted) && h.parts[part] >= tokens
 }
 
-// Restarted forgets what an engine held: it has started anew, and holds nothing of before.
-func (k *Kept) Restarted(id string) {
+// ResetEngine forgets what an engine held: it has started anew, and holds nothing of before.
+func (k *CacheIndex) ResetEngine(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if h, ok := k.engines[id]; ok {
@@ -164,9 +164,9 @@
 	}
 }
 
-// NoteRead notes that an engine has read, or fetched, the shared parts of a prompt, so
+// RecordPrefill notes that an engine has read, or fetched, the shared parts of a prompt, so
 // that the next prompt needn't wait for the engine's own word.
-func (k *Kept) NoteRead(id, realm string, shared []site.Part) {
+func (k *CacheIndex) RecordPrefill(id, realm string, shared []site.Part) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	h, ok := k.engines[id]
@@ -175,7 +175,7 @@
 	}
 	for _, part := range shared {
 		if part.Tokens > 0 {
-			k.hold(h, HeldChange{Part: HashPart(realm, part.ID), Tokens: part.Tokens})
+			k.hold(h, EngineCacheChange{Part: HashPart(realm, part.ID), Tokens: part.Tokens})
 		}
 	}
 }
--- a/pkg/route/held_test.go
+++ b/pkg/route/held_test.go
@@ -11,24 +11,24 @@
 
 // newHeldKept has three engines, one in each hall, of which one tells that it holds
 // testPrompt in realm "r".
-func newHeldKept(holder string) *Kept {
-	k := NewKept()
+func newHeldKept(holder string) *CacheIndex {
+	k := NewCacheIndex()
 	engines := testReplicas(3, 1)
 	for i := range engines {
 		engines[i].Addr = testStore("", "", "10.0.1.1:1", 0, 0).Store.Addr
 	}
 	k.SetEngines("", engines, testEngine)
 	for _, u := range engines {
-		k.ApplyHeld(HeldChanges{Engine: u.ID, Whole: true})
+		k.ApplyEngineUpdate(EngineCacheUpdate{Engine: u.ID, Full: true})
 	}
-	k.ApplyHeld(HeldChanges{Engine: holder, Changes: held("r", testPrompt...)})
+	k.ApplyEngineUpdate(EngineCacheUpdate{Engine: holder, Changes: held("r", testPrompt...)})
 	return k
 }
 
-func held(realm string, parts ...site.Part) []HeldChange {
-	var list []HeldChange
+func held(realm string, parts ...site.Part) []EngineCacheChange {
+	var list []EngineCacheChange
 	for _, p := range parts {
-		list = append(list, HeldChange{Part: HashPart(realm, p.ID), Tokens: p.Tokens})
+		list = append(list, EngineCacheChange{Part: HashPart(realm, p.ID), Tokens: p.Tokens})
 	}
 	return list
 }
@@ -41,7 +41,7 @@
 	assert.Equal(t, o["r00"].Held, 0)
 	assert.Equal(t, o["r00"].Fetched, 7000, "the others fetch from it")
 	assert.Assert(t, o["r00"].Wait > 0)
-	p := k.Plan("r", testReplicas(3, 1)[0], testPrompt, testEngine, PlanLimits{Longest: time.Second}, testNow)
+	p := k.Plan("r", testReplicas(3, 1)[0], testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second}, testNow)
 	assert.Equal(t, p.Fetched, 7000)
 	assert.Equal(t, p.Sources[0].String(), "10.0.1.1:1")
 }
@@ -53,27 +53,27 @@
 	o := look(k, testNow.Add(time.Hour), testNow)
 	assert.Equal(t, o["r00"].Fetched, 0)
 	assert.Equal(t, o["r01"].Held, 7000, "its own may be used: an engine drops all with its weights")
-	p := k.Plan("r", testReplicas(3, 1)[0], testPrompt, testEngine, PlanLimits{Longest: time.Second, Before: testNow.Add(time.Hour)}, testNow)
+	p := k.Plan("r", testReplicas(3, 1)[0], testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, CompleteBefore: testNow.Add(time.Hour)}, testNow)
 	assert.Equal(t, p.Fetched, 0)
 }
 
 func TestEngineThatIsSilentOrDoubtedGivesNothing(t *testing.T) {
 	k := newHeldKept("r01")
-	k.ApplyHeld(HeldChanges{Engine: "r01", Silent: true})
+	k.ApplyEngineUpdate(EngineCacheUpdate{Engine: "r01", Stale: true})
 	assert.Equal(t, look(k, time.Time{}, testNow)["r00"].Fetched, 0)
 	assert.Assert(t, !look(k, time.Time{}, testNow)["r01"].Known)
-	k.ApplyHeld(HeldChanges{Engine: "r01"})
+	k.ApplyEngineUpdate(EngineCacheUpdate{Engine: "r01"})
 	assert.Equal(t, look(k, time.Time{}, testNow)["r00"].Fetched, 7000, "its word is heard again")
-	k.DoubtEngine("r01", testNow.Add(time.Second))
+	k.AvoidEngine("r01", testNow.Add(time.Second))
 	assert.Equal(t, look(k, time.Time{}, testNow)["r00"].Fetched, 0)
 	assert.Equal(t, look(k, time.Time{}, testNow.Add(time.Second))["r00"].Fetched, 7000)
 }
 
 func TestWhatAnEngineDroppedOrLeftWithIsGone(t *testing.T) {
 	k := newHeldKept("r01")
-	k.ApplyHeld(HeldChanges{Engine: "r01", Changes: []HeldChange{{Part: HashPart("r", "bb")}}})
+	k.ApplyEngineUpdate(EngineCacheUpdate{Engine: "r01", Changes: []EngineCacheChange{{Part: HashPart("r", "bb")}}})
 	assert.Equal(t, look(k, time.Time{}, testNow)["r00"].Fetched, 2000)
-	k.ApplyHeld(HeldChanges{Engine: "r01", Whole: true})
+	k.ApplyEngineUpdate(EngineCacheUpdate{Engine: "r01", Full: true})
 	assert.Equal(t, look(k, time.Time{}, testNow)["r00"].Fetched, 0)
 	k = newHeldKept("r01")
 	k.SetEngines("", testReplicas(1, 1), testEngine)
@@ -84,7 +84,7 @@
 func TestRealmsShareNothingInEngines(t *testing.T) {
 	k := newHeldKept("r01")
 	for _, realm := range []string{"r/org", "r2", ""} {
-		p := k.Plan(realm, testReplicas(3, 1)[0], testPrompt, testEngine, PlanLimits{Longest: time.Second}, testNow)
+		p := k.Plan(realm, testReplicas(3, 1)[0], testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second}, testNow)
 		assert.Equal(t, p.Fetched, 0, realm)
 	}
 }
@@ -92,6 +92,6 @@
 // What an engine has just read is known before its own word has come.
 func TestWhatWasReadIsKnownAtOnce(t *testing.T) {
 	k := newHeldKept("r01")
-	k.NoteRead("r02", "r", testPrompt)
+	k.RecordPrefill("r02", "r", testPrompt)
 	assert.Equal(t, look(k, time.Time{}, testNow)["r02"].Held, 7000)
 }
--- a/pkg/route/keep.go
+++ b/pkg/route/keep.go
@@ -22,24 +22,26 @@
 	storePrice = 0.05
 )
 
-// Keep decides which prefixes are worth exporting to a store after a run.
+// ExportPolicy decides which prefixes are worth exporting to a store after a run.
 //
 // A prefix that has been seen before has returned. Of one seen for the first
 // time it is only known how often this organisation's new prompts return whole;
 // where they don't, such as where each has a new application under an old
 // specification, exporting them would fill links and stores with what is never
 // read again.
-type Keep struct {
+type ExportPolicy struct {
 	mu      sync.Mutex
-	weights Weights
+	weights CostWeights
 	returns map[string]float64
 }
 
-// NewKeep returns a decision that knows nothing yet.
-func NewKeep(w Weights) *Keep { return &Keep{weights: w, returns: map[string]float64{}} }
+// NewExportPolicy returns a decision that knows nothing yet.
+func NewExportPolicy(w CostWeights) *ExportPolicy {
+	return &ExportPolicy{weights: w, returns: map[string]float64{}}
+}
 
-// KeepInput is what is known of a prompt that has just run.
-type KeepInput struct {
+// ExportInput is what is known of a prompt that has just run.
+type ExportInput struct {
 	Organisation string
 	Chain        prompt.Chain
 	Match        prompt.Match // As looked up before the run.
@@ -48,8 +50,8 @@
 	LinkRate     float64 // Bytes a second.
 }
 
-// Export returns the mark up to which the prompt is worth exporting.
-func (k *Keep) Export(in KeepInput) (prompt.Mark, bool) {
+// SelectMark returns the mark up to which the prompt is worth exporting.
+func (k *ExportPolicy) SelectMark(in ExportInput) (prompt.Mark, bool) {
 	tail, ok := in.Chain.Tail()
 	if !ok {
 		return prompt.Mark{}, false
@@ -73,7 +75,7 @@
 
 // learn notes whether the prompt was a return and gives the share of the
 // organisation's prompts that are.
-func (k *Keep) learn(in KeepInput, tail prompt.Mark) float64 {
+func (k *ExportPolicy) learn(in ExportInput, tail prompt.Mark) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	p, known := k.returns[in.Organisation]
@@ -94,7 +96,7 @@
 }
 
 // longestSeen is the longest mark that an earlier request had too.
-func longestSeen(in KeepInput) prompt.Mark {
+func longestSeen(in ExportInput) prompt.Mark {
 	if len(in.Match.Sightings) == 0 {
 		return prompt.Mark{}
 	}
@@ -109,7 +111,7 @@
 
 // worth compares the prefill saved at a return with the price of the link and
 // of the store.
-func (k *Keep) worth(in KeepInput, chunks, stored int, returns float64) bool {
+func (k *ExportPolicy) worth(in ExportInput, chunks, stored int, returns float64) bool {
 	if chunks < minExportChunks || float64(stored) >= nearlyAll*float64(chunks) {
 		return false
 	}
@@ -121,9 +123,9 @@
 	return value > price
 }
 
-// StoreValue ranks a kept object for eviction: how overdue its next return is.
+// EvictionPriority ranks a kept object for eviction: how overdue its next return is.
 // The most overdue goes first.
-func StoreValue(s prompt.Sighting, unseenGap time.Duration) float64 {
+func EvictionPriority(s prompt.Sighting, unseenGap time.Duration) float64 {
 	gap := s.Gap
 	if gap <= 0 {
 		gap = unseenGap
--- a/pkg/route/kept.go
+++ b/pkg/route/kept.go
@@ -9,23 +9,23 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Kept is this node's view of what the stores of kept KV cache hold, and decides
+// CacheIndex is this node's view of what the stores of kept KV cache hold, and decides
 // where parts of prompts are taken from and where they are saved.
 //
 // A part counts as kept only when the store itself has told that it is whole: a
 // part that is still being written must not be read. The events of a store may
 // get lost; a part that is not known is read again and saved again, which costs
 // time only.
-type Kept struct {
+type CacheIndex struct {
 	mu     sync.Mutex
 	stores map[string]*keptStore
-	byKey  map[Key]*keptStore
+	byKey  map[NameHash]*keptStore
 	names  []string
 	// engines are by ID; holders says which of them hold a part.
 	engines map[string]*heldEngine
 	holders map[PartHash][]*heldEngine
 	use     *traffic
-	without config.WithoutSettings
+	without config.DisabledMechanisms
 }
 
 type keptStore struct {
@@ -62,9 +62,9 @@
 	roomShare = 0.97
 )
 
-// NewKept returns a view in which no store has anything.
-func NewKept() *Kept {
-	return &Kept{
+// NewCacheIndex returns a view in which no store has anything.
+func NewCacheIndex() *CacheIndex {
+	return &CacheIndex{
 		stores:  map[string]*keptStore{},
 		engines: map[string]*heldEngine{},
 		holders: map[PartHash][]*heldEngine{},
@@ -72,16 +72,16 @@
 	}
 }
 
-// Without switches mechanisms off; it is to be called before the view is used.
-func (k *Kept) Without(w config.WithoutSettings) { k.without = w }
+// Disable switches mechanisms off; it is to be called before the view is used.
+func (k *CacheIndex) Disable(w config.DisabledMechanisms) { k.without = w }
 
 // Configure sets which stores there are.
-func (k *Kept) Configure(stores []*site.Service) {
+func (k *CacheIndex) Configure(stores []*site.Service) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	old := k.stores
 	k.stores = make(map[string]*keptStore, len(stores))
-	k.byKey = make(map[Key]*keptStore, len(stores))
+	k.byKey = make(map[NameHash]*keptStore, len(stores))
 	k.names = k.names[:0]
 	for _, v := range stores {
 		s, ok := old[v.Name]
@@ -91,13 +91,13 @@
 		s.Store = *v.Store
 		s.hall, s.rate, s.latency = v.Store.DataHall, v.Store.LinkRate, v.Store.Latency
 		k.stores[v.Name] = s
-		k.byKey[KeyOf(v.Name)] = s
+		k.byKey[HashName(v.Name)] = s
 		k.names = append(k.names, v.Name)
 	}
 }
 
-// Apply takes in changes that a store has told of.
-func (k *Kept) Apply(name string, c site.CacheChanges, now time.Time) {
+// ApplyStoreChanges takes in changes that a store has told of.
+func (k *CacheIndex) ApplyStoreChanges(name string, c site.CacheChanges, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s, ok := k.stores[name]
@@ -126,13 +126,13 @@
 
 // StoreTally is what has been done with one store's link.
 type StoreTally struct {
-	Key   Key
+	Key   NameHash
 	Tally Tally
 }
 
 // Tallies lists what this node has done with each store's link, for other nodes to
 // hear.
-func (k *Kept) Tallies() []StoreTally {
+func (k *CacheIndex) Tallies() []StoreTally {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var list []StoreTally
@@ -144,9 +144,9 @@
 	return list
 }
 
-// AddPeer takes in what other nodes have done with a store's link since they last
+// AddPeerTally takes in what other nodes have done with a store's link since they last
 // told.
-func (k *Kept) AddPeer(key Key, t Tally, now time.Time) {
+func (k *CacheIndex) AddPeerTally(key NameHash, t Tally, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if s, ok := k.byKey[key]; ok {
@@ -155,9 +155,9 @@
 	}
 }
 
-// Silent records that a store's events can't be followed: nothing is read from
+// MarkStoreStale records that a store's events can't be followed: nothing is read from
 // it or saved there until they can be again.
-func (k *Kept) Silent(name string) {
+func (k *CacheIndex) MarkStoreStale(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if s, ok := k.stores[name]; ok {
@@ -172,7 +172,7 @@
 }
 
 // Plan decides for the shared parts of a prompt that runs at an engine.
-func (k *Kept) Plan(realm string, at site.Upstream, shared []site.Part, e *site.Engine, l PlanLimits, now time.Time) *Plan {
+func (k *CacheIndex) Plan(realm string, at site.Upstream, shared []site.Part, e *site.Engine, l PlanLimits, now time.Time) *Plan {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	p := &Plan{
@@ -183,11 +183,11 @@
 	for i, part := range shared {
 		key := partKey{realm, part.ID}
 		bytes := int64(part.Tokens) * int64(e.TokenBytes)
-		s := k.source(key, at, part.Tokens, bytes, l.Before, now)
+		s := k.source(key, at, part.Tokens, bytes, l.CompleteBefore, now)
 		lacking := k.lacking(at.ID, key, part.Tokens, e, now)
 		wait := time.Duration(lacking * float64(s.wait))
 		k.use.note(key, part.Tokens, now)
-		if s.link != nil && p.Time+wait < l.Longest {
+		if s.link != nil && p.FetchTime+wait < l.MaxFetchTime {
 			p.take(i, part.Tokens, s.addr, wait)
 			if lacking > mostlyLacking {
 				p.moves = append(p.moves, s.link)
@@ -203,7 +203,7 @@
 
 // lacking is the chance that an engine lacks a part: by its own word, or else by how
 // often the part is used.
-func (k *Kept) lacking(engine string, key partKey, tokens int, e *site.Engine, now time.Time) float64 {
+func (k *CacheIndex) lacking(engine string, key partKey, tokens int, e *site.Engine, now time.Time) float64 {
 	h, ok := k.engines[engine]
 	switch {
 	case !ok || !h.heard:
@@ -222,18 +222,18 @@
 // Realm is the name space of what may be used by a prompt on some version of weights.
 type Realm struct {
 	Name string
-	// Before is as in PlanLimits.
-	Before time.Time
+	// CompleteBefore is as in PlanLimits.
+	CompleteBefore time.Time
 }
 
-// Look says for each engine how many of a prompt's shared tokens, from its start on,
+// Coverage says for each engine how many of a prompt's shared tokens, from its start on,
 // it holds, how many can be fetched to it within longest, and how long that should
 // take. realm is that of the version of the weights that an engine has.
-func (k *Kept) Look(at []site.Upstream, model string, realm func(version int64) Realm, shared []site.Part, e *site.Engine, longest time.Duration, now time.Time) map[string]Offer {
+func (k *CacheIndex) Coverage(at []site.Upstream, model string, realm func(version int64) Realm, shared []site.Part, e *site.Engine, longest time.Duration, now time.Time) map[string]CacheCoverage {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	versions := map[int64]*lookUp{}
-	offers := make(map[string]Offer, len(at))
+	offers := make(map[string]CacheCoverage, len(at))
 	for _, u := range at {
 		v := u.Weights[model]
 		if v == 0 {
@@ -266,13 +266,13 @@
 	return l
 }
 
-func (k *Kept) offer(l *lookUp, at site.Upstream, shared []site.Part, e *site.Engine, now time.Time) (o Offer) {
+func (k *CacheIndex) offer(l *lookUp, at site.Upstream, shared []site.Part, e *site.Engine, now time.Time) (o CacheCoverage) {
 	sources, ok := l.sources[at.DataHall]
 	if !ok {
 		sources = make([]partSource, len(shared))
 		for i, part := range shared {
 			bytes := int64(part.Tokens) * int64(e.TokenBytes)
-			sources[i] = k.source(partKey{l.Name, part.ID}, site.Upstream{DataHall: at.DataHall}, part.Tokens, bytes, l.Before, now)
+			sources[i] = k.source(partKey{l.Name, part.ID}, site.Upstream{DataHall: at.DataHall}, part.Tokens, bytes, l.CompleteBefore, now)
 		}
 		l.sources[at.DataHall] = sources
 	}
@@ -315,7 +315,7 @@
 // again rose by a quarter under load. Engines give nothing once newer
 // weights have been named: a run that was begun on the older ones may have made the
 // rest of a part on the newer.
-func (k *Kept) source(key partKey, at site.Upstream, tokens int, bytes int64, before, now time.Time) (best partSource) {
+func (k *CacheIndex) source(key partKey, at site.Upstream, tokens int, bytes int64, before, now time.Time) (best partSource) {
 	if tokens == 0 {
 		return best
 	}
@@ -350,9 +350,9 @@
 // others for a part to be saved there.
 const nearShare = 0.3
 
-// Surplus lists up to most parts of a store for which drop says that they will
+// UnusedParts lists up to most parts of a store for which drop says that they will
 // not be used again, with the start of the store that they belong to.
-func (k *Kept) Surplus(name string, most int, drop func(realm string) bool) (list []site.Freed, boot int64) {
+func (k *CacheIndex) UnusedParts(name string, most int, drop func(realm string) bool) (list []site.Freed, boot int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s, ok := k.stores[name]
@@ -376,8 +376,8 @@
 	return list, s.boot
 }
 
-// Freed notes that a store has dropped parts: its own word of that may get lost.
-func (k *Kept) Freed(name string, boot int64, list []site.Freed) {
+// RemoveFreed notes that a store has dropped parts: its own word of that may get lost.
+func (k *CacheIndex) RemoveFreed(name string, boot int64, list []site.Freed) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s, ok := k.stores[name]
@@ -393,30 +393,30 @@
 
 // StoreStatus is what a dump shows of one store.
 type StoreStatus struct {
-	Name     string `json:"name"`
-	Heard    bool   `json:"heard"`
-	Boot     int64  `json:"boot"`
-	Parts    int    `json:"parts"`
-	Used     int    `json:"used_tokens"`
-	Capacity int    `json:"capacity_tokens"`
-	Saving   int    `json:"saving"`
+	Name      string `json:"name"`
+	Connected bool   `json:"heard"`
+	Boot      int64  `json:"boot"`
+	Parts     int    `json:"parts"`
+	Used      int    `json:"used_tokens"`
+	Capacity  int    `json:"capacity_tokens"`
+	Saving    int    `json:"saving"`
 }
 
 // Status lists all stores, by name.
-func (k *Kept) Status() []StoreStatus {
+func (k *CacheIndex) Status() []StoreStatus {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	list := make([]StoreStatus, 0, len(k.names))
 	for _, name := range k.names {
 		s := k.stores[name]
 		list = append(list, StoreStatus{
-			Name:     name,
-			Heard:    s.heard,
-			Boot:     s.boot,
-			Parts:    len(s.parts),
-			Used:     s.used,
-			Capacity: s.Capacity,
-			Saving:   len(s.saving),
+			Name:      name,
+			Connected: s.heard,
+			Boot:      s.boot,
+			Parts:     len(s.parts),
+			Used:      s.used,
+			Capacity:  s.Capacity,
+			Saving:    len(s.saving),
 		})
 	}
 	return list
--- a/pkg/route/kept_saves.go
+++ b/pkg/route/kept_saves.go
@@ -13,26 +13,26 @@
 
 // PlanLimits bound what a plan may do.
 type PlanLimits struct {
-	// Longest is the longest that a fetch may be expected to take.
-	Longest time.Duration
+	// MaxFetchTime is the longest that a fetch may be expected to take.
+	MaxFetchTime time.Duration
 	// Save says that parts that no store has are saved.
 	Save bool
-	// Homed says that nothing is saved outside the regions of Homes.
-	Homed bool
-	Homes []string
-	// Before, if set, is when a part must have been whole to be fetched: while
+	// HomesOnly says that nothing is saved outside the regions of Homes.
+	HomesOnly bool
+	Homes     []string
+	// CompleteBefore, if set, is when a part must have been whole to be fetched: while
 	// weights are replaced, later ones may have been made under either.
-	Before time.Time
+	CompleteBefore time.Time
 }
 
 // mayKeepIn says whether parts may be saved in a region.
 func (l *PlanLimits) mayKeepIn(region string) bool {
-	return !l.Homed || slices.Contains(l.Homes, region)
+	return !l.HomesOnly || slices.Contains(l.Homes, region)
 }
 
 // save has a part saved where there is room; one that is used often is saved a
 // second time if that store is much faster.
-func (k *Kept) save(p *Plan, i int, key partKey, tokens int, bytes int64, has *keptStore, hall string, l *PlanLimits, now time.Time) {
+func (k *CacheIndex) save(p *Plan, i int, key partKey, tokens int, bytes int64, has *keptStore, hall string, l *PlanLimits, now time.Time) {
 	s := k.room(key, tokens, hall, l, now)
 	if has != nil {
 		s = k.faster(key, tokens, bytes, has, hall, l, now)
@@ -49,7 +49,7 @@
 
 // faster picks a store with room from which a part would come in less than half
 // the time, nil for none.
-func (k *Kept) faster(key partKey, tokens int, bytes int64, has *keptStore, hall string, l *PlanLimits, now time.Time) *keptStore {
+func (k *CacheIndex) faster(key partKey, tokens int, bytes int64, has *keptStore, hall string, l *PlanLimits, now time.Time) *keptStore {
 	var best *keptStore
 	least := has.fetchTime(bytes, hall, now) / 2
 	for _, name := range k.names {
@@ -80,7 +80,7 @@
 // room picks the store to save a part at, nil for none: the one with the largest
 // share of its room free, so that they fill evenly, but rather one in the same
 // data hall; and none if a save of the same part is under way.
-func (k *Kept) room(key partKey, tokens int, hall string, l *PlanLimits, now time.Time) *keptStore {
+func (k *CacheIndex) room(key partKey, tokens int, hall string, l *PlanLimits, now time.Time) *keptStore {
 	var best *keptStore
 	free := 0.0
 	for _, name := range k.names {
--- a/pkg/route/kept_test.go
+++ b/pkg/route/kept_test.go
@@ -22,11 +22,11 @@
 	}}
 }
 
-func newTestKept(stores ...*site.Service) *Kept {
-	k := NewKept()
+func newTestKept(stores ...*site.Service) *CacheIndex {
+	k := NewCacheIndex()
 	k.Configure(stores)
 	for _, s := range stores {
-		k.Apply(s.Name, site.CacheChanges{Boot: 1}, testNow)
+		k.ApplyStoreChanges(s.Name, site.CacheChanges{Boot: 1}, testNow)
 	}
 	return k
 }
@@ -40,27 +40,27 @@
 }
 
 // look looks testPrompt up in the realm "r" for three engines, one in each hall.
-func look(k *Kept, before, now time.Time) map[string]Offer {
-	realm := func(int64) Realm { return Realm{Name: "r", Before: before} }
-	return k.Look(testReplicas(3, 1), "m", realm, testPrompt, testEngine, time.Second, now)
+func look(k *CacheIndex, before, now time.Time) map[string]CacheCoverage {
+	realm := func(int64) Realm { return Realm{Name: "r", CompleteBefore: before} }
+	return k.Coverage(testReplicas(3, 1), "m", realm, testPrompt, testEngine, time.Second, now)
 }
 
 // A part that is still being written, or that broke off, is never read.
 func TestOnlyPartsToldToBeWholeAreFetched(t *testing.T) {
 	s := testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9)
 	k := newTestKept(s)
-	p := k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow)
+	p := k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow)
 	assert.Equal(t, p.Saved, 7000)
 	assert.Equal(t, p.Fetched, 0)
-	p = k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow.Add(time.Millisecond))
+	p = k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow.Add(time.Millisecond))
 	assert.Equal(t, p.Fetched, 0, "asked to be saved is not kept")
 	assert.Equal(t, p.Saved, 0, "a part is saved once")
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[0], site.Part{ID: "bb", Tokens: 4000})}, testNow)
-	p = k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow.Add(2*time.Millisecond))
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[0], site.Part{ID: "bb", Tokens: 4000})}, testNow)
+	p = k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow.Add(2*time.Millisecond))
 	assert.Assert(t, p.Sources[0].IsValid())
 	assert.Assert(t, !p.Sources[1].IsValid(), "a part that is kept in part is not whole")
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[1])}, testNow)
-	p = k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow.Add(3*time.Millisecond))
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[1])}, testNow)
+	p = k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow.Add(3*time.Millisecond))
 	assert.Assert(t, p.Sources[1].IsValid())
 }
 
@@ -68,7 +68,7 @@
 func TestSaveOfAnAttemptThatDidNotRunIsAskedAgain(t *testing.T) {
 	k := newTestKept(testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9))
 	plan := func() *Plan {
-		return k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow)
+		return k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow)
 	}
 	first := plan()
 	assert.Equal(t, first.Saved, 7000)
@@ -80,54 +80,54 @@
 
 func TestRealmsShareNothing(t *testing.T) {
 	k := newTestKept(testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9))
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: plus("m@1", testPrompt...)}, testNow)
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: plus("m@1", testPrompt...)}, testNow)
 	for _, realm := range []string{"m@2", "m@1/org", "other@1"} {
-		assert.Equal(t, k.Plan(realm, site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second}, testNow).Fetched, 0, realm)
+		assert.Equal(t, k.Plan(realm, site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second}, testNow).Fetched, 0, realm)
 	}
-	assert.Equal(t, k.Plan("m@1", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second}, testNow).Fetched, 7000)
+	assert.Equal(t, k.Plan("m@1", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second}, testNow).Fetched, 7000)
 }
 
 // After a restart nothing is read, and nothing is saved until all nodes must have
 // noticed: one that had not would read as whole what is being written anew.
 func TestRestartedStoreIsEmptyAndLeftAlone(t *testing.T) {
 	k := newTestKept(testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9))
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
-	k.Apply("s", site.CacheChanges{Boot: 2}, testNow)
-	p := k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow.Add(time.Second))
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 2}, testNow)
+	p := k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow.Add(time.Second))
 	assert.Equal(t, p.Fetched, 0)
 	assert.Equal(t, p.Saved, 0)
-	p = k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow.Add(restartTerm+time.Second))
+	p = k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow.Add(restartTerm+time.Second))
 	assert.Equal(t, p.Saved, 7000)
 }
 
 func TestStoreThatIsNotHeardOfIsNotUsed(t *testing.T) {
 	k := newTestKept(testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9))
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
-	k.Silent("s")
-	p := k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow)
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
+	k.MarkStoreStale("s")
+	p := k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow)
 	assert.Equal(t, p.Fetched+p.Saved, 0)
-	k.Apply("s", site.CacheChanges{Boot: 1}, testNow)
-	assert.Equal(t, k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow).Fetched, 7000)
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1}, testNow)
+	assert.Equal(t, k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow).Fetched, 7000)
 }
 
 func TestFullStoreTakesNothing(t *testing.T) {
 	k := newTestKept(testStore("s", "h0", "10.0.0.1:1", 9_000, 10e9))
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: plus("r", site.Part{ID: "cc", Tokens: 8000})}, testNow)
-	assert.Equal(t, k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow).Saved, 0)
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: []site.CacheChange{{Realm: "r", Part: "cc"}}}, testNow)
-	assert.Assert(t, k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Save: true}, testNow).Saved > 0)
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: plus("r", site.Part{ID: "cc", Tokens: 8000})}, testNow)
+	assert.Equal(t, k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow).Saved, 0)
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: []site.CacheChange{{Realm: "r", Part: "cc"}}}, testNow)
+	assert.Assert(t, k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, Save: true}, testNow).Saved > 0)
 }
 
 func TestFetchComesFromWhereItIsSoonest(t *testing.T) {
 	slow := testStore("slow", "h0", "10.0.0.1:1", 100_000, 1e9)
 	fast := testStore("fast", "h1", "10.0.0.2:1", 100_000, 10e9)
 	k := newTestKept(slow, fast)
-	k.Apply("slow", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
-	k.Apply("fast", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
-	p := k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second}, testNow)
+	k.ApplyStoreChanges("slow", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
+	k.ApplyStoreChanges("fast", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
+	p := k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second}, testNow)
 	assert.Equal(t, p.Sources[1], fast.Store.Addr)
-	k.AddPeer(KeyOf("fast"), Tally{Bytes: 20e9}, testNow) // Other nodes have asked for much there.
-	p = k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second}, testNow)
+	k.AddPeerTally(HashName("fast"), Tally{Bytes: 20e9}, testNow) // Other nodes have asked for much there.
+	p = k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second}, testNow)
 	assert.Equal(t, p.Sources[1], slow.Store.Addr)
 }
 
@@ -137,9 +137,9 @@
 	// Prompts differ, so that no replica has one already.
 	source := func(i int, now time.Time) *Plan {
 		parts := []site.Part{{ID: fmt.Sprintf("p%d", i), Tokens: 5000}}
-		k.Apply("a", site.CacheChanges{Boot: 1, Changes: plus("r", parts...)}, now)
-		k.Apply("b", site.CacheChanges{Boot: 1, Changes: plus("r", parts...)}, now)
-		return k.Plan("r", site.Upstream{DataHall: "h0"}, parts, testEngine, PlanLimits{Longest: time.Second}, now)
+		k.ApplyStoreChanges("a", site.CacheChanges{Boot: 1, Changes: plus("r", parts...)}, now)
+		k.ApplyStoreChanges("b", site.CacheChanges{Boot: 1, Changes: plus("r", parts...)}, now)
+		return k.Plan("r", site.Upstream{DataHall: "h0"}, parts, testEngine, PlanLimits{MaxFetchTime: time.Second}, now)
 	}
 	now := testNow
 	for i := range 12 {
@@ -149,7 +149,7 @@
 		if p.Sources[0] == a.Store.Addr {
 			excess = 200 * time.Millisecond
 		}
-		p.First(excess, now)
+		p.FirstByte(excess, now)
 	}
 	now = now.Add(100 * time.Millisecond)
 	assert.Equal(t, source(20, now).Sources[0], b.Store.Addr)
@@ -159,10 +159,10 @@
 
 func TestOffersEndAtTheFirstPartThatIsNotKept(t *testing.T) {
 	k := newTestKept(testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9))
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[1])}, testNow)
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[1])}, testNow)
 	o := look(k, time.Time{}, testNow)
 	assert.Equal(t, o["r00"].Fetched, 0, "a part serves only behind all before it")
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[0])}, testNow)
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[0])}, testNow)
 	o = look(k, time.Time{}, testNow)
 	assert.Equal(t, o["r00"].Fetched, 7000)
 	assert.Assert(t, o["r01"].Wait > o["r00"].Wait, "moves between data halls take longer")
@@ -170,14 +170,14 @@
 
 func TestSurplusIsWhatWillNotBeUsed(t *testing.T) {
 	k := newTestKept(testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9))
-	k.Apply("s", site.CacheChanges{Boot: 7, Changes: append(plus("m@1", testPrompt...), plus("m@2", testPrompt[0])...)}, testNow)
-	list, boot := k.Surplus("s", 10, func(realm string) bool { return realm == "m@1" })
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 7, Changes: append(plus("m@1", testPrompt...), plus("m@2", testPrompt[0])...)}, testNow)
+	list, boot := k.UnusedParts("s", 10, func(realm string) bool { return realm == "m@1" })
 	assert.Equal(t, len(list), 2)
 	assert.Equal(t, boot, int64(7))
-	list, _ = k.Surplus("s", 1, func(string) bool { return true })
+	list, _ = k.UnusedParts("s", 1, func(string) bool { return true })
 	assert.Equal(t, len(list), 1)
-	k.Silent("s")
-	list, _ = k.Surplus("s", 10, func(string) bool { return true })
+	k.MarkStoreStale("s")
+	list, _ = k.UnusedParts("s", 10, func(string) bool { return true })
 	assert.Equal(t, len(list), 0, "what is not known to be there is not freed")
 }
 
@@ -198,14 +198,14 @@
 // A store's own word of what it has freed may get lost: it is not freed again and again.
 func TestWhatWasFreedIsNotFreedAgain(t *testing.T) {
 	k := newTestKept(testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9))
-	k.Apply("s", site.CacheChanges{Boot: 7, Changes: plus("m@1", testPrompt...)}, testNow)
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 7, Changes: plus("m@1", testPrompt...)}, testNow)
 	all := func(string) bool { return true }
-	list, boot := k.Surplus("s", 10, all)
-	k.Freed("s", boot+1, list) // Another start of the store.
-	again, _ := k.Surplus("s", 10, all)
+	list, boot := k.UnusedParts("s", 10, all)
+	k.RemoveFreed("s", boot+1, list) // Another start of the store.
+	again, _ := k.UnusedParts("s", 10, all)
 	assert.Equal(t, len(again), 2)
-	k.Freed("s", boot, list)
-	again, _ = k.Surplus("s", 10, all)
+	k.RemoveFreed("s", boot, list)
+	again, _ = k.UnusedParts("s", 10, all)
 	assert.Equal(t, len(again), 0)
 	assert.Equal(t, k.Status()[0].Used, 0)
 }
@@ -215,9 +215,9 @@
 func TestPartsSavedWhileWeightsAreReplacedAreNotFetched(t *testing.T) {
 	k := newTestKept(testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9))
 	named := testNow.Add(time.Second)
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[0])}, testNow)
-	k.Apply("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[1])}, named.Add(time.Millisecond))
-	p := k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{Longest: time.Second, Before: named}, named.Add(time.Second))
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[0])}, testNow)
+	k.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt[1])}, named.Add(time.Millisecond))
+	p := k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, CompleteBefore: named}, named.Add(time.Second))
 	assert.Assert(t, p.Sources[0].IsValid())
 	assert.Assert(t, !p.Sources[1].IsValid())
 	o := look(k, named, named.Add(time.Second))
@@ -229,28 +229,28 @@
 func TestFetchesThatCameLateAtOtherNodesCount(t *testing.T) {
 	a, b := testStore("a", "h0", "10.0.0.1:1", 100_000, 10e9), testStore("b", "h0", "10.0.0.2:1", 100_000, 9e9)
 	k, other := newTestKept(a, b), newTestKept(a, b)
-	for _, x := range []*Kept{k, other} {
-		x.Apply("a", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
-		x.Apply("b", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
+	for _, x := range []*CacheIndex{k, other} {
+		x.ApplyStoreChanges("a", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
+		x.ApplyStoreChanges("b", site.CacheChanges{Boot: 1, Changes: plus("r", testPrompt...)}, testNow)
 	}
 	source := func(after time.Duration) netip.AddrPort { // Moves before it are done.
-		return k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt[1:], testEngine, PlanLimits{Longest: time.Second}, testNow.Add(after)).Sources[0]
+		return k.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt[1:], testEngine, PlanLimits{MaxFetchTime: time.Second}, testNow.Add(after)).Sources[0]
 	}
 	assert.Equal(t, source(0), a.Store.Addr)
 	now := testNow
 	for i := range 12 {
 		now = now.Add(10 * time.Millisecond)
 		parts := []site.Part{{ID: fmt.Sprintf("p%d", i), Tokens: 10}}
-		other.Apply("a", site.CacheChanges{Boot: 1, Changes: plus("r", parts...)}, now)
-		other.Plan("r", site.Upstream{DataHall: "h0"}, parts, testEngine, PlanLimits{Longest: time.Second}, now).First(time.Second, now)
+		other.ApplyStoreChanges("a", site.CacheChanges{Boot: 1, Changes: plus("r", parts...)}, now)
+		other.Plan("r", site.Upstream{DataHall: "h0"}, parts, testEngine, PlanLimits{MaxFetchTime: time.Second}, now).FirstByte(time.Second, now)
 	}
 	list := other.Tallies()
 	assert.Equal(t, len(list), 1)
-	assert.Equal(t, list[0].Key, KeyOf("a"))
+	assert.Equal(t, list[0].Key, HashName("a"))
 	told := list[0].Tally
 	assert.Equal(t, told.Late, int64(12))
-	k.AddPeer(KeyOf("a"), Tally{Late: told.Late}, now)
+	k.AddPeerTally(HashName("a"), Tally{Late: told.Late}, now)
 	assert.Equal(t, source(time.Second), b.Store.Addr)
-	k.AddPeer(KeyOf("a"), Tally{Early: 2 * told.Late}, now.Add(time.Second))
+	k.AddPeerTally(HashName("a"), Tally{Early: 2 * told.Late}, now.Add(time.Second))
 	assert.Equal(t, source(2*time.Second), a.Store.Addr, "and those that came in time as well")
 }
--- a/pkg/route/key.go
+++ b/pkg/route/key.go
@@ -2,12 +2,12 @@
 
 import "github.com/drumpath/drumpath/pkg/rendezvous"
 
-// Key stands for a replica's ID, or a store's name, where nodes tell each other of many
+// NameHash stands for a replica's ID, or a store's name, where nodes tell each other of many
 // of them many times a second. It has four bytes of the name's hash: of 2,300 replicas
 // two have the same with a chance of 0.06 %, and then count each other's load as theirs.
-type Key uint32
+type NameHash uint32
 
-// KeyOf returns the key of an ID or a name.
-func KeyOf(name string) Key { return keyOfHash(rendezvous.Hash(name)) }
+// HashName returns the key of an ID or a name.
+func HashName(name string) NameHash { return keyOfHash(rendezvous.Hash(name)) }
 
-func keyOfHash(hash uint64) Key { return Key(hash) }
+func keyOfHash(hash uint64) NameHash { return NameHash(hash) }
--- a/pkg/route/limited.go
+++ b/pkg/route/limited.go
@@ -38,9 +38,9 @@
 	Ended time.Time
 }
 
-// LimitRates has the pool go by the rates that replicas name; it is to be called before the
+// SetRateLimits has the pool go by the rates that replicas name; it is to be called before the
 // pool is used.
-func (p *Pool) LimitRates(l RateLimits) { p.rates = l }
+func (p *Pool) SetRateLimits(l RateLimits) { p.rates = l }
 
 // rateState is what is known of the rate that a replica names.
 func (p *Pool) rateState(m *member, now time.Time) (s RateState) {
@@ -51,7 +51,7 @@
 }
 
 // allows says whether a replica may be picked for a request.
-func (s *RateState) allows(n *Need) bool { return s.Wait == 0 && (!s.Limited || !n.Unlimited) }
+func (s *RateState) allows(n *PickInput) bool { return s.Wait == 0 && (!s.Limited || !n.UnlimitedOnly) }
 
 // unusedGain is by how much a replica is preferred that takes more than it is sent.
 func (s *RateState) unusedGain() time.Duration {
--- a/pkg/route/limited_test.go
+++ b/pkg/route/limited_test.go
@@ -19,12 +19,12 @@
 	p := newTestPool(0, 1)
 	weights := map[string]int64{"m": 1}
 	p.Configure([]site.Upstream{{ID: "a", DataHall: "h0", Slots: 4, Weights: weights}, {ID: "b", DataHall: "h0", Slots: 4, Weights: weights}}, testNow)
-	p.LimitRates(rates)
+	p.SetRateLimits(rates)
 	return p
 }
 
 // picks is how many of some requests are sent to a replica.
-func picks(p *Pool, n *Need, id string) (count int) {
+func picks(p *Pool, n *PickInput, id string) (count int) {
 	const of = 100
 	for range of {
 		c, ok := p.Pick(n, testNow)
@@ -38,12 +38,12 @@
 func TestLimitedReplicaIsLeftOutUntilItsOwnerMayBeAsked(t *testing.T) {
 	rates := fakeRates{"a": {Limited: true, Wait: 700 * time.Millisecond}}
 	p := limitedPool(rates)
-	assert.Equal(t, picks(p, &Need{}, "a"), 0)
-	assert.Equal(t, picks(p, &Need{}, "b"), 100)
+	assert.Equal(t, picks(p, &PickInput{}, "a"), 0)
+	assert.Equal(t, picks(p, &PickInput{}, "b"), 100)
 	rates["a"] = RateState{Limited: true}
-	n := picks(p, &Need{}, "a")
+	n := picks(p, &PickInput{}, "a")
 	assert.Assert(t, n > 20 && n < 80, "weighed like any other: %d", n)
-	assert.Equal(t, picks(p, &Need{Unlimited: true}, "a"), 0)
+	assert.Equal(t, picks(p, &PickInput{UnlimitedOnly: true}, "a"), 0)
 }
 
 func TestWhereAllAreLimitedCallersAreToldWhenToComeBack(t *testing.T) {
@@ -51,12 +51,12 @@
 		"a": {Limited: true, Wait: 2 * time.Second},
 		"b": {Limited: true, Wait: 600 * time.Millisecond},
 	})
-	_, ok := p.Pick(&Need{}, testNow)
+	_, ok := p.Pick(&PickInput{}, testNow)
 	assert.Assert(t, !ok)
-	why := p.WhyNone(&Need{}, testNow)
+	why := p.Availability(&PickInput{}, testNow)
 	assert.Equal(t, why.Excluded[ExcludedLimited], 2)
-	assert.Assert(t, why.Retry >= 600*time.Millisecond && why.Retry < 600*time.Millisecond+returnSpread)
-	assert.Equal(t, p.WhyNone(&Need{Exclude: []string{"a", "b"}}, testNow).Excluded[ExcludedLimited], 0)
+	assert.Assert(t, why.RetryAfter >= 600*time.Millisecond && why.RetryAfter < 600*time.Millisecond+returnSpread)
+	assert.Equal(t, p.Availability(&PickInput{Exclude: []string{"a", "b"}}, testNow).Excluded[ExcludedLimited], 0)
 }
 
 // The load pattern is a usual one, in which a replica that takes more than it is sent is
@@ -67,11 +67,11 @@
 	p := limitedPool(rates)
 	p.replicas["b"].late = 0.5 // It answers faster.
 	p.replicas["b"].lateAt = testNow
-	assert.Equal(t, picks(p, &Need{}, "a"), 100)
+	assert.Equal(t, picks(p, &PickInput{}, "a"), 100)
 	rates["a"] = RateState{Limited: true}
-	assert.Equal(t, picks(p, &Need{}, "a"), 0)
+	assert.Equal(t, picks(p, &PickInput{}, "a"), 0)
 	rates["a"] = RateState{Limited: true, Unused: 1000}
-	kept := &Need{Model: "m", Tokens: 9000, Shared: 8500, Offers: map[string]Offer{"b": {Known: true, Held: 8500}}}
+	kept := &PickInput{Model: "m", Tokens: 9000, Shared: 8500, Coverage: map[string]CacheCoverage{"b": {Known: true, Held: 8500}}}
 	assert.Equal(t, picks(p, kept, "a"), 0)
 }
 
@@ -79,7 +79,7 @@
 func TestReplicaWhoseLimitIsOverCostsMoreForAMoment(t *testing.T) {
 	rates := fakeRates{"a": {Ended: testNow.Add(-warmTerm / 4)}}
 	p := limitedPool(rates)
-	assert.Assert(t, picks(p, &Need{}, "a") < 20)
+	assert.Assert(t, picks(p, &PickInput{}, "a") < 20)
 	rates["a"] = RateState{Ended: testNow.Add(-2 * warmTerm)}
-	assert.Assert(t, picks(p, &Need{}, "a") > 20)
+	assert.Assert(t, picks(p, &PickInput{}, "a") > 20)
 }
--- a/pkg/route/links.go
+++ b/pkg/route/links.go
@@ -76,10 +76,10 @@
 // minCounted is the least busy time from which a rate is worked out.
 const minCounted = 50 * time.Millisecond
 
-// Counted takes in a link's own counters: the bytes it has moved and for how long
+// UpdateCounters takes in a link's own counters: the bytes it has moved and for how long
 // it was busy with them. Their growth shows the rate that it really has, before
 // this node has had a transfer over it.
-func (l *Links) Counted(name string, moved int64, busy time.Duration, now time.Time) {
+func (l *Links) UpdateCounters(name string, moved int64, busy time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.get(name)
--- a/pkg/route/memory_test.go
+++ b/pkg/route/memory_test.go
@@ -11,13 +11,13 @@
 // to read: what is let in past the memory has another prompt read again.
 func TestPromptGoesWhereItFitsIntoMemory(t *testing.T) {
 	p := newTestPool(2, 1)
-	need := &Need{Model: "m", Tokens: 10_000, Memory: 10_000, Capacity: 40_000}
-	loads := map[Key]PeerLoad{KeyOf("r00"): {Requests: 4, Memory: 38_000}, KeyOf("r01"): {Requests: 4, Tokens: Banded{2000}, Memory: 8000}}
+	need := &PickInput{Model: "m", Tokens: 10_000, Memory: 10_000, Capacity: 40_000}
+	loads := map[NameHash]PeerLoad{HashName("r00"): {Requests: 4, Memory: 38_000}, HashName("r01"): {Requests: 4, Tokens: BandTokens{2000}, Memory: 8000}}
 	p.SetPeers(loads)
 	c, ok := p.Pick(need, testNow)
 	assert.Assert(t, ok)
 	assert.Equal(t, c.ID, "r01")
-	loads[KeyOf("r00")] = PeerLoad{Requests: 4, Memory: 8000}
+	loads[HashName("r00")] = PeerLoad{Requests: 4, Memory: 8000}
 	p.SetPeers(loads)
 	c, ok = p.Pick(need, testNow)
 	assert.Assert(t, ok)
@@ -28,11 +28,11 @@
 // other nodes.
 func TestMemoryIsHeldUntilTheEnd(t *testing.T) {
 	p := newTestPool(1, 1)
-	c, ok := p.Pick(&Need{Model: "m", Tokens: 5000, Memory: 5050, Capacity: 40_000}, testNow)
+	c, ok := p.Pick(&PickInput{Model: "m", Tokens: 5000, Memory: 5050, Capacity: 40_000}, testNow)
 	assert.Assert(t, ok)
 	k := p.Begin(c, testNow)
-	k.First(testNow.Add(100 * time.Millisecond))
-	assert.DeepEqual(t, p.AppendLoads(nil), []ReplicaLoad{{Key: KeyOf("r00"), Load: PeerLoad{Requests: 1, Memory: 5050}}})
+	k.FirstByte(testNow.Add(100 * time.Millisecond))
+	assert.DeepEqual(t, p.AppendLoads(nil), []ReplicaLoad{{Key: HashName("r00"), Load: PeerLoad{Requests: 1, Memory: 5050}}})
 	k.End(OutcomeOK, testNow.Add(2*time.Second))
 	assert.Equal(t, len(p.AppendLoads(nil)), 0)
 	assert.Equal(t, p.memory.hold(), 2.0)
--- a/pkg/route/need.go
+++ b/pkg/route/need.go
@@ -7,8 +7,8 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Need is what a pool has to know of a request.
-type Need struct {
+// PickInput is what a pool has to know of a request.
+type PickInput struct {
 	Model string
 	// Tokens are those to be read, Shared those of them that other requests
 	// have in common; both are 0 for requests without a prompt.
@@ -20,29 +20,29 @@
 	// Capacity how much an engine has; both are 0 if that is not known.
 	Memory   int
 	Capacity int
-	// Offers are what each replica has of the prompt or can fetch, by ID.
-	Offers map[string]Offer
+	// Coverage are what each replica has of the prompt or can fetch, by ID.
+	Coverage map[string]CacheCoverage
 	// Affinity is a hash of the shared parts, 0 for none.
 	Affinity uint64
-	// Newest is the newest version of the model's weights, 0 if not known.
-	Newest int64
-	// Urgency, from 0 to 1 and more, says how much older weights count.
-	Urgency float64
-	// Oldest is the oldest version that may still be used, 0 for any.
-	Oldest int64
+	// NewestVersion is the newest version of the model's weights, 0 if not known.
+	NewestVersion int64
+	// StalenessWeight, from 0 to 1 and more, says how much older weights count.
+	StalenessWeight float64
+	// MinVersion is the oldest version that may still be used, 0 for any.
+	MinVersion int64
 	// Exclude are replicas that have already failed the request.
 	Exclude []string
-	// Homed says that the request may run in the regions of Homes only.
-	Homed bool
-	Homes []string
-	// Unlimited leaves out the replicas that name how many requests a second they take.
-	Unlimited bool
+	// HomesOnly says that the request may run in the regions of Homes only.
+	HomesOnly bool
+	Homes     []string
+	// UnlimitedOnly leaves out the replicas that name how many requests a second they take.
+	UnlimitedOnly bool
 	// Send says that the request is about to be sent to the replica that is picked.
 	Send bool
 }
 
-// Offer is what a replica has of a prompt's shared tokens, or can fetch.
-type Offer struct {
+// CacheCoverage is what a replica has of a prompt's shared tokens, or can fetch.
+type CacheCoverage struct {
 	// Known says that the replica itself tells what it holds; Held is that.
 	Known   bool
 	Held    int
@@ -52,7 +52,7 @@
 
 // toRead is how many tokens a replica has to read. Where it does not tell what it
 // holds, a prompt's home is likely to have some of what can't be fetched.
-func (n *Need) toRead(o Offer, home bool) float64 {
+func (n *PickInput) toRead(o CacheCoverage, home bool) float64 {
 	read := float64(n.Tokens - o.Held - o.Fetched)
 	if home && !o.Known {
 		read -= homeShare * float64(n.Shared-o.Fetched)
@@ -61,7 +61,9 @@
 }
 
 // mayRunIn says whether the request may run in a region.
-func (n *Need) mayRunIn(region string) bool { return !n.Homed || slices.Contains(n.Homes, region) }
+func (n *PickInput) mayRunIn(region string) bool {
+	return !n.HomesOnly || slices.Contains(n.Homes, region)
+}
 
 // Choice is the replica for a request.
 type Choice struct {
--- a/pkg/route/outlier.go
+++ b/pkg/route/outlier.go
@@ -65,9 +65,9 @@
 	m.failing = p.failing
 }
 
-// Lost records that a replica can't be reached, which one look suffices for. It says
+// RecordUnreachable records that a replica can't be reached, which one look suffices for. It says
 // whether the other nodes are to hear of it.
-func (p *Pool) Lost(id string, now time.Time) (tell bool) {
+func (p *Pool) RecordUnreachable(id string, now time.Time) (tell bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m, ok := p.replicas[id]
--- a/pkg/route/place.go
+++ b/pkg/route/place.go
@@ -7,8 +7,8 @@
 	"github.com/drumpath/drumpath/pkg/queue"
 )
 
-// Place is a request's place in admission, first in a queue and then inside.
-type Place struct {
+// AdmissionTicket is a request's place in admission, first in a queue and then inside.
+type AdmissionTicket struct {
 	queue.Position
 
 	admission *Admission
@@ -26,10 +26,10 @@
 }
 
 // Ready is closed once the request is inside.
-func (p *Place) Ready() <-chan struct{} { return p.ready }
+func (p *AdmissionTicket) Ready() <-chan struct{} { return p.ready }
 
-// First notes that the first token has come.
-func (p *Place) First(now time.Time) {
+// FirstToken notes that the first token has come.
+func (p *AdmissionTicket) FirstToken(now time.Time) {
 	a := p.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -39,8 +39,8 @@
 	a.devFirst += time.Duration(holdWeight * float64(off.Abs()-a.devFirst))
 }
 
-// Leave gives the place up, inside or still queued; later calls do nothing.
-func (p *Place) Leave(now time.Time) {
+// Release gives the place up, inside or still queued; later calls do nothing.
+func (p *AdmissionTicket) Release(now time.Time) {
 	a := p.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,7 +61,7 @@
 
 // GiveUp leaves a queue that took too long and returns the refusal to answer
 // with; inside says that the place was reached just now after all.
-func (p *Place) GiveUp(now time.Time) (refused *RefusedError, inside bool) {
+func (p *AdmissionTicket) GiveUp(now time.Time) (refused *RefusedError, inside bool) {
 	a := p.admission
 	a.mu.Lock()
 	if p.inside {
@@ -70,8 +70,8 @@
 	}
 	wait := a.expectedWait(p.tenant)
 	a.mu.Unlock()
-	p.Leave(now)
-	return &RefusedError{Reason: RefusedLoad, RetryAfter: max(minRetry, wait)}, false
+	p.Release(now)
+	return &RefusedError{Reason: RefusedOverload, RetryAfter: max(minRetry, wait)}, false
 }
 
 // RefusalReason is why admission refused.
@@ -79,8 +79,8 @@
 
 // Reasons for refusals.
 const (
-	RefusedLoad RefusalReason = "overloaded"
-	RefusedRate RefusalReason = "rate_limited"
+	RefusedOverload  RefusalReason = "overloaded"
+	RefusedRateLimit RefusalReason = "rate_limited"
 )
 
 // RefusedError is a refusal by admission; the request did not run.
@@ -96,7 +96,7 @@
 
 // Before says whether the place goes before another of its organisation: by
 // priority, then limit, then arrival.
-func (p *Place) Before(other *Place) bool {
+func (p *AdmissionTicket) Before(other *AdmissionTicket) bool {
 	switch {
 	case p.priority != other.priority:
 		return p.priority > other.priority
--- a/pkg/route/plan.go
+++ b/pkg/route/plan.go
@@ -14,10 +14,10 @@
 	// Fetched and Saved are the tokens that move.
 	Fetched int
 	Saved   int
-	// Time is how long the fetch should take.
-	Time time.Duration
+	// FetchTime is how long the fetch should take.
+	FetchTime time.Duration
 
-	kept  *Kept
+	kept  *CacheIndex
 	moves []*keptLink // Over which something is fetched.
 	saves []plannedSave
 }
@@ -32,7 +32,7 @@
 func (p *Plan) take(i, tokens int, addr netip.AddrPort, wait time.Duration) {
 	p.Sources[i] = addr
 	p.Fetched += tokens
-	p.Time += wait
+	p.FetchTime += wait
 }
 
 // Cancel is to be called when the prompt was not read: what was to be saved may be
@@ -50,9 +50,9 @@
 	}
 }
 
-// First records that the first byte of the answer has come, by how much later
+// FirstByte records that the first byte of the answer has come, by how much later
 // than expected.
-func (p *Plan) First(excess time.Duration, now time.Time) {
+func (p *Plan) FirstByte(excess time.Duration, now time.Time) {
 	if p.kept == nil {
 		return
 	}
--- a/pkg/route/policy.go
+++ b/pkg/route/policy.go
@@ -13,7 +13,7 @@
 }
 
 // NewPolicy returns the policy of a name in the settings.
-func NewPolicy(name string, f *Fleet, l *Links, w Weights) Policy {
+func NewPolicy(name string, f *Fleet, l *Links, w CostWeights) Policy {
 	switch name {
 	case config.PolicyRoundRobin:
 		return &roundRobin{fleet: f}
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -45,7 +45,7 @@
 	// backoffs are until when starts of replicas are sent nothing, as they asked; also of those
 	// whose rows have gone, and may come again.
 	backoffs map[string]time.Time
-	without  config.WithoutSettings
+	without  config.DisabledMechanisms
 	// candidates is kept for choose.
 	candidates []candidate
 }
@@ -55,14 +55,14 @@
 	site.Upstream
 	hash uint64 // Of the ID.
 	// key is of this start of the replica: what was told of an earlier one is not its.
-	key Key
+	key NameHash
 	// start names this start of it.
 	start   string
-	flights map[*Flight]struct{} // Own requests in flight.
-	pending Banded               // Tokens of those without a first answer byte.
-	memory  int                  // Tokens that they hold of an engine's memory.
-	others  PeerLoad             // In flight at other nodes.
-	late    float64              // Mean of the time taken over the time expected.
+	flights map[*InFlightRequest]struct{} // Own requests in flight.
+	pending BandTokens                    // Tokens of those without a first answer byte.
+	memory  int                           // Tokens that they hold of an engine's memory.
+	others  PeerLoad                      // In flight at other nodes.
+	late    float64                       // Mean of the time taken over the time expected.
 	lateAt  time.Time
 	failing float64 // Mean share of failures.
 	outcome outlier
@@ -79,8 +79,8 @@
 // PeerLoad is what other nodes have in flight at a replica.
 type PeerLoad struct {
 	Requests int
-	Tokens   Banded // To be read.
-	Memory   int    // Tokens held of an engine's memory.
+	Tokens   BandTokens // To be read.
+	Memory   int        // Tokens held of an engine's memory.
 }
 
 // Plus is the sum of two loads.
@@ -134,8 +134,8 @@
 	return &Pool{hall: hall, rng: rng, replicas: map[string]*member{}, perToken: startPerToken, base: startBase, meanRun: startRun, late: 1, backoffs: map[string]time.Time{}}
 }
 
-// Without switches mechanisms off; it is to be called before the pool is used.
-func (p *Pool) Without(w config.WithoutSettings) { p.without = w }
+// Disable switches mechanisms off; it is to be called before the pool is used.
+func (p *Pool) Disable(w config.DisabledMechanisms) { p.without = w }
 
 // Configure sets which replicas there are; what is known of those that stay is
 // kept.
@@ -150,11 +150,11 @@
 		if !ok || m.OlderStart(&u) {
 			// What is known of an earlier start goes with it: its weights, its lateness,
 			// its failures and what was in flight there.
-			m = &member{hash: rendezvous.Hash(u.ID), key: KeyOf(u.StartKey()), start: u.StartKey(), flights: map[*Flight]struct{}{}, late: 1}
+			m = &member{hash: rendezvous.Hash(u.ID), key: HashName(u.StartKey()), start: u.StartKey(), flights: map[*InFlightRequest]struct{}{}, late: 1}
 			m.backoff = p.backoffs[m.start]
 		}
 		if !m.Started.Equal(u.Started) { // The same start, told with its time or without.
-			m.key, m.start = KeyOf(u.StartKey()), u.StartKey()
+			m.key, m.start = HashName(u.StartKey()), u.StartKey()
 		}
 		weights := m.Weights
 		m.Upstream = u
@@ -180,7 +180,7 @@
 
 // ReplicaLoad is what is in flight at one replica.
 type ReplicaLoad struct {
-	Key  Key
+	Key  NameHash
 	Load PeerLoad
 }
 
@@ -198,7 +198,7 @@
 }
 
 // Pick chooses a replica; ok is false if none may take the request.
-func (p *Pool) Pick(n *Need, now time.Time) (c Choice, ok bool) {
+func (p *Pool) Pick(n *PickInput, now time.Time) (c Choice, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.capacity = max(p.capacity, n.Capacity)
@@ -210,7 +210,7 @@
 	if n.Send {
 		p.noteSend(chosen, now)
 	}
-	offer := n.Offers[chosen.ID]
+	offer := n.Coverage[chosen.ID]
 	return Choice{
 		Upstream: chosen.Upstream,
 		Weights:  chosen.Weights[n.Model],
--- a/pkg/route/pool_bench_test.go
+++ b/pkg/route/pool_bench_test.go
@@ -13,7 +13,7 @@
 	for _, n := range []int{18, 60, 600, 2300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := newTestPool(n, 1)
-			need := &Need{Model: "m", Tokens: 9000, Shared: 7500, Affinity: 7}
+			need := &PickInput{Model: "m", Tokens: 9000, Shared: 7500, Affinity: 7}
 			b.ReportAllocs()
 			for b.Loop() {
 				c, ok := p.Pick(need, testNow)
@@ -21,7 +21,7 @@
 					b.Fatal("nothing picked")
 				}
 				k := p.Begin(c, testNow)
-				k.First(testNow)
+				k.FirstByte(testNow)
 				k.End(OutcomeOK, testNow)
 			}
 		})
@@ -39,7 +39,7 @@
 			k := newTestKept(stores...)
 			for i, s := range stores {
 				for j := range 1000 {
-					k.Apply(s.Name, site.CacheChanges{Boot: 1, Changes: plus("r", site.Part{ID: fmt.Sprintf("%d-%d", i, j), Tokens: 5000})}, testNow)
+					k.ApplyStoreChanges(s.Name, site.CacheChanges{Boot: 1, Changes: plus("r", site.Part{ID: fmt.Sprintf("%d-%d", i, j), Tokens: 5000})}, testNow)
 				}
 			}
 			now := testNow
@@ -47,7 +47,7 @@
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(10 * time.Millisecond)
 				parts := []site.Part{{ID: "common", Tokens: 2500}, {ID: fmt.Sprintf("%d-%d", i%n, i%1000), Tokens: 5000}}
-				k.Plan("r", site.Upstream{DataHall: "h0"}, parts, testEngine, PlanLimits{Longest: time.Second}, now)
+				k.Plan("r", site.Upstream{DataHall: "h0"}, parts, testEngine, PlanLimits{MaxFetchTime: time.Second}, now)
 			}
 		})
 	}
@@ -58,20 +58,20 @@
 	for _, n := range []int{9, 60, 256} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			engines := testReplicas(n, 1)
-			k := NewKept()
+			k := NewCacheIndex()
 			k.SetEngines("", engines, testEngine)
 			for i, u := range engines {
 				parts := []site.Part{{ID: "common", Tokens: 2500}}
 				for j := range 19 {
 					parts = append(parts, site.Part{ID: fmt.Sprint(i*7 + j), Tokens: 5000})
 				}
-				k.ApplyHeld(HeldChanges{Engine: u.ID, Whole: true, Changes: held("r", parts...)})
+				k.ApplyEngineUpdate(EngineCacheUpdate{Engine: u.ID, Full: true, Changes: held("r", parts...)})
 			}
 			realm := func(int64) Realm { return Realm{Name: "r"} }
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				parts := []site.Part{{ID: "common", Tokens: 2500}, {ID: fmt.Sprint(i % (7 * n)), Tokens: 5000}}
-				k.Look(engines, "m", realm, parts, testEngine, time.Second, testNow)
+				k.Coverage(engines, "m", realm, parts, testEngine, time.Second, testNow)
 			}
 		})
 	}
--- a/pkg/route/pool_estimate.go
+++ b/pkg/route/pool_estimate.go
@@ -9,7 +9,7 @@
 
 // home is the replica to which a prompt's shared parts belong: all nodes take
 // the same one without a word, so it is the likeliest to have them.
-func (p *Pool) home(n *Need) *member {
+func (p *Pool) home(n *PickInput) *member {
 	if n.Affinity == 0 || p.without.Home {
 		return nil
 	}
@@ -27,34 +27,34 @@
 }
 
 // idleCost is the price of a replica at which nothing waits, in seconds.
-func (p *Pool) idleCost(m *member, n *Need, home bool, rate *RateState, now time.Time) float64 {
+func (p *Pool) idleCost(m *member, n *PickInput, home bool, rate *RateState, now time.Time) float64 {
 	cost := p.idleTime(m, n, home, p.lateness(m, now))
 	if m.DataHall != p.hall {
 		cost += hallTime.Seconds()
 	}
-	if n.Newest > 0 && m.Weights[n.Model] < n.Newest {
-		cost += oldWeightsTime.Seconds() * n.Urgency
+	if n.NewestVersion > 0 && m.Weights[n.Model] < n.NewestVersion {
+		cost += oldWeightsTime.Seconds() * n.StalenessWeight
 	}
 	cost += (warmCost(now, m.cold, rate.Ended, m.backoff) - rate.unusedGain()).Seconds()
 	return cost
 }
 
 // firstByte is the expected time to the first byte of the answer, in seconds.
-func (p *Pool) firstByte(m *member, n *Need, home bool, late float64, now time.Time) float64 {
+func (p *Pool) firstByte(m *member, n *PickInput, home bool, late float64, now time.Time) float64 {
 	return p.idleTime(m, n, home, late) + p.busyTime(m, n, late, now)
 }
 
 // idleTime is the part of firstByte that a replica at which nothing waits would take.
-func (p *Pool) idleTime(m *member, n *Need, home bool, late float64) float64 {
+func (p *Pool) idleTime(m *member, n *PickInput, home bool, late float64) float64 {
 	if n.Tokens == 0 {
 		return p.meanRun.Seconds() * late
 	}
-	offer := n.Offers[m.ID]
+	offer := n.Coverage[m.ID]
 	return (p.base+n.toRead(offer, home)*p.perToken)*late + offer.Wait.Seconds()
 }
 
 // busyTime is the part of firstByte that comes from others at the replica.
-func (p *Pool) busyTime(m *member, n *Need, late float64, now time.Time) float64 {
+func (p *Pool) busyTime(m *member, n *PickInput, late float64, now time.Time) float64 {
 	if n.Tokens > 0 {
 		return p.wait(m, n, late, now)
 	}
@@ -69,7 +69,7 @@
 }
 
 // promptWait is wait, and nothing for requests without a prompt.
-func (p *Pool) promptWait(m *member, n *Need, now time.Time) float64 {
+func (p *Pool) promptWait(m *member, n *PickInput, now time.Time) float64 {
 	if n.Tokens == 0 {
 		return 0
 	}
@@ -77,7 +77,7 @@
 }
 
 // wait is how long a prompt waits at a replica until it is begun, in seconds.
-func (p *Pool) wait(m *member, n *Need, late float64, now time.Time) float64 {
+func (p *Pool) wait(m *member, n *PickInput, late float64, now time.Time) float64 {
 	running := float64(len(m.flights) + m.others.Requests)
 	reading := float64(m.ahead(n)) * p.perToken
 	slots := 0.0
@@ -104,7 +104,7 @@
 }
 
 // ahead is how many tokens are read at a replica before a prompt's.
-func (m *member) ahead(n *Need) int {
+func (m *member) ahead(n *PickInput) int {
 	return m.pending.Plus(m.others.Tokens).upTo(bandOf(n.Priority))
 }
 
--- a/pkg/route/pool_test.go
+++ b/pkg/route/pool_test.go
@@ -45,18 +45,18 @@
 				list[i].Draining = !list[i].Draining
 				p.Configure(list, now)
 			case 1:
-				p.Lost(list[i].ID, now)
+				p.RecordUnreachable(list[i].ID, now)
 			case 2:
 				p.Avoid(list[i].ID, now.Add(time.Second))
 			case 3:
 				newest++
-				p.Serves(WhomOf(&list[i]), "m", newest)
+				p.RecordWeights(RefOf(&list[i]), "m", newest)
 				list[i].Weights = map[string]int64{"m": newest}
 			case 4:
 				oldest = newest
 			default:
 			}
-			need := &Need{Model: "m", Tokens: 1000, Newest: newest, Oldest: oldest, Urgency: 1, Exclude: []string{"r00"}}
+			need := &PickInput{Model: "m", Tokens: 1000, NewestVersion: newest, MinVersion: oldest, StalenessWeight: 1, Exclude: []string{"r00"}}
 			c, ok := p.Pick(need, now)
 			usable := 0
 			for _, u := range list {
@@ -76,7 +76,7 @@
 			}
 			k := p.Begin(c, now)
 			if rapid.Bool().Draw(t, "first") {
-				k.First(now)
+				k.FirstByte(now)
 			}
 			k.End(Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")), now)
 		}
@@ -84,14 +84,14 @@
 			assert.Equal(t, l.Load.Requests, 0)
 		}
 		for _, m := range p.list {
-			assert.Equal(t, m.pending, Banded{})
+			assert.Equal(t, m.pending, BandTokens{})
 		}
 	})
 }
 
 func TestPromptsGoWhereLeastIsToBeRead(t *testing.T) {
 	p := newTestPool(3, 1)
-	need := &Need{Model: "m", Tokens: 5000}
+	need := &PickInput{Model: "m", Tokens: 5000}
 	seen := map[string]bool{}
 	for range 3 {
 		c, ok := p.Pick(need, testNow)
@@ -109,7 +109,7 @@
 	p := newTestPool(replicas, 1)
 	count := map[string]int{}
 	for i := range requests {
-		need := &Need{Model: "m", Tokens: 5000, Shared: 4000, Affinity: 42}
+		need := &PickInput{Model: "m", Tokens: 5000, Shared: 4000, Affinity: 42}
 		if i%4 == 0 {
 			need.Affinity = uint64(1000 + i)
 		}
@@ -129,7 +129,7 @@
 	p := newTestPool(4, 1)
 	now, last := testNow, time.Duration(0)
 	for range 3 {
-		p.Lost("r00", now)
+		p.RecordUnreachable("r00", now)
 		m := p.replicas["r00"]
 		assert.Assert(t, m.outcome.ejected(now))
 		out := m.outcome.until.Sub(now)
@@ -141,9 +141,9 @@
 
 func TestWhatOtherNodesHaveThereCounts(t *testing.T) {
 	p := newTestPool(3, 1)
-	p.SetPeers(map[Key]PeerLoad{KeyOf("r00"): {Requests: 2, Tokens: Banded{9000}}, KeyOf("r01"): {Requests: 2, Tokens: Banded{9000}}})
+	p.SetPeers(map[NameHash]PeerLoad{HashName("r00"): {Requests: 2, Tokens: BandTokens{9000}}, HashName("r01"): {Requests: 2, Tokens: BandTokens{9000}}})
 	for range 5 {
-		c, ok := p.Pick(&Need{Model: "m", Tokens: 1000}, testNow)
+		c, ok := p.Pick(&PickInput{Model: "m", Tokens: 1000}, testNow)
 		assert.Assert(t, ok)
 		assert.Equal(t, c.ID, "r02")
 	}
@@ -152,7 +152,7 @@
 func TestEjectionIsBounded(t *testing.T) {
 	p := newTestPool(10, 1)
 	for i := range 10 {
-		p.Lost(fmt.Sprintf("r%02d", i), testNow)
+		p.RecordUnreachable(fmt.Sprintf("r%02d", i), testNow)
 	}
 	out := 0
 	for _, m := range p.list {
@@ -162,9 +162,9 @@
 	}
 	assert.Equal(t, out, 3)
 	one := newTestPool(2, 1)
-	one.Lost("r00", testNow)
-	one.Lost("r01", testNow)
-	_, ok := one.Pick(&Need{Model: "m"}, testNow)
+	one.RecordUnreachable("r00", testNow)
+	one.RecordUnreachable("r01", testNow)
+	_, ok := one.Pick(&PickInput{Model: "m"}, testNow)
 	assert.Assert(t, ok, "the last one is used whatever is thought of it")
 }
 
@@ -175,14 +175,14 @@
 	now := testNow
 	for range 600 {
 		now = now.Add(10 * time.Millisecond)
-		c, ok := p.Pick(&Need{}, now)
+		c, ok := p.Pick(&PickInput{}, now)
 		assert.Assert(t, ok)
 		k := p.Begin(c, now)
 		o := OutcomeOK
 		if rng.Float64() < 0.14 {
 			o = OutcomeFailed
 		}
-		k.First(now)
+		k.FirstByte(now)
 		k.End(o, now)
 	}
 	ejections := 0
@@ -205,7 +205,7 @@
 			if m.ID == "r02" && i%2 == 0 {
 				o = OutcomeFailed
 			}
-			k.First(now)
+			k.FirstByte(now)
 			k.End(o, now)
 		}
 	}
@@ -224,13 +224,13 @@
 			if m.ID == "r01" {
 				took = 400 * time.Millisecond
 			}
-			k.First(now.Add(took))
+			k.FirstByte(now.Add(took))
 			k.End(OutcomeOK, now.Add(took))
 		}
 		now = now.Add(500 * time.Millisecond)
 	}
 	for range 10 {
-		c, ok := p.Pick(&Need{Model: "m", Tokens: 2000}, now)
+		c, ok := p.Pick(&PickInput{Model: "m", Tokens: 2000}, now)
 		assert.Assert(t, ok)
 		assert.Equal(t, c.ID, "r00")
 	}
@@ -279,24 +279,24 @@
 // over for that.
 func TestWordOfASwapThatIsDoneIsVoid(t *testing.T) {
 	p := newTestPool(2, 1)
-	p.Steer(Whom{ID: "r00"}, "m", 2, testNow.Add(time.Second))
-	assert.Equal(t, p.Steered(testNow), 1)
-	c, ok := p.Pick(&Need{Model: "m", Tokens: 1000}, testNow)
+	p.AvoidForSwap(ReplicaRef{ID: "r00"}, "m", 2, testNow.Add(time.Second))
+	assert.Equal(t, p.Swapping(testNow), 1)
+	c, ok := p.Pick(&PickInput{Model: "m", Tokens: 1000}, testNow)
 	assert.Assert(t, ok && c.ID == "r01")
-	p.Serves(Whom{ID: "r00"}, "m", 2)
-	p.Steer(Whom{ID: "r00"}, "m", 2, testNow.Add(time.Second))
-	assert.Equal(t, p.Steered(testNow), 0)
-	c, ok = p.Pick(&Need{Model: "m", Tokens: 1000, Newest: 2, Urgency: 1}, testNow)
+	p.RecordWeights(ReplicaRef{ID: "r00"}, "m", 2)
+	p.AvoidForSwap(ReplicaRef{ID: "r00"}, "m", 2, testNow.Add(time.Second))
+	assert.Equal(t, p.Swapping(testNow), 0)
+	c, ok = p.Pick(&PickInput{Model: "m", Tokens: 1000, NewestVersion: 2, StalenessWeight: 1}, testNow)
 	assert.Assert(t, ok && c.ID == "r00")
-	p.Steer(Whom{ID: "r00"}, "m", 3, testNow.Add(time.Second))
-	assert.Equal(t, p.Steered(testNow), 1, "a newer version's swap is another")
+	p.AvoidForSwap(ReplicaRef{ID: "r00"}, "m", 3, testNow.Add(time.Second))
+	assert.Equal(t, p.Swapping(testNow), 1, "a newer version's swap is another")
 }
 
 // A replica that answers nothing any more is left while its answers are overdue, long
 // before their time is up.
 func TestReplicaWhoseAnswersAreOverdueIsLeft(t *testing.T) {
 	p := newTestPool(3, 1)
-	need := &Need{Model: "m", Tokens: 1000, Memory: 1000, Capacity: 40_000}
+	need := &PickInput{Model: "m", Tokens: 1000, Memory: 1000, Capacity: 40_000}
 	c, ok := p.Pick(need, testNow)
 	assert.Assert(t, ok)
 	k := p.Begin(c, testNow)
@@ -306,10 +306,10 @@
 		assert.Assert(t, ok)
 		assert.Assert(t, next.ID != c.ID)
 		other := p.Begin(next, now)
-		other.First(now.Add(50 * time.Millisecond))
+		other.FirstByte(now.Add(50 * time.Millisecond))
 		other.End(OutcomeOK, now.Add(60*time.Millisecond))
 	}
-	k.First(now)
+	k.FirstByte(now)
 	k.End(OutcomeOK, now)
 	used := false
 	for range 20 {
@@ -322,13 +322,13 @@
 // A prompt waits behind those as urgent as it is, and not behind others.
 func TestUrgentPromptsDoNotWaitForOthers(t *testing.T) {
 	p := newTestPool(1, 1)
-	p.SetPeers(map[Key]PeerLoad{KeyOf("r00"): {Requests: 3, Tokens: Banded{0, 20_000}}})
-	urgent, ok := p.Pick(&Need{Model: "m", Tokens: 1000}, testNow)
+	p.SetPeers(map[NameHash]PeerLoad{HashName("r00"): {Requests: 3, Tokens: BandTokens{0, 20_000}}})
+	urgent, ok := p.Pick(&PickInput{Model: "m", Tokens: 1000}, testNow)
 	assert.Assert(t, ok)
-	other, ok := p.Pick(&Need{Model: "m", Tokens: 1000, Priority: 1}, testNow)
+	other, ok := p.Pick(&PickInput{Model: "m", Tokens: 1000, Priority: 1}, testNow)
 	assert.Assert(t, ok)
 	assert.Assert(t, other.Wait > urgent.Wait+500*time.Millisecond, "%s, %s", other.Wait, urgent.Wait)
-	lower, ok := p.Pick(&Need{Model: "m", Tokens: 1000, Priority: 9}, testNow)
+	lower, ok := p.Pick(&PickInput{Model: "m", Tokens: 1000, Priority: 9}, testNow)
 	assert.Assert(t, ok)
 	assert.Equal(t, lower.Wait, other.Wait)
 }
@@ -343,7 +343,7 @@
 		f := p.Begin(Choice{Upstream: u, Plain: 100 * time.Millisecond, Expected: 100 * time.Millisecond}, now)
 		now = now.Add(20 * time.Millisecond)
 		end := f.begun.Add(time.Duration(times * float64(100*time.Millisecond)))
-		f.First(end)
+		f.FirstByte(end)
 		f.End(OutcomeOK, end)
 	}
 	for range 400 {
--- a/pkg/route/pool_told.go
+++ b/pkg/route/pool_told.go
@@ -17,7 +17,7 @@
 }
 
 // SetPeers sets what other nodes have in flight, by replica.
-func (p *Pool) SetPeers(loads map[Key]PeerLoad) {
+func (p *Pool) SetPeers(loads map[NameHash]PeerLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.list {
@@ -34,19 +34,19 @@
 	}
 }
 
-// Whom names a replica of which something is told.
-type Whom struct {
+// ReplicaRef names a replica of which something is told.
+type ReplicaRef struct {
 	ID string
 	// Started tells its start, zero if that is not known; what is told of another start
 	// than the one that this node knows is void.
 	Started time.Time
 }
 
-// WhomOf names an upstream.
-func WhomOf(u *site.Upstream) Whom { return Whom{ID: u.ID, Started: u.Started} }
+// RefOf names an upstream.
+func RefOf(u *site.Upstream) ReplicaRef { return ReplicaRef{ID: u.ID, Started: u.Started} }
 
 // find returns the replica that is meant, if this node knows that start of it.
-func (p *Pool) find(w Whom) (m *member, ok bool) {
+func (p *Pool) find(w ReplicaRef) (m *member, ok bool) {
 	m, ok = p.replicas[w.ID]
 	if ok && !w.Started.IsZero() && !m.Started.IsZero() && !w.Started.Equal(m.Started) {
 		return nil, false
@@ -54,9 +54,9 @@
 	return m, ok
 }
 
-// Steer has a replica passed over while it gets weights of a version. Word of that
+// AvoidForSwap has a replica passed over while it gets weights of a version. Word of that
 // may come after word that it has them, and is void then.
-func (p *Pool) Steer(w Whom, model string, version int64, until time.Time) {
+func (p *Pool) AvoidForSwap(w ReplicaRef, model string, version int64, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m, ok := p.find(w)
@@ -71,8 +71,8 @@
 	}
 }
 
-// Steered is how many replicas are passed over as their weights are replaced.
-func (p *Pool) Steered(now time.Time) int {
+// Swapping is how many replicas are passed over as their weights are replaced.
+func (p *Pool) Swapping(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -84,9 +84,9 @@
 	return n
 }
 
-// Serves notes the version of a model's weights that a replica has, as it was
+// RecordWeights notes the version of a model's weights that a replica has, as it was
 // just seen.
-func (p *Pool) Serves(w Whom, model string, version int64) {
+func (p *Pool) RecordWeights(w ReplicaRef, model string, version int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m, ok := p.find(w)
--- a/pkg/route/pool_views.go
+++ b/pkg/route/pool_views.go
@@ -34,7 +34,7 @@
 func (p *Pool) MedianWait(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := &Need{Priority: bands - 1, Memory: p.memory.mean()}
+	n := &PickInput{Priority: bands - 1, Memory: p.memory.mean()}
 	var waits []float64
 	for _, m := range p.list {
 		if m.forAll(now) == NotExcluded && !m.passedOver(now) {
@@ -73,38 +73,38 @@
 	return n
 }
 
-// Stays says whether a replica is listed and has not said that it leaves.
-func (p *Pool) Stays(id string) bool {
+// IsActive says whether a replica is listed and has not said that it leaves.
+func (p *Pool) IsActive(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m, ok := p.replicas[id]
 	return ok && !m.Draining
 }
 
-// MemberStatus is what a dump shows of one replica.
-type MemberStatus struct {
+// PoolReplicaStatus is what a dump shows of one replica.
+type PoolReplicaStatus struct {
 	site.Upstream
 
-	Requests int      `json:"requests"` // Of this node.
-	Tokens   Banded   `json:"tokens"`   // That they are to have read, by urgency.
-	Others   PeerLoad `json:"others"`
-	Lateness float64  `json:"lateness"`
-	Failing  float64  `json:"failing"`
-	Ejected  bool     `json:"ejected"`
-	Avoided  bool     `json:"avoided"`
-	Cold     bool     `json:"cold"` // Or taken to be.
-	Backoff  bool     `json:"backoff"`
-	Limited  bool     `json:"limited"`
+	Requests int        `json:"requests"` // Of this node.
+	Tokens   BandTokens `json:"tokens"`   // That they are to have read, by urgency.
+	Others   PeerLoad   `json:"others"`
+	Lateness float64    `json:"lateness"`
+	Failing  float64    `json:"failing"`
+	Ejected  bool       `json:"ejected"`
+	Avoided  bool       `json:"avoided"`
+	Cold     bool       `json:"cold"` // Or taken to be.
+	Backoff  bool       `json:"backoff"`
+	Limited  bool       `json:"limited"`
 }
 
 // Status lists the replicas, by name.
-func (p *Pool) Status(now time.Time) []MemberStatus {
+func (p *Pool) Status(now time.Time) []PoolReplicaStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := make([]MemberStatus, 0, len(p.list))
+	list := make([]PoolReplicaStatus, 0, len(p.list))
 	for _, m := range p.list {
 		rate := p.rateState(m, now)
-		list = append(list, MemberStatus{
+		list = append(list, PoolReplicaStatus{
 			Upstream: m.Upstream,
 			Requests: len(m.flights),
 			Tokens:   m.pending,
--- a/pkg/route/prompt_queue.go
+++ b/pkg/route/prompt_queue.go
@@ -48,13 +48,13 @@
 	finishMost = 10_000
 )
 
-// Ask is what a prompt asks of the queue.
-type Ask struct {
+// QueueRequest is what a prompt asks of the queue.
+type QueueRequest struct {
 	Organisation string
 	Cost         float64 // In tokens.
 	Priority     int     // The lowest goes first.
-	// Limit is the time after which it is not worth being sent.
-	Limit time.Time
+	// Deadline is the time after which it is not worth being sent.
+	Deadline time.Time
 	// Fits says whether an engine is expected to begin it soon; late is as in
 	// WaitingPrompt.Late. It is called with the queue's lock held.
 	Fits func(late bool, now time.Time) bool
@@ -63,7 +63,7 @@
 // WaitingPrompt is a prompt's place in the queue.
 type WaitingPrompt struct {
 	queue.Position
-	Ask
+	QueueRequest
 
 	queue *PromptQueue
 	ready chan struct{}
@@ -80,16 +80,16 @@
 	return &PromptQueue{finish: map[string]float64{}, interval: startInterval}
 }
 
-// Offer queues a prompt; it may be let in at once. One that is not expected to be let
+// Enqueue queues a prompt; it may be let in at once. One that is not expected to be let
 // in before its limit is refused with a *RefusedError.
-func (q *PromptQueue) Offer(a Ask, now time.Time) (*WaitingPrompt, error) {
+func (q *PromptQueue) Enqueue(a QueueRequest, now time.Time) (*WaitingPrompt, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.seq++
-	w := &WaitingPrompt{Ask: a, queue: q, ready: make(chan struct{}), seq: q.seq}
+	w := &WaitingPrompt{QueueRequest: a, queue: q, ready: make(chan struct{}), seq: q.seq}
 	w.tag = max(q.virtual, q.finish[a.Organisation])
-	if wait := q.expected(w, now); now.Add(wait).After(a.Limit) {
-		return nil, &RefusedError{Reason: RefusedLoad, RetryAfter: max(minRetry, wait)}
+	if wait := q.expected(w, now); now.Add(wait).After(a.Deadline) {
+		return nil, &RefusedError{Reason: RefusedOverload, RetryAfter: max(minRetry, wait)}
 	}
 	if len(q.finish) >= finishMost {
 		clear(q.finish) // They begin anew, all alike.
@@ -134,7 +134,7 @@
 	ahead := 0
 	for _, w := range list {
 		wait := q.behind(ahead, now)
-		if ahead > 0 && now.Add(wait).After(w.Limit) {
+		if ahead > 0 && now.Add(wait).After(w.Deadline) {
 			q.refuse(w, wait)
 			continue
 		}
@@ -144,7 +144,7 @@
 
 func (q *PromptQueue) refuse(w *WaitingPrompt, wait time.Duration) {
 	q.waiting.Remove(w)
-	w.refused = &RefusedError{Reason: RefusedLoad, RetryAfter: max(minRetry, wait)}
+	w.refused = &RefusedError{Reason: RefusedOverload, RetryAfter: max(minRetry, wait)}
 	close(w.ready)
 }
 
@@ -192,8 +192,8 @@
 // otherwise.
 func (w *WaitingPrompt) Ready() <-chan struct{} { return w.ready }
 
-// Late notes that the prompt can't be answered in good time any more.
-func (w *WaitingPrompt) Late(now time.Time) {
+// MarkLate notes that the prompt can't be answered in good time any more.
+func (w *WaitingPrompt) MarkLate(now time.Time) {
 	w.queue.mu.Lock()
 	defer w.queue.mu.Unlock()
 	if w.in || w.late || !w.Queued() {
@@ -227,8 +227,8 @@
 	}
 }
 
-// Refused is the refusal to answer with, nil if there is none; Ready must be closed.
-func (w *WaitingPrompt) Refused() error {
+// Err is the refusal to answer with, nil if there is none; Ready must be closed.
+func (w *WaitingPrompt) Err() error {
 	w.queue.mu.Lock()
 	defer w.queue.mu.Unlock()
 	if w.refused == nil {
--- a/pkg/route/prompt_queue_test.go
+++ b/pkg/route/prompt_queue_test.go
@@ -13,14 +13,14 @@
 // room is what fits at the engines, as a test sets it.
 type room struct{ left int }
 
-func (r *room) ask(priority int, limit time.Time) Ask {
-	return Ask{Cost: 1000, Priority: priority, Limit: limit, Fits: func(bool, time.Time) bool { return r.left > 0 }}
+func (r *room) ask(priority int, limit time.Time) QueueRequest {
+	return QueueRequest{Cost: 1000, Priority: priority, Deadline: limit, Fits: func(bool, time.Time) bool { return r.left > 0 }}
 }
 
 func letIn(w *WaitingPrompt) bool {
 	select {
 	case <-w.Ready():
-		return w.Refused() == nil
+		return w.Err() == nil
 	default:
 		return false
 	}
@@ -44,7 +44,7 @@
 				for i, w := range open {
 					select {
 					case <-w.Ready():
-						if w.Refused() == nil {
+						if w.Err() == nil {
 							assert.Assert(t, r.left > 0, "let in without room")
 							r.left--
 						}
@@ -67,7 +67,7 @@
 				limit := now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "limit")) * time.Millisecond)
 				ask := r.ask(rapid.IntRange(0, 3).Draw(t, "priority"), limit)
 				ask.Organisation = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation")
-				if w, err := q.Offer(ask, now); err == nil {
+				if w, err := q.Enqueue(ask, now); err == nil {
 					open = append(open, w)
 				}
 			case 2:
@@ -75,7 +75,7 @@
 				q.Step(now)
 			case 3:
 				if len(open) > 0 {
-					open[rapid.IntRange(0, len(open)-1).Draw(t, "late")].Late(now)
+					open[rapid.IntRange(0, len(open)-1).Draw(t, "late")].MarkLate(now)
 				}
 			case 4:
 				if len(open) > 0 {
@@ -102,7 +102,7 @@
 	offer := func(priority int, organisation string) *WaitingPrompt {
 		ask := r.ask(priority, limit)
 		ask.Organisation = organisation
-		w, err := q.Offer(ask, now)
+		w, err := q.Enqueue(ask, now)
 		assert.NilError(t, err)
 		return w
 	}
@@ -110,7 +110,7 @@
 	second, third := offer(1, "a"), offer(1, "a")
 	other := offer(1, "b")
 	urgent := offer(0, "a")
-	late.Late(now)
+	late.MarkLate(now)
 	for i, w := range []*WaitingPrompt{urgent, other, second, third, late} {
 		r.left = 1
 		q.Step(now)
@@ -125,7 +125,7 @@
 	q, r, now := NewPromptQueue(), &room{}, testNow
 	var list []*WaitingPrompt
 	for range 2 {
-		w, err := q.Offer(r.ask(0, now.Add(time.Minute)), now)
+		w, err := q.Enqueue(r.ask(0, now.Add(time.Minute)), now)
 		assert.NilError(t, err)
 		list = append(list, w)
 	}
@@ -147,7 +147,7 @@
 	limit := now.Add(4 * time.Second)
 	var list []*WaitingPrompt
 	for range 5 {
-		w, err := q.Offer(r.ask(0, limit), now)
+		w, err := q.Enqueue(r.ask(0, limit), now)
 		assert.NilError(t, err)
 		list = append(list, w)
 	}
@@ -161,13 +161,13 @@
 		case <-w.Ready():
 			refused++
 			var err *RefusedError
-			assert.Assert(t, errors.As(w.Refused(), &err))
+			assert.Assert(t, errors.As(w.Err(), &err))
 			assert.Assert(t, err.RetryAfter >= minRetry)
 		default:
 		}
 	}
 	assert.Assert(t, refused >= 3, "%d refused after half of their time", refused)
-	_, err := q.Offer(r.ask(0, now.Add(time.Second)), now)
+	_, err := q.Enqueue(r.ask(0, now.Add(time.Second)), now)
 	var refusal *RefusedError
 	assert.Assert(t, errors.As(err, &refusal))
 }
@@ -180,7 +180,7 @@
 		now = now.Add(10 * time.Millisecond)
 		ask := r.ask(0, now.Add(time.Second))
 		ask.Organisation = fmt.Sprint(i % 3)
-		w, err := q.Offer(ask, now)
+		w, err := q.Enqueue(ask, now)
 		assert.NilError(t, err, "prompt %d", i)
 		waiting = append(waiting, w)
 		if i < 20 {
--- a/pkg/route/replay_test.go
+++ b/pkg/route/replay_test.go
@@ -24,8 +24,8 @@
 	engines []*replayEngine
 	index   map[string]int
 
-	mute bool               // Nodes tell each other nothing.
-	told []map[Key]PeerLoad // What each node has told last.
+	mute bool                    // Nodes tell each other nothing.
+	told []map[NameHash]PeerLoad // What each node has told last.
 
 	sent, late int
 	lost       int // Sent to an engine that was silent or fell silent before its answer.
@@ -94,7 +94,7 @@
 	for i := range r.pools {
 		r.after(time.Duration(r.rng.Int64N(int64(replayTell))), func() { r.tell(i) })
 	}
-	r.told = make([]map[Key]PeerLoad, len(r.pools))
+	r.told = make([]map[NameHash]PeerLoad, len(r.pools))
 	r.after(replayLag, r.settle)
 }
 
@@ -117,7 +117,7 @@
 
 func (r *replay) send(node int) {
 	p := r.pools[node]
-	c, ok := p.Pick(&Need{Model: "m", Tokens: replayTokens, Priority: 1}, r.now)
+	c, ok := p.Pick(&PickInput{Model: "m", Tokens: replayTokens, Priority: 1}, r.now)
 	if !ok {
 		return
 	}
@@ -145,7 +145,7 @@
 		if first > replayAim {
 			r.late++
 		}
-		k.First(r.now)
+		k.FirstByte(r.now)
 		r.after(replayRun, func() {
 			k.End(OutcomeOK, r.now)
 		})
@@ -159,7 +159,7 @@
 	if r.mute {
 		return
 	}
-	told := map[Key]PeerLoad{}
+	told := map[NameHash]PeerLoad{}
 	for _, l := range r.pools[node].AppendLoads(nil) {
 		told[l.Key] = l.Load
 	}
@@ -169,13 +169,13 @@
 // settle has each node know the sum of what the others have told.
 func (r *replay) settle() {
 	r.after(replayLag/2, r.settle)
-	sum := map[Key]PeerLoad{}
+	sum := map[NameHash]PeerLoad{}
 	for _, told := range r.told {
 		for key, l := range told {
 			sum[key] = sum[key].Plus(l)
 		}
 	}
-	others := make(map[Key]PeerLoad, len(sum))
+	others := make(map[NameHash]PeerLoad, len(sum))
 	for i, p := range r.pools {
 		for key, l := range sum {
 			others[key] = l.Minus(r.told[i][key])
--- a/pkg/route/replica.go
+++ b/pkg/route/replica.go
@@ -30,7 +30,7 @@
 type replica struct {
 	Replica
 	report   Report
-	tickets  map[*Ticket]struct{} // Own runs in flight.
+	tickets  map[*InFlightRun]struct{} // Own runs in flight.
 	meanRun  time.Duration
 	failures int // In a row.
 	ejection time.Duration
@@ -41,7 +41,7 @@
 func newReplica(r Replica, now time.Time) *replica {
 	return &replica{
 		Replica: r,
-		tickets: map[*Ticket]struct{}{},
+		tickets: map[*InFlightRun]struct{}{},
 		meanRun: defaultRun,
 		report:  Report{Taken: now},
 	}
--- a/pkg/route/request.go
+++ b/pkg/route/request.go
@@ -23,8 +23,8 @@
 	Object prompt.Object `json:"object"`
 	Chunks int           `json:"chunks"` // How much of the object.
 	Bytes  int64         `json:"bytes"`
-	// GiveUp is after how long recomputing is the better way.
-	GiveUp time.Duration `json:"give_up_ns"`
+	// Timeout is after how long recomputing is the better way.
+	Timeout time.Duration `json:"give_up_ns"`
 }
 
 // Decision says where a request runs.
--- a/pkg/route/ticket.go
+++ b/pkg/route/ticket.go
@@ -14,8 +14,8 @@
 	OutcomeNeutral
 )
 
-// Ticket is one of this node's own runs in flight.
-type Ticket struct {
+// InFlightRun is one of this node's own runs in flight.
+type InFlightRun struct {
 	fleet  *Fleet
 	name   string
 	begun  time.Time
@@ -23,8 +23,8 @@
 	first  bool
 }
 
-// First records that the first token has come.
-func (t *Ticket) First() {
+// FirstToken records that the first token has come.
+func (t *InFlightRun) FirstToken() {
 	t.fleet.mu.Lock()
 	defer t.fleet.mu.Unlock()
 	t.first = true
@@ -32,7 +32,7 @@
 
 // End records how the run ended; a replica that fails several times in a row is
 // passed over for a growing time, unless too many of its model are already.
-func (t *Ticket) End(o Outcome, now time.Time) {
+func (t *InFlightRun) End(o Outcome, now time.Time) {
 	t.fleet.mu.Lock()
 	defer t.fleet.mu.Unlock()
 	r, ok := t.fleet.replicas[t.name]
--- a/pkg/route/weights.go
+++ b/pkg/route/weights.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Weights price the parts of a decision against each other. Corrib's and
+// CostWeights price the parts of a decision against each other. Corrib's and
 // Milkline's settings differ only in these.
-type Weights struct {
+type CostWeights struct {
 	// Latency is the price of a second of first-token time.
 	Latency float64
 	// Recompute is the price of a second of a replica's prefill.
--- a/pkg/suspect/case.go
+++ b/pkg/suspect/case.go
@@ -13,8 +13,8 @@
 
 // Verdicts.
 const (
-	// Free requests are sent like all others.
-	Free Verdict = iota
+	// Allowed requests are sent like all others.
+	Allowed Verdict = iota
 	// Watched requests run once at a time among all nodes.
 	Watched
 	// Blocked requests are not sent.
@@ -52,8 +52,8 @@
 	finishTerm = 10 * time.Second
 )
 
-// End is the end of one replica while a request was in flight there.
-type End struct {
+// ReplicaEnd is the end of one replica while a request was in flight there.
+type ReplicaEnd struct {
 	// Replica names the start of the replica.
 	Replica string
 	// Begun is when the request was sent there, At when the replica had ended.
@@ -63,17 +63,17 @@
 // Case is what is known of one request.
 type Case struct {
 	Content site.Fingerprint
-	// Sketch is a quick hash of the same, by which finishes are remembered.
-	Sketch uint64
+	// QuickHash is a quick hash of the same, by which finishes are remembered.
+	QuickHash uint64
 	// Ends are by time.
-	Ends []End
+	Ends []ReplicaEnd
 	// Finished is when a replica last finished the request, as far as is known; zero for
 	// never.
 	Finished time.Time
 }
 
-// Last is when something was last known to happen to the request.
-func (c *Case) Last() time.Time {
+// LastEvent is when something was last known to happen to the request.
+func (c *Case) LastEvent() time.Time {
 	last := c.Finished
 	for _, e := range c.Ends {
 		if e.At.After(last) {
@@ -91,7 +91,7 @@
 	case n >= watchEnds:
 		return Watched
 	default:
-		return Free
+		return Allowed
 	}
 }
 
@@ -111,8 +111,8 @@
 
 // merge takes in what else is known and says whether it was new.
 func (c *Case) merge(other Case) (changed bool) {
-	if c.Sketch == 0 {
-		c.Sketch = other.Sketch
+	if c.QuickHash == 0 {
+		c.QuickHash = other.QuickHash
 	}
 	if other.Finished.After(c.Finished) {
 		c.Finished = other.Finished
@@ -132,7 +132,7 @@
 
 // has says whether the end of a replica is kept.
 func (c *Case) has(replica string) bool {
-	return slices.ContainsFunc(c.Ends, func(e End) bool { return e.Replica == replica })
+	return slices.ContainsFunc(c.Ends, func(e ReplicaEnd) bool { return e.Replica == replica })
 }
 
 // keepSome sorts ends by time and drops those beyond the most that are kept. The first one
@@ -140,20 +140,20 @@
 // round, no later round would ever count, and the request never be blocked. Which stay does
 // not depend on the order in which a node hears of them.
 func (c *Case) keepSome() {
-	byTime := func(a, b End) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Replica, b.Replica)) }
+	byTime := func(a, b ReplicaEnd) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Replica, b.Replica)) }
 	slices.SortFunc(c.Ends, byTime)
 	if len(c.Ends) <= mostEnds {
 		return
 	}
 	first, rest := c.Ends[0], c.Ends[1:]
-	slices.SortFunc(rest, func(a, b End) int { return cmp.Or(b.Begun.Compare(a.Begun), cmp.Compare(a.Replica, b.Replica)) })
-	c.Ends = append([]End{first}, rest[:mostEnds-1]...)
+	slices.SortFunc(rest, func(a, b ReplicaEnd) int { return cmp.Or(b.Begun.Compare(a.Begun), cmp.Compare(a.Replica, b.Replica)) })
+	c.Ends = append([]ReplicaEnd{first}, rest[:mostEnds-1]...)
 	slices.SortFunc(c.Ends, byTime)
 }
 
 // outdated says whether an end does not count, as the request was finished about when that
 // run began, or later.
-func (c *Case) outdated(e End) bool {
+func (c *Case) outdated(e ReplicaEnd) bool {
 	return !c.Finished.IsZero() && e.Begun.Before(c.Finished.Add(finishTerm))
 }
 
--- a/pkg/suspect/finishes.go
+++ b/pkg/suspect/finishes.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sketch hashes what a request asks and for whom, in 10 us for 100 kB. Somebody who makes
+// QuickHash hashes what a request asks and for whom, in 10 us for 100 kB. Somebody who makes
 // two requests alike by it gains that one speaks for the other, among that organisation's
 // own.
-func Sketch(organisation, method, host, target string, body []byte) uint64 {
+func QuickHash(organisation, method, host, target string, body []byte) uint64 {
 	h := xxhash.New()
 	for _, text := range []string{organisation, method, strings.ToLower(host), target} {
 		_, _ = h.WriteString(text + "\x00") // It never fails.
--- a/pkg/suspect/register.go
+++ b/pkg/suspect/register.go
@@ -78,18 +78,18 @@
 	r.finishes.note(sketch, now)
 }
 
-// Change is what a piece of news has done to a case.
-type Change struct {
+// MergeResult is what a piece of news has done to a case.
+type MergeResult struct {
 	Before, After Verdict
 	// New says that anything was not known before.
 	New bool
-	// Own says that this node has finished the request, and others may not know.
-	Own bool
+	// OwnFinish says that this node has finished the request, and others may not know.
+	OwnFinish bool
 }
 
 // Merge takes in what was seen here or told by another node, and what this node remembers
 // of the request itself.
-func (r *Register) Merge(c Case) (done Change) {
+func (r *Register) Merge(c Case) (done MergeResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.known[c.Content]
@@ -108,17 +108,17 @@
 		e.running = time.Time{} // What was under way has ended, or does not matter any more.
 		e.told = !c.Finished.IsZero()
 	}
-	if own := r.finishes.at(e.Sketch); own.After(e.Finished) {
+	if own := r.finishes.at(e.QuickHash); own.After(e.Finished) {
 		e.merge(Case{Finished: own})
-		done.New, done.Own = true, !e.told
+		done.New, done.OwnFinish = true, !e.told
 	}
 	done.After = e.Verdict()
 	return done
 }
 
-// MayTell says whether this node is to tell of its own finish of a request: nobody has
+// ShouldAnnounce says whether this node is to tell of its own finish of a request: nobody has
 // told of one since the last end.
-func (r *Register) MayTell(f site.Fingerprint) bool {
+func (r *Register) ShouldAnnounce(f site.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.known[f]
@@ -129,15 +129,15 @@
 	return true
 }
 
-// Run asks whether a watched request may be sent now by this node; it counts as under way
+// StartRun asks whether a watched request may be sent now by this node; it counts as under way
 // for at most a time, unless something is heard of it before.
-func (r *Register) Run(f site.Fingerprint, most time.Duration, now time.Time) bool {
+func (r *Register) StartRun(f site.Fingerprint, most time.Duration, now time.Time) bool {
 	return r.run(f, "", most, now)
 }
 
-// Lend is Run for another node. A node has one run under way at a time, so one that asks
+// GrantRun is Run for another node. A node has one run under way at a time, so one that asks
 // again has not heard the answer, or its run is over.
-func (r *Register) Lend(f site.Fingerprint, node string, most time.Duration, now time.Time) bool {
+func (r *Register) GrantRun(f site.Fingerprint, node string, most time.Duration, now time.Time) bool {
 	return r.run(f, node, most, now)
 }
 
@@ -146,7 +146,7 @@
 	defer r.mu.Unlock()
 	e := r.known[f]
 	switch {
-	case e == nil || e.Verdict() == Free:
+	case e == nil || e.Verdict() == Allowed:
 		return true
 	case e.Verdict() == Blocked:
 		return false
@@ -157,12 +157,12 @@
 	return true
 }
 
-// Over notes that this node's run of a watched request is no longer under way, with no word
+// EndRun notes that this node's run of a watched request is no longer under way, with no word
 // of its replica.
-func (r *Register) Over(f site.Fingerprint) { r.Return(f, "") }
+func (r *Register) EndRun(f site.Fingerprint) { r.EndGrantedRun(f, "") }
 
-// Return is Over for a run that was lent to another node.
-func (r *Register) Return(f site.Fingerprint, node string) {
+// EndGrantedRun is Over for a run that was lent to another node.
+func (r *Register) EndGrantedRun(f site.Fingerprint, node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.known[f]; e != nil && e.lent == node {
@@ -170,14 +170,14 @@
 	}
 }
 
-// Held lists the cases that are watched or blocked, the newest first.
-func (r *Register) Held(most int) []Case {
-	return r.newest(most, func(e *entry) bool { return e.Verdict() != Free })
+// Flagged lists the cases that are watched or blocked, the newest first.
+func (r *Register) Flagged(most int) []Case {
+	return r.newest(most, func(e *entry) bool { return e.Verdict() != Allowed })
 }
 
 // Cleared returns those that are free as they were finished, the newest first.
 func (r *Register) Cleared(most int) []Case {
-	return r.newest(most, func(e *entry) bool { return !e.Finished.IsZero() && e.Verdict() == Free })
+	return r.newest(most, func(e *entry) bool { return !e.Finished.IsZero() && e.Verdict() == Allowed })
 }
 
 func (r *Register) newest(most int, which func(e *entry) bool) (list []Case) {
@@ -188,7 +188,7 @@
 			list = append(list, e.copy())
 		}
 	}
-	slices.SortFunc(list, func(a, b Case) int { return b.Last().Compare(a.Last()) })
+	slices.SortFunc(list, func(a, b Case) int { return b.LastEvent().Compare(a.LastEvent()) })
 	return list[:min(len(list), most)]
 }
 
@@ -197,7 +197,7 @@
 	if r.Empty() {
 		return 0, 0
 	}
-	for _, c := range r.Held(mostCases) {
+	for _, c := range r.Flagged(mostCases) {
 		if c.Verdict() == Blocked {
 			blocked++
 		} else {
@@ -216,7 +216,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for f, e := range r.known {
-		if v := e.Verdict(); v != Free {
+		if v := e.Verdict(); v != Allowed {
 			sum += xxhash.Sum64String(string(f[:]) + v.String())
 		}
 	}
@@ -232,10 +232,10 @@
 	defer r.mu.Unlock()
 	for f, e := range r.known {
 		term := heldTerm
-		if e.Verdict() == Free {
+		if e.Verdict() == Allowed {
 			term = freeTerm
 		}
-		if now.Sub(e.Last()) >= term {
+		if now.Sub(e.LastEvent()) >= term {
 			delete(r.known, f)
 		}
 	}
@@ -251,7 +251,7 @@
 	}
 	var least *entry
 	for _, e := range r.known {
-		if least == nil || cmp.Or(cmp.Compare(e.Verdict(), least.Verdict()), e.Last().Compare(least.Last())) < 0 {
+		if least == nil || cmp.Or(cmp.Compare(e.Verdict(), least.Verdict()), e.LastEvent().Compare(least.LastEvent())) < 0 {
 			least = e
 		}
 	}
--- a/pkg/suspect/register_test.go
+++ b/pkg/suspect/register_test.go
@@ -20,12 +20,12 @@
 }
 
 func sketch(name string) uint64 {
-	return suspect.Sketch("org-one", "POST", "boards.example", "/x", []byte(name))
+	return suspect.QuickHash("org-one", "POST", "boards.example", "/x", []byte(name))
 }
 
 // end is that a replica ended under a request, after a run of 0.1 s.
 func end(name, replica string, s float64) suspect.Case {
-	return suspect.Case{Content: content(name), Sketch: sketch(name), Ends: []suspect.End{{Replica: replica, Begun: at(s - 0.1), At: at(s)}}}
+	return suspect.Case{Content: content(name), QuickHash: sketch(name), Ends: []suspect.ReplicaEnd{{Replica: replica, Begun: at(s - 0.1), At: at(s)}}}
 }
 
 func verdict(r *suspect.Register, name string) suspect.Verdict {
@@ -36,13 +36,13 @@
 func TestThirdEndBlocksARequest(t *testing.T) {
 	r := suspect.NewRegister()
 	assert.Assert(t, r.Empty())
-	for i, want := range []suspect.Verdict{suspect.Free, suspect.Watched, suspect.Blocked, suspect.Blocked} {
+	for i, want := range []suspect.Verdict{suspect.Allowed, suspect.Watched, suspect.Blocked, suspect.Blocked} {
 		done := r.Merge(end("a", fmt.Sprint("r", i), float64(i)))
 		assert.Assert(t, done.New)
 		assert.Equal(t, done.After, want, "end %d", i)
 		assert.Assert(t, !r.Merge(end("a", fmt.Sprint("r", i), float64(i))).New, "told twice")
 	}
-	assert.Equal(t, verdict(r, "b"), suspect.Free)
+	assert.Equal(t, verdict(r, "b"), suspect.Allowed)
 	watched, blocked := r.Count()
 	assert.Equal(t, watched, 0)
 	assert.Equal(t, blocked, 1)
@@ -61,23 +61,23 @@
 
 func TestFinishSpeaksForRunsNearIt(t *testing.T) {
 	finished := func(s float64) suspect.Case {
-		return suspect.Case{Content: content("a"), Sketch: sketch("a"), Finished: at(s)}
+		return suspect.Case{Content: content("a"), QuickHash: sketch("a"), Finished: at(s)}
 	}
 	r := suspect.NewRegister()
 	r.Merge(end("a", "r1", 1))
 	r.Merge(end("a", "r2", 2))
 	assert.Equal(t, verdict(r, "a"), suspect.Watched)
 	done := r.Merge(finished(3))
-	assert.Equal(t, done.After, suspect.Free)
+	assert.Equal(t, done.After, suspect.Allowed)
 	r.Merge(end("a", "r1", 1)) // Told late.
 	r.Merge(end("a", "r3", 9))
 	r.Merge(end("a", "r4", 10))
-	assert.Equal(t, verdict(r, "a"), suspect.Free, "runs that began soon after it")
+	assert.Equal(t, verdict(r, "a"), suspect.Allowed, "runs that began soon after it")
 	for i, s := range []float64{14, 15, 16} {
 		r.Merge(end("a", fmt.Sprint("s", i), s))
 	}
 	assert.Equal(t, verdict(r, "a"), suspect.Blocked, "a request may turn bad")
-	assert.Equal(t, r.Merge(finished(17)).After, suspect.Free)
+	assert.Equal(t, r.Merge(finished(17)).After, suspect.Allowed)
 }
 
 // A finish that this node has seen counts though nobody spoke of ends then.
@@ -85,34 +85,34 @@
 	r := suspect.NewRegister()
 	r.Finished(sketch("a"), at(1))
 	told := end("a", "r1", 2)
-	told.Ends = append(told.Ends, suspect.End{Replica: "r2", Begun: at(2), At: at(3)})
+	told.Ends = append(told.Ends, suspect.ReplicaEnd{Replica: "r2", Begun: at(2), At: at(3)})
 	done := r.Merge(told)
-	assert.Equal(t, done.After, suspect.Free)
-	assert.Assert(t, done.Own, "others are to hear of it")
-	assert.Assert(t, r.MayTell(content("a")))
-	assert.Assert(t, !r.MayTell(content("a")), "once")
+	assert.Equal(t, done.After, suspect.Allowed)
+	assert.Assert(t, done.OwnFinish, "others are to hear of it")
+	assert.Assert(t, r.ShouldAnnounce(content("a")))
+	assert.Assert(t, !r.ShouldAnnounce(content("a")), "once")
 	other := suspect.NewRegister()
 	other.Merge(told)
 	assert.Equal(t, verdict(other, "a"), suspect.Watched)
 	other.Merge(r.Case(content("a")))
-	assert.Equal(t, verdict(other, "a"), suspect.Free)
+	assert.Equal(t, verdict(other, "a"), suspect.Allowed)
 }
 
 func TestWatchedRequestRunsOnceAtATime(t *testing.T) {
 	r := suspect.NewRegister()
 	f := content("a")
 	for range 2 {
-		assert.Assert(t, r.Run(f, time.Second, at(0)), "not watched")
+		assert.Assert(t, r.StartRun(f, time.Second, at(0)), "not watched")
 	}
 	r.Merge(end("a", "r1", 1))
 	r.Merge(end("a", "r2", 2))
-	assert.Assert(t, r.Run(f, time.Second, at(3)))
-	assert.Assert(t, !r.Run(f, time.Second, at(3.5)))
-	assert.Assert(t, r.Run(f, time.Second, at(4.1)), "nothing was heard of it in its time")
-	r.Over(f)
-	assert.Assert(t, r.Run(f, time.Second, at(4.2)))
+	assert.Assert(t, r.StartRun(f, time.Second, at(3)))
+	assert.Assert(t, !r.StartRun(f, time.Second, at(3.5)))
+	assert.Assert(t, r.StartRun(f, time.Second, at(4.1)), "nothing was heard of it in its time")
+	r.EndRun(f)
+	assert.Assert(t, r.StartRun(f, time.Second, at(4.2)))
 	r.Merge(end("a", "r3", 4.3))
-	assert.Assert(t, !r.Run(f, time.Second, at(9)), "blocked")
+	assert.Assert(t, !r.StartRun(f, time.Second, at(9)), "blocked")
 }
 
 func TestOldCasesAreForgotten(t *testing.T) {
@@ -142,7 +142,7 @@
 	assert.Equal(t, verdict(r, "blocked"), suspect.Blocked)
 	assert.Equal(t, len(r.Case(content("b0")).Ends), 0, "the oldest went")
 	assert.Equal(t, len(r.Case(content("b4999")).Ends), 1)
-	assert.Equal(t, len(r.Held(10)), 1)
+	assert.Equal(t, len(r.Flagged(10)), 1)
 }
 
 func TestDigestIsAlikeWhereTheSameIsHeld(t *testing.T) {
@@ -163,7 +163,7 @@
 	body := make([]byte, 100_000)
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
-		suspect.Sketch("org-one", "POST", "boards.example", "/screen/1", body)
+		suspect.QuickHash("org-one", "POST", "boards.example", "/screen/1", body)
 	}
 }
 
--- a/service/entry/imports.go
+++ b/service/entry/imports.go
@@ -61,7 +61,7 @@
 		select {
 		case <-s.done:
 			return s.ok
-		case <-time.After(d.Import.GiveUp):
+		case <-time.After(d.Import.Timeout):
 			return false
 		case <-r.ctx.Done():
 			return false
@@ -82,7 +82,7 @@
 	start := time.Now()
 	booking := r.parts.Links.Book(d.Import.Store, d.Replica, d.Import.Bytes, start)
 	// The import may serve others too, so it does not end with this caller.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), d.Import.GiveUp+importGrace)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), d.Import.Timeout+importGrace)
 	defer cancel()
 	answer, err := engine.Import(ctx, upstream.ImportOrder{
 		RequestID:  r.call.RequestID,
@@ -91,7 +91,7 @@
 		Object:     d.Import.Object,
 		Chunks:     d.Import.Chunks,
 		Store:      store.Address,
-		WaitMillis: max(1, d.Import.GiveUp.Milliseconds()),
+		WaitMillis: max(1, d.Import.Timeout.Milliseconds()),
 	})
 	now := time.Now()
 	if err == nil {
@@ -102,7 +102,7 @@
 	}
 	m.ImportsFailed.Add(1)
 	r.log.Info("import gave nothing, recomputing", "store", d.Import.Store, "upstream", d.Replica, "err", err)
-	if now.Sub(start) >= d.Import.GiveUp {
+	if now.Sub(start) >= d.Import.Timeout {
 		booking.GiveUp(now)
 	} else {
 		booking.End(0, now)
--- a/service/entry/parts.go
+++ b/service/entry/parts.go
@@ -52,7 +52,7 @@
 	Policy    route.Policy
 	Admission *route.Admission
 	Retries   *route.RetryBudget
-	Keep      *route.Keep
+	Keep      *route.ExportPolicy
 	Loads     loads
 	Metrics   *Metrics
 	Suspects  *suspects.Suspects
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -31,14 +31,14 @@
 	log     *slog.Logger
 	imports *importGroup
 
-	place     *route.Place
+	place     *route.AdmissionTicket
 	claim     *control.Claim
 	weights   string
 	chain     prompt.Chain
 	match     prompt.Match
 	decision  route.Decision
 	exclude   []string
-	ticket    *route.Ticket
+	ticket    *route.InFlightRun
 	stream    *upstream.Stream
 	reached   bool // A byte of it may have reached an upstream.
 	unreached int  // Tries by which no byte did,
@@ -75,7 +75,7 @@
 		r.voidClaim()
 		return f
 	}
-	r.place.First(time.Now())
+	r.place.FirstToken(time.Now())
 	r.parts.Metrics.FirstTokenMicro.Add(time.Since(r.call.Received).Microseconds())
 	r.parts.Metrics.PromptTokens.Add(int64(r.chain.Tokens))
 	r.parts.Metrics.CachedTokens.Add(int64(r.cached))
@@ -96,7 +96,7 @@
 	limit := r.call.Received.Add(r.parts.Settings.Limits.QueueWait.Std())
 	if d := r.call.Deadline; !d.IsZero() {
 		// What is let in at the last moment still has its way to go.
-		if d = d.Add(-r.parts.Admission.First(r.call.Received)); d.Before(limit) {
+		if d = d.Add(-r.parts.Admission.FirstTokenTime(r.call.Received)); d.Before(limit) {
 			limit = d
 		}
 	}
@@ -108,10 +108,10 @@
 		TokensPerSecond: o.TokensPerSecond,
 	}
 	cost := float64(prompt.TokenCount(r.call.Prompt) + r.call.MaxTokens)
-	place, err := r.parts.Admission.Offer(tenant, cost, r.call.Priority, limit, time.Now())
+	place, err := r.parts.Admission.Enqueue(tenant, cost, r.call.Priority, limit, time.Now())
 	var refused *route.RefusedError
 	if errors.As(err, &refused) {
-		if refused.Reason == route.RefusedLoad && !r.call.Deadline.IsZero() {
+		if refused.Reason == route.RefusedOverload && !r.call.Deadline.IsZero() {
 			return refusal(CodeDeadline, refused.RetryAfter, "the deadline can't be kept: %v", refused)
 		}
 		return admissionRefusal(refused)
@@ -252,7 +252,7 @@
 	}
 	if err == nil {
 		r.pending = true
-		r.ticket.First()
+		r.ticket.FirstToken()
 		if resumeAfter == 0 {
 			r.noteReuse(r.first.CachedTokens)
 		}
@@ -393,7 +393,7 @@
 	r.endAttempt(outcome)
 	r.noteOver()
 	if r.place != nil {
-		r.place.Leave(time.Now())
+		r.place.Release(time.Now())
 	}
 	r.cancel()
 }
--- a/service/entry/run_suspects.go
+++ b/service/entry/run_suspects.go
@@ -34,7 +34,7 @@
 }
 
 func (r *Run) sketch() uint64 {
-	return suspect.Sketch(r.call.Organisation.Name, methodPrompt, r.call.Model, r.call.Adapter, []byte(r.call.Prompt))
+	return suspect.QuickHash(r.call.Organisation.Name, methodPrompt, r.call.Model, r.call.Adapter, []byte(r.call.Prompt))
 }
 
 // suspected refuses a prompt under which engines have ended. Without it one prompt went on
@@ -85,10 +85,10 @@
 	}
 	run := suspects.LostRun{
 		Content: r.content(),
-		Sketch:  r.sketch(),
+		QuickHash:  r.sketch(),
 		Request: r.call.RequestID,
 		Replica: replica,
-		Life:    suspects.LifeOf(replica, life),
+		StartKey:    suspects.StartKeyOf(replica, life),
 		Begun:   r.sent,
 		At:      boottime.Now(),
 	}
@@ -98,8 +98,8 @@
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, endLook)
 	defer cancel()
-	if _, err := engine.Load(ctx); suspects.ShowsEnd(err) {
-		r.parts.Suspects.Ended(run, run.At)
+	if _, err := engine.Load(ctx); suspects.NotListening(err) {
+		r.parts.Suspects.RecordEnd(run, run.At)
 		r.watched = false // Whoever let it run hears of that.
 	}
 }
@@ -107,9 +107,9 @@
 // noteOver tells what became of the run.
 func (r *Run) noteOver() {
 	if r.done {
-		r.parts.Suspects.Finished(r.sketch(), r.content, boottime.Now())
+		r.parts.Suspects.RecordFinish(r.sketch(), r.content, boottime.Now())
 	} else if r.watched {
-		r.parts.Suspects.Over(r.content())
+		r.parts.Suspects.EndRun(r.content())
 	}
 	r.watched = false
 }
--- a/service/gateway/attempt.go
+++ b/service/gateway/attempt.go
@@ -39,7 +39,7 @@
 	conns   *upstreamConns
 	codec   Codec
 	choice  route.Choice
-	flight  *route.Flight
+	flight  *route.InFlightRequest
 	plan    *route.Plan
 	realm   string // Of the prompt's kept state.
 	begun   time.Time
@@ -79,7 +79,7 @@
 		return
 	}
 	a.took = now.Sub(a.begun)
-	a.plan.First(a.flight.First(now), now)
+	a.plan.FirstByte(a.flight.FirstByte(now), now)
 }
 
 // gap notes the pause before bytes of a stream.
--- a/service/gateway/beliefs.go
+++ b/service/gateway/beliefs.go
@@ -20,8 +20,8 @@
 	codec      Codec
 	hall       string
 	returnTime time.Duration
-	kept       *route.Kept
-	without    config.WithoutSettings
+	kept       *route.CacheIndex
+	without    config.DisabledMechanisms
 	regions    map[string]string // Of data halls.
 	cold       config.ColdSettings
 	shares     route.ColdShares
@@ -75,7 +75,7 @@
 }
 
 // NewBeliefs returns beliefs of which none is held yet.
-func NewBeliefs(c Codec, hall string, returnTime time.Duration, k *route.Kept, log *slog.Logger) *Beliefs {
+func NewBeliefs(c Codec, hall string, returnTime time.Duration, k *route.CacheIndex, log *slog.Logger) *Beliefs {
 	return &Beliefs{
 		codec:      c,
 		hall:       hall,
@@ -260,7 +260,7 @@
 	// What was held before is forgotten without the lock: look-ups of it ask the beliefs
 	// with a lock of their own.
 	for id, planned := range b.applyUpstreams(rows, whole, now) {
-		b.kept.Restarted(id)
+		b.kept.ResetEngine(id)
 		b.restarted(id, planned, now)
 	}
 	b.tellDropped(now)
@@ -358,7 +358,7 @@
 // HearDraining takes in that a start of a replica says in answers that it drains, and says
 // whether that is news. It holds until the replica ends, whatever the list says: a row may be
 // late, or not have been written, and a replica that drains does not go back on it.
-func (b *Beliefs) HearDraining(w route.Whom, now time.Time) (first bool) {
+func (b *Beliefs) HearDraining(w route.ReplicaRef, now time.Time) (first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	told := site.Upstream{ID: w.ID, Started: w.Started}
@@ -443,8 +443,8 @@
 	for service := range lists {
 		if b.pools[service] == nil {
 			b.pools[service] = route.NewPool(b.hall, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-			b.pools[service].LimitRates(b.rates)
-			b.pools[service].Without(b.without)
+			b.pools[service].SetRateLimits(b.rates)
+			b.pools[service].Disable(b.without)
 			b.limitPool(b.snapshot.Load(), service)
 		}
 	}
--- a/service/gateway/beliefs_test.go
+++ b/service/gateway/beliefs_test.go
@@ -14,7 +14,7 @@
 
 // Each version's time counts from its own naming, whatever came behind it.
 func TestWhenWeightsWereReplaced(t *testing.T) {
-	b := NewBeliefs(nil, "h", time.Second, route.NewKept(), slog.New(slog.DiscardHandler))
+	b := NewBeliefs(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
 	t0 := time.Now()
 	at := func(s int) time.Time { return t0.Add(time.Duration(s) * time.Second) }
 	assert.Assert(t, b.ReplacedAt("m", 1).IsZero())
@@ -41,7 +41,7 @@
 // What settled it: a dump of the process, with Beliefs.take waiting in Kept.Restarted and
 // everything else for the beliefs.
 func TestReplicaThatHasStartedAgainDoesNotStopLookUps(t *testing.T) {
-	k := route.NewKept()
+	k := route.NewCacheIndex()
 	b := NewBeliefs(nil, "h", time.Second, k, slog.New(slog.DiscardHandler))
 	u := site.Upstream{ID: "e", Service: "s", DataHall: "h", Started: time.UnixMilli(1), Weights: map[string]int64{"m": 1}}
 	b.applyRestart(u, time.Now())
@@ -51,9 +51,9 @@
 		realm := func(version int64) route.Realm {
 			close(inside)
 			time.Sleep(100 * time.Millisecond) // For the list to come meanwhile.
-			return route.Realm{Name: "r", Before: b.ReplacedAt("m", version)}
+			return route.Realm{Name: "r", CompleteBefore: b.ReplacedAt("m", version)}
 		}
-		k.Look([]site.Upstream{u}, "m", realm, []site.Part{{ID: "p", Tokens: 10}}, &site.Engine{}, time.Second, time.Now())
+		k.Coverage([]site.Upstream{u}, "m", realm, []site.Part{{ID: "p", Tokens: 10}}, &site.Engine{}, time.Second, time.Now())
 	}()
 	<-inside
 	again := u
@@ -82,7 +82,7 @@
 
 // A replica said in its answers that it drains, and its row, which is late or comes again, said that it is ready.
 func TestDrainThatAnAnswerSaysHoldsAgainstTheList(t *testing.T) {
-	b := NewBeliefs(nil, "h", time.Second, route.NewKept(), slog.New(slog.DiscardHandler))
+	b := NewBeliefs(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
 	now := time.Now()
 	u := site.Upstream{ID: "e", Service: "s", DataHall: "h", Started: time.UnixMilli(5)}
 	b.applyRestart(u, now)
@@ -91,10 +91,10 @@
 		b.ApplyUpstreams([]site.Row{{Key: "e", Version: version, Gone: gone}}, false, now)
 	}
 	assert.Assert(t, p.Accepts(&u, now))
-	assert.Assert(t, b.HearDraining(route.WhomOf(&u), now), "it is news, and told at once")
-	assert.Assert(t, !b.HearDraining(route.WhomOf(&u), now))
+	assert.Assert(t, b.HearDraining(route.RefOf(&u), now), "it is news, and told at once")
+	assert.Assert(t, !b.HearDraining(route.RefOf(&u), now))
 	assert.Assert(t, !p.Accepts(&u, now))
-	assert.Assert(t, !p.Stays("e"))
+	assert.Assert(t, !p.IsActive("e"))
 	row(6, false)
 	assert.Assert(t, !p.Accepts(&u, now), "written once more as ready")
 	row(7, true)
@@ -105,16 +105,16 @@
 	again.Started = time.UnixMilli(9)
 	b.applyRestart(again, now)
 	assert.Assert(t, p.Accepts(&again, now), "it has started again")
-	assert.Assert(t, !b.HearDraining(route.WhomOf(&u), now), "its former start's answer comes late")
+	assert.Assert(t, !b.HearDraining(route.RefOf(&u), now), "its former start's answer comes late")
 	assert.Assert(t, p.Accepts(&again, now))
 }
 
 func TestStartsThatDrainedAreForgotten(t *testing.T) {
-	b := NewBeliefs(nil, "h", time.Second, route.NewKept(), slog.New(slog.DiscardHandler))
+	b := NewBeliefs(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
 	now := time.Now()
 	for i := range 1000 {
 		now = now.Add(drainingKept / 10)
-		b.HearDraining(route.Whom{ID: fmt.Sprint(i)}, now)
+		b.HearDraining(route.ReplicaRef{ID: fmt.Sprint(i)}, now)
 	}
 	assert.Assert(t, len(b.draining) <= 11, "%d", len(b.draining))
 }
--- a/service/gateway/control_bench_test.go
+++ b/service/gateway/control_bench_test.go
@@ -25,7 +25,7 @@
 func newFleetNode(b *testing.B, nodeCount, engines int) (*nodes, *holdings) {
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: "front-0", DataHall: "hall-0", State: control.MemberAlive, Link: 20}
-	k := route.NewKept()
+	k := route.NewCacheIndex()
 	bel := NewBeliefs(nil, self.DataHall, time.Second, k, log)
 	engine := &site.Engine{PlannedFetch: true, MaxWatches: 4, TokenBytes: 18_000, LinkRate: 1e10, Capacity: 40_000}
 	bel.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
@@ -64,13 +64,13 @@
 	s := stateNote{From: "front-x" + hall, Hall: hall, Boot: 1, Seq: seq}
 	var loads []route.ReplicaLoad
 	for i := range engines {
-		load := route.PeerLoad{Requests: 1 + i%3, Memory: 9000 + i, Tokens: route.Banded{i % 2 * 1500, i % 5 * 1700}}
-		loads = append(loads, route.ReplicaLoad{Key: route.KeyOf(engineID(i)), Load: load})
+		load := route.PeerLoad{Requests: 1 + i%3, Memory: 9000 + i, Tokens: route.BandTokens{i % 2 * 1500, i % 5 * 1700}}
+		loads = append(loads, route.ReplicaLoad{Key: route.HashName(engineID(i)), Load: load})
 	}
 	var links []route.StoreTally
 	for i := range 58 {
 		tally := route.Tally{Bytes: int64(i) * 1e9, Late: int64(i), Early: 100 * int64(i)}
-		links = append(links, route.StoreTally{Key: route.KeyOf(fmt.Sprint("spec-cache-", i)), Tally: tally})
+		links = append(links, route.StoreTally{Key: route.HashName(fmt.Sprint("spec-cache-", i)), Tally: tally})
 	}
 	s.Loads, s.Links = packLoads(loads), packTallies(links)
 	text, err := json.Marshal(s)
@@ -150,8 +150,8 @@
 					if _, wanted := h.ranked[engineID(i)]; !wanted {
 						continue
 					}
-					changes := []route.HeldChange{{Part: route.PartHash(i*1000 + batch), Tokens: 3000}, {Part: route.PartHash(i*1000 + (batch+10)%20)}}
-					a.News = append(a.News, packHeld(route.HeldChanges{Engine: engineID(i), Changes: changes}))
+					changes := []route.EngineCacheChange{{Part: route.PartHash(i*1000 + batch), Tokens: 3000}, {Part: route.PartHash(i*1000 + (batch+10)%20)}}
+					a.News = append(a.News, packHeld(route.EngineCacheUpdate{Engine: engineID(i), Changes: changes}))
 				}
 				text, err := json.Marshal(a)
 				if err != nil {
--- a/service/gateway/directory.go
+++ b/service/gateway/directory.go
@@ -93,7 +93,7 @@
 	r := router.New()
 	r.GET("/metrics", func(c *fasthttp.RequestCtx) { writeJSON(c, g.status()) })
 	r.GET("/state", func(c *fasthttp.RequestCtx) {
-		state := map[string][]route.MemberStatus{}
+		state := map[string][]route.PoolReplicaStatus{}
 		g.nodes.settle(boottime.Now())
 		for service, p := range g.beliefs.Pools() {
 			state[service] = p.Status(boottime.Now())
--- a/service/gateway/dispatch.go
+++ b/service/gateway/dispatch.go
@@ -51,12 +51,12 @@
 	}
 	replaced := x.g.beliefs.ReplacedAt(x.need.Model, c.Weights)
 	plan := x.g.kept.Plan(d.Realm, c.Upstream, shared, x.service.Engine, route.PlanLimits{
-		Longest: x.longestFetch(),
+		MaxFetchTime: x.longestFetch(),
 		// While weights are being replaced, what a replica reads may be of either.
-		Save:   replaced.IsZero(),
-		Before: replaced,
-		Homed:  x.need.Homed,
-		Homes:  x.need.Homes,
+		Save:           replaced.IsZero(),
+		CompleteBefore: replaced,
+		HomesOnly:      x.need.HomesOnly,
+		Homes:          x.need.Homes,
 	}, now)
 	d.Sources, d.Saves = plan.Sources, plan.Saves
 	if clock, ok := x.g.clock.read(now); ok && plan.Fetched > 0 {
--- a/service/gateway/evacuations.go
+++ b/service/gateway/evacuations.go
@@ -149,10 +149,10 @@
 	if s == nil || s.Services[service] == nil || b.shares == nil {
 		return
 	}
-	most, ok := route.NewColdLimit(s.Services[service].ColdRate, b.cold.Overage, b.cold.Slack)
+	most, ok := route.ColdRequestLimit(s.Services[service].ColdRate, b.cold.Overage, b.cold.Slack)
 	if !ok {
-		b.pools[service].LimitCold(0, nil)
+		b.pools[service].SetColdLimit(0, nil)
 		return
 	}
-	b.pools[service].LimitCold(most, b.shares)
+	b.pools[service].SetColdLimit(most, b.shares)
 }
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -28,7 +28,7 @@
 	organisation *site.Organisation
 	service      *site.Service
 	pool         *route.Pool
-	need         route.Need
+	need         route.PickInput
 
 	place *route.WaitingPrompt // In the queue, or let in.
 	// lateFrom is from when on the answer can't come in good time if the prompt is
@@ -174,7 +174,7 @@
 	switch fate {
 	case fateAnswered:
 		if x.need.Model != "" && a.answer.Weights > 0 {
-			x.pool.Serves(route.WhomOf(&choice.Upstream), x.need.Model, a.answer.Weights)
+			x.pool.RecordWeights(route.RefOf(&choice.Upstream), x.need.Model, a.answer.Weights)
 		}
 		return x.take(ctx, a)
 	case fateNotRun:
@@ -209,11 +209,11 @@
 
 // lost notes that a replica can't be reached.
 func (x *exchange) lost(u *site.Upstream, now time.Time) {
-	if x.pool.Lost(u.ID, now) {
-		x.g.nodes.doubt(route.WhomOf(u))
+	if x.pool.RecordUnreachable(u.ID, now) {
+		x.g.nodes.doubt(route.RefOf(u))
 	}
 	x.g.conns.lost(u.ID)
-	x.g.kept.DoubtEngine(u.ID, now.Add(doubtTerm))
+	x.g.kept.AvoidEngine(u.ID, now.Add(doubtTerm))
 }
 
 // notRun goes on after a replica that refused.
@@ -225,7 +225,7 @@
 	x.refused++
 	x.g.metrics.notRun.Add(1)
 	x.g.log.Info("replica refused", "request", x.terms.ID, "replica", a.choice.ID, "status", a.head.Status,
-		"weights", a.choice.Weights, "newest", x.need.Newest, "limit", a.answer.Limit.String(),
+		"weights", a.choice.Weights, "newest", x.need.NewestVersion, "limit", a.answer.Limit.String(),
 		"draining", a.answer.Draining, "backoff", a.answer.Backoff, "not_run", x.refused)
 	if x.refused > mostRefusals || !x.mayRetry(now) {
 		return false, x.noneLeft()
@@ -249,19 +249,19 @@
 func (x *exchange) learnRefusal(a *attempt, now time.Time) {
 	if a.head.Status != http.StatusMisdirectedRequest {
 		term := fullTerm
-		if x.need.Newest > a.choice.Weights && a.choice.Weights > 0 {
+		if x.need.NewestVersion > a.choice.Weights && a.choice.Weights > 0 {
 			// It is likely changing its weights.
 			term = otherTerm
 		}
 		x.pool.Avoid(a.choice.ID, now.Add(term))
 		return
 	}
-	if x.need.Newest > a.choice.Weights && a.choice.Weights > 0 {
-		x.pool.Serves(route.WhomOf(&a.choice.Upstream), x.need.Model, x.need.Newest)
+	if x.need.NewestVersion > a.choice.Weights && a.choice.Weights > 0 {
+		x.pool.RecordWeights(route.RefOf(&a.choice.Upstream), x.need.Model, x.need.NewestVersion)
 		return
 	}
 	x.pool.Avoid(a.choice.ID, now.Add(goneTerm))
-	x.g.kept.DoubtEngine(a.choice.ID, now.Add(goneTerm))
+	x.g.kept.AvoidEngine(a.choice.ID, now.Add(goneTerm))
 }
 
 // unknown goes on after a connection that was lost while the request may have
@@ -278,7 +278,7 @@
 	if lostPeer(err) {
 		x.lost(&a.choice.Upstream, now)
 	} else {
-		x.pool.Broke(a.choice.ID, now)
+		x.pool.RecordDisconnect(a.choice.ID, now)
 	}
 	x.g.log.Warn("answer lost", "request", x.terms.ID, "content", x.fingerprint(), "replica", a.choice.ID, "attempts", x.ran, "err", err)
 	return x.repeat(a.choice.ID, now)
@@ -318,8 +318,8 @@
 	if x.ran > 0 {
 		return refuse(http.StatusBadGateway, reasonLost)
 	}
-	why := x.pool.WhyNone(&x.need, boottime.Now())
-	if x.refused > 0 && why.Free+why.Excluded[route.ExcludedTried] > 0 {
+	why := x.pool.Availability(&x.need, boottime.Now())
+	if x.refused > 0 && why.Eligible+why.Excluded[route.ExcludedTried] > 0 {
 		return comeBack(reasonReplicasFull, fullRetry)
 	}
 	return absent(why)
@@ -339,10 +339,10 @@
 }
 
 // absent is the answer when there is no replica that may be asked at all.
-func absent(why route.Absence) refusal {
+func absent(why route.Availability) refusal {
 	retry := noReplicaRetry
-	if why.Retry > 0 {
-		retry = why.Retry
+	if why.RetryAfter > 0 {
+		retry = why.RetryAfter
 	}
 	for _, a := range absences {
 		if why.Excluded[a.why] > 0 {
@@ -389,7 +389,7 @@
 // first records that the first byte of the answer has come.
 func (x *exchange) first(a *attempt, now time.Time) {
 	if a.took == 0 && a.realm != "" {
-		x.g.kept.NoteRead(a.choice.ID, a.realm, x.terms.Shared())
+		x.g.kept.RecordPrefill(a.choice.ID, a.realm, x.terms.Shared())
 	}
 	a.first(now)
 	x.leaveQueue(now)
--- a/service/gateway/exchange_limits.go
+++ b/service/gateway/exchange_limits.go
@@ -21,9 +21,9 @@
 // the load, and together they would send a replica in need many times what it takes.
 func (x *exchange) pickToSend(ctx context.Context) (c route.Choice, ok bool) {
 	x.need.Send = true
-	defer func() { x.need.Send, x.need.Unlimited = false, false }()
+	defer func() { x.need.Send, x.need.UnlimitedOnly = false, false }()
 	for asks := 0; ; asks++ {
-		x.need.Unlimited = asks >= mostAsks
+		x.need.UnlimitedOnly = asks >= mostAsks
 		c, ok = x.pick(boottime.Now())
 		if !ok || x.g.rateLimits.MaySend(ctx, &c.Upstream) {
 			return c, ok
@@ -38,9 +38,9 @@
 		return
 	}
 	u := &a.choice.Upstream
-	x.g.rateLimits.Learn(u, &a.answer, a.begun, now)
+	x.g.rateLimits.ObserveAnswer(u, &a.answer, a.begun, now)
 	if a.answer.Draining {
-		x.g.nodes.hearDraining(route.WhomOf(u))
+		x.g.nodes.hearDraining(route.RefOf(u))
 	}
 	if a.answer.Backoff > 0 {
 		x.pool.BackOff(u, a.answer.Backoff, now)
--- a/service/gateway/exchange_needs.go
+++ b/service/gateway/exchange_needs.go
@@ -38,7 +38,7 @@
 		return comeBack(reasonNoReplica, noReplicaRetry), false
 	}
 	x.need = x.needs()
-	x.need.Homes, x.need.Homed = x.homes()
+	x.need.Homes, x.need.HomesOnly = x.homes()
 	return refusal{}, true
 }
 
@@ -57,8 +57,8 @@
 }
 
 // needs works out what the pool has to know.
-func (x *exchange) needs() route.Need {
-	n := route.Need{}
+func (x *exchange) needs() route.PickInput {
+	n := route.PickInput{}
 	if x.service.Engine == nil {
 		return n
 	}
@@ -85,11 +85,11 @@
 	}
 	realm := func(version int64) route.Realm {
 		return route.Realm{
-			Name:   x.realm(version),
-			Before: x.g.beliefs.ReplacedAt(x.need.Model, version),
+			Name:           x.realm(version),
+			CompleteBefore: x.g.beliefs.ReplacedAt(x.need.Model, version),
 		}
 	}
-	x.need.Offers = x.g.kept.Look(x.pool.Upstreams(), x.need.Model, realm, x.terms.Shared(), e, x.longestFetch(), now)
+	x.need.Coverage = x.g.kept.Coverage(x.pool.Upstreams(), x.need.Model, realm, x.terms.Shared(), e, x.longestFetch(), now)
 }
 
 const (
@@ -108,14 +108,14 @@
 		return
 	}
 	version, since := x.g.beliefs.Weights(x.need.Model)
-	x.need.Newest = version
+	x.need.NewestVersion = version
 	known := now.Sub(since)
-	x.need.Urgency = freshUrgency
+	x.need.StalenessWeight = freshUrgency
 	if known > freshTerm {
-		x.need.Urgency = 1
+		x.need.StalenessWeight = 1
 	}
 	within := x.g.conf().Orders.Within.Std() - withinMargin
-	x.need.Oldest = x.g.beliefs.WeightsBefore(x.need.Model, now.Add(-within))
+	x.need.MinVersion = x.g.beliefs.WeightsBefore(x.need.Model, now.Add(-within))
 }
 
 // pick chooses a replica by what is known now.
--- a/service/gateway/exchange_suspects.go
+++ b/service/gateway/exchange_suspects.go
@@ -26,7 +26,7 @@
 }
 
 func (x *exchange) sketch() uint64 {
-	return suspect.Sketch(x.organisationName(), x.head.Method, x.head.Get("Host"), x.head.Target, x.body)
+	return suspect.QuickHash(x.organisationName(), x.head.Method, x.head.Get("Host"), x.head.Target, x.body)
 }
 
 // organisationName is "" for a request without one.
@@ -61,13 +61,13 @@
 
 // cleared says whether the request may be sent to a replica now.
 func (x *exchange) cleared(ctx context.Context) (f refusal, ok bool) {
-	x.g.suspects.Await(ctx)
+	x.g.suspects.WaitLearned(ctx)
 	if f, yes := x.blocked(); yes {
 		return f, false
 	}
 	c := x.suspected()
-	if c.Verdict() == suspect.Free || x.g.suspects.MayRun(ctx, c.Content, boottime.Until(x.limit)) {
-		x.watched = c.Verdict() != suspect.Free
+	if c.Verdict() == suspect.Allowed || x.g.suspects.MayRun(ctx, c.Content, boottime.Until(x.limit)) {
+		x.watched = c.Verdict() != suspect.Allowed
 		return f, true
 	}
 	if x.ran > 0 {
@@ -80,14 +80,14 @@
 // heard of this one, or at once.
 func (x *exchange) sent(finished bool) {
 	if x.watched && !finished {
-		x.g.suspects.Over(x.content)
+		x.g.suspects.EndRun(x.content)
 	}
 	x.watched = false
 }
 
 // finished notes that a replica ran the request to its end.
 func (x *exchange) finished(now time.Time) {
-	x.g.suspects.Finished(x.sketch(), x.fingerprint, now)
+	x.g.suspects.RecordFinish(x.sketch(), x.fingerprint, now)
 }
 
 // lostRun notes that the answer to an attempt was lost while it may have run. Whether its
@@ -96,41 +96,41 @@
 func (x *exchange) lostRun(ctx context.Context, a *attempt, err error, now time.Time) {
 	u := &a.choice.Upstream
 	silent := ctx.Err() != nil || lostPeer(err) // Its client left, its time was over, or the path fell silent.
-	if !silent && !x.pool.Stays(u.ID) {
+	if !silent && !x.pool.IsActive(u.ID) {
 		return // It left as planned, and cut what it still had: long answers meet that often.
 	}
 	run := suspects.LostRun{
 		Content: x.fingerprint(),
-		Sketch:  x.sketch(),
+		QuickHash:  x.sketch(),
 		Request: x.terms.ID,
 		Replica: u.ID,
-		Life:    suspects.LifeOf(u.ID, u.Started),
+		StartKey:    suspects.StartKeyOf(u.ID, u.Started),
 		Addr:    u.Addr,
 		Begun:   a.begun,
 		At:      now,
 	}
 	if silent {
-		x.g.suspects.Remember(run)
+		x.g.suspects.RecordLostRun(run)
 		return
 	}
 	conn, err := dialUpstream(u.Addr.String())
 	switch {
 	case err == nil:
 		x.g.conns.give(u.ID, conn)
-		run.Alive = true
-		x.g.suspects.Remember(run)
-	case suspects.ShowsEnd(err):
+		run.Reachable = true
+		x.g.suspects.RecordLostRun(run)
+	case suspects.NotListening(err):
 		x.lost(u, boottime.Now())
-		x.g.suspects.Ended(run, boottime.Now())
+		x.g.suspects.RecordEnd(run, boottime.Now())
 	default:
-		x.g.suspects.Remember(run)
+		x.g.suspects.RecordLostRun(run)
 	}
 }
 
 // notReached notes that a replica took no connection.
 func (x *exchange) notReached(u *site.Upstream, err error, now time.Time) {
 	x.lost(u, now)
-	if suspects.ShowsEnd(err) {
-		x.g.suspects.Refused(suspects.LifeOf(u.ID, u.Started), now)
+	if suspects.NotListening(err) {
+		x.g.suspects.RecordNotListening(suspects.StartKeyOf(u.ID, u.Started), now)
 	}
 }
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -62,7 +62,7 @@
 	log        *slog.Logger
 	timer      *timer.Service
 	beliefs    *Beliefs
-	kept       *route.Kept
+	kept       *route.CacheIndex
 	nodes      *nodes
 	peers      *peer.Server
 	client     *peer.Client
@@ -203,12 +203,12 @@
 	g.every(watchEvery, g.stores.refresh)
 	g.every(watchEvery, g.holdings.refresh)
 	g.every(freeEvery, g.stores.free)
-	g.every(rollout.Every, g.rollout.Step)
+	g.every(rollout.StepInterval, g.rollout.Step)
 	g.every(watchEvery, g.shareBudgets)
-	g.every(suspects.Every, g.suspects.Step)
-	g.every(suspects.Every, g.suspects.Keep)
-	g.every(suspects.LearnEvery, g.suspects.Learn)
-	g.every(ratelimit.ForgetEvery, g.rateLimits.Forget)
+	g.every(suspects.StepInterval, g.suspects.Step)
+	g.every(suspects.StepInterval, g.suspects.SaveRow)
+	g.every(suspects.LearnInterval, g.suspects.Learn)
+	g.every(ratelimit.ForgetInterval, g.rateLimits.Forget)
 	g.wg.Go(func() { g.runQueues(g.ctx) })
 	g.wg.Go(func() { g.nodes.meet(g.ctx) })
 	g.wg.Go(func() { g.nodes.runSpeaker(g.ctx) })
@@ -223,7 +223,7 @@
 	if err := boottime.Err(); err != nil {
 		g.log.Warn("suspensions of the machine are not found", "node", g.conf().Node.Name, "err", err)
 	}
-	if off := g.conf().Without.Names(); len(off) > 0 {
+	if off := g.conf().Disabled.Names(); len(off) > 0 {
 		g.log.Warn("mechanisms are off", "node", g.conf().Node.Name, "without", off)
 	}
 }
@@ -243,7 +243,7 @@
 	}
 	kept := s
 	kept.Node, kept.Peer, kept.Platform.Store = old.Node, old.Peer, old.Platform.Store
-	kept.Entry, kept.Without = old.Entry, old.Without
+	kept.Entry, kept.Disabled = old.Entry, old.Disabled
 	kept.Regions, kept.Cold, kept.Evacuation = old.Regions, old.Cold, old.Evacuation
 	kept.Entry.MaxAge = s.Entry.MaxAge
 	if !reflect.DeepEqual(kept, s) {
--- a/service/gateway/grown_configuration_test.go
+++ b/service/gateway/grown_configuration_test.go
@@ -187,7 +187,7 @@
 		link:    newLink(mbit),
 		server:  server,
 		client:  peer.NewClient("key"),
-		beliefs: NewBeliefs(h.codec, "h", time.Second, route.NewKept(), log),
+		beliefs: NewBeliefs(h.codec, "h", time.Second, route.NewCacheIndex(), log),
 		inForce: map[int64]time.Time{},
 	}
 	n.store = platform.NewStore(h.links.connect(h.t, n.link, nil, h.store.Addr()))
@@ -216,7 +216,7 @@
 	for _, n := range h.nodes {
 		list = append(list, n.member)
 	}
-	owner, ok := control.Owner(control.Widest(list), readDuty+tableName(site.TableOperator))
+	owner, ok := control.Owner(control.WithWidestLinks(list), readDuty+tableName(site.TableOperator))
 	assert.Assert(h.t, ok)
 	for _, n := range h.nodes {
 		if n.member.Name == owner.Name {
--- a/service/gateway/held_news.go
+++ b/service/gateway/held_news.go
@@ -21,8 +21,8 @@
 	Changes []byte `json:"c,omitempty"`
 }
 
-func packHeld(c route.HeldChanges) heldNews {
-	n := heldNews{Engine: c.Engine, Silent: c.Silent, Whole: c.Whole}
+func packHeld(c route.EngineCacheUpdate) heldNews {
+	n := heldNews{Engine: c.Engine, Silent: c.Stale, Whole: c.Full}
 	for _, v := range c.Changes {
 		n.Changes = binary.BigEndian.AppendUint64(n.Changes, uint64(v.Part))
 		n.Changes = binary.AppendUvarint(n.Changes, uint64(v.Tokens))
@@ -30,8 +30,8 @@
 	return n
 }
 
-func (n heldNews) unpack() (route.HeldChanges, error) {
-	c := route.HeldChanges{Engine: n.Engine, Silent: n.Silent, Whole: n.Whole}
+func (n heldNews) unpack() (route.EngineCacheUpdate, error) {
+	c := route.EngineCacheUpdate{Engine: n.Engine, Stale: n.Silent, Full: n.Whole}
 	const hashBytes = 8
 	for rest := n.Changes; len(rest) > 0; {
 		if len(rest) <= hashBytes {
@@ -42,7 +42,7 @@
 			return c, eris.Errorf("news of %s not understood", n.Engine)
 		}
 		part := route.PartHash(binary.BigEndian.Uint64(rest))
-		c.Changes = append(c.Changes, route.HeldChange{Part: part, Tokens: int(tokens)})
+		c.Changes = append(c.Changes, route.EngineCacheChange{Part: part, Tokens: int(tokens)})
 		rest = rest[hashBytes+used:]
 	}
 	return c, nil
--- a/service/gateway/holdings.go
+++ b/service/gateway/holdings.go
@@ -48,7 +48,7 @@
 type holdings struct {
 	engines Engines
 	beliefs *Beliefs
-	kept    *route.Kept
+	kept    *route.CacheIndex
 	members *control.Members
 	client  *peer.Client
 	self    control.Member
@@ -85,7 +85,7 @@
 	cancel context.CancelFunc
 }
 
-func newHoldings(e Engines, b *Beliefs, k *route.Kept, m *control.Members, c *peer.Client, self control.Member, r *replicaClock, log *slog.Logger) *holdings {
+func newHoldings(e Engines, b *Beliefs, k *route.CacheIndex, m *control.Members, c *peer.Client, self control.Member, r *replicaClock, log *slog.Logger) *holdings {
 	return &holdings{
 		engines:  e,
 		beliefs:  b,
@@ -173,7 +173,7 @@
 		var of []site.Upstream
 		// Engines that are evacuated are to be sent nothing, these calls included.
 		there := slices.DeleteFunc(p.Upstreams(), func(u site.Upstream) bool { return u.Evacuated })
-		for hall, engines := range route.Followed(h.self.DataHall, there, heldMost/len(telling)) {
+		for hall, engines := range route.SelectTracked(h.self.DataHall, there, heldMost/len(telling)) {
 			list[hall] = append(list[hall], engines...)
 			of = append(of, engines...)
 		}
@@ -220,7 +220,7 @@
 
 // teller is the node of a hall to which a duty of telling falls.
 func (h *holdings) teller(hall, duty string) (control.Member, bool) {
-	return control.Owner(control.Widest(hallMembers(h.members, hall)), duty)
+	return control.Owner(control.WithWidestLinks(hallMembers(h.members, hall)), duty)
 }
 
 // refollow starts following engines that are new to this node, and stops following
@@ -265,7 +265,7 @@
 func (h *holdings) follow(ctx context.Context, u site.Upstream) {
 	boot, since, lost := int64(0), int64(0), false
 	for ctx.Err() == nil {
-		if p := h.beliefs.Pool(u.Service); p != nil && p.BacksOff(u.ID, boottime.Now()) {
+		if p := h.beliefs.Pool(u.Service); p != nil && p.InBackoff(u.ID, boottime.Now()) {
 			sleep(ctx, heldRetry)
 			continue
 		}
@@ -276,7 +276,7 @@
 		if err != nil {
 			if !lost {
 				h.log.Warn("engine's events lost", "replica", u.ID, "err", err)
-				h.take(route.HeldChanges{Engine: u.ID, Silent: true})
+				h.take(route.EngineCacheUpdate{Engine: u.ID, Stale: true})
 			}
 			lost = true
 			sleep(ctx, heldRetry)
@@ -295,20 +295,20 @@
 	}
 }
 
-func heldOf(id string, whole bool, c site.CacheChanges) route.HeldChanges {
-	held := route.HeldChanges{Engine: id, Whole: whole, Changes: make([]route.HeldChange, len(c.Changes))}
+func heldOf(id string, whole bool, c site.CacheChanges) route.EngineCacheUpdate {
+	held := route.EngineCacheUpdate{Engine: id, Full: whole, Changes: make([]route.EngineCacheChange, len(c.Changes))}
 	for i, v := range c.Changes {
-		held.Changes[i] = route.HeldChange{Part: route.HashPart(v.Realm, v.Part), Tokens: v.Tokens}
+		held.Changes[i] = route.EngineCacheChange{Part: route.HashPart(v.Realm, v.Part), Tokens: v.Tokens}
 	}
 	return held
 }
 
 // take takes in news.
-func (h *holdings) take(c route.HeldChanges) {
-	h.kept.ApplyHeld(c)
+func (h *holdings) take(c route.EngineCacheUpdate) {
+	h.kept.ApplyEngineUpdate(c)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if c.Whole {
+	if c.Full {
 		delete(h.fresh, c.Engine)
 	}
 	e, kept := h.ranked[c.Engine]
@@ -406,6 +406,6 @@
 	}
 	h.mu.Unlock()
 	for _, id := range list {
-		h.take(route.HeldChanges{Engine: id, Silent: true})
+		h.take(route.EngineCacheUpdate{Engine: id, Stale: true})
 	}
 }
--- a/service/gateway/holdings_serve.go
+++ b/service/gateway/holdings_serve.go
@@ -83,7 +83,7 @@
 	}
 	h.mu.Unlock()
 	for _, id := range ids {
-		if c := h.kept.Held(id); !c.Silent {
+		if c := h.kept.EngineContents(id); !c.Stale {
 			list = append(list, packHeld(c))
 		}
 	}
--- a/service/gateway/holdings_test.go
+++ b/service/gateway/holdings_test.go
@@ -67,7 +67,7 @@
 func newTestHoldings(t *testing.T, name string, e Engines, others ...control.Member) *holdings {
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: name, DataHall: "h", State: control.MemberAlive}
-	k := route.NewKept()
+	k := route.NewCacheIndex()
 	b := NewBeliefs(nil, "h", time.Second, k, log)
 	engine := &site.Engine{PlannedFetch: true, MaxWatches: 4, TokenBytes: 1, LinkRate: 1e9, Capacity: 40_000}
 	b.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
@@ -87,9 +87,9 @@
 }
 
 func (h *holdings) holds(part string) bool {
-	c := h.kept.Held("e")
+	c := h.kept.EngineContents("e")
 	for _, v := range c.Changes {
-		if v.Part == route.HashPart("m@1", part) && !c.Silent {
+		if v.Part == route.HashPart("m@1", part) && !c.Stale {
 			return true
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 func TestNewsOfHeldStateSurviveTheWire(t *testing.T) {
-	c := route.HeldChanges{Engine: "e", Whole: true, Changes: []route.HeldChange{{Part: 1, Tokens: 0}, {Part: 1 << 63, Tokens: 30_000}}}
+	c := route.EngineCacheUpdate{Engine: "e", Full: true, Changes: []route.EngineCacheChange{{Part: 1, Tokens: 0}, {Part: 1 << 63, Tokens: 30_000}}}
 	got, err := packHeld(c).unpack()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, c)
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -58,7 +58,7 @@
 }
 
 // tallies is what has been done with stores' links.
-type tallies map[route.Key]route.Tally
+type tallies map[route.NameHash]route.Tally
 
 func talliesOf(list []route.StoreTally) tallies {
 	t := make(tallies, len(list))
@@ -202,7 +202,7 @@
 	}
 	list = map[string]control.Member{}
 	for _, hall := range view.Halls() {
-		if m, ok := control.Owner(control.Widest(view.Hall(hall).Working), speakDuty+hall); ok {
+		if m, ok := control.Owner(control.WithWidestLinks(view.Hall(hall).Working), speakDuty+hall); ok {
 			list[hall] = m
 		}
 	}
@@ -258,8 +258,8 @@
 
 // sumHall adds what the other nodes of this hall have in flight to this one's own, and
 // what all of them have done with links.
-func (n *nodes) sumHall(own []route.ReplicaLoad, links tallies) (sum map[route.Key]route.PeerLoad, all tallies) {
-	sum = make(map[route.Key]route.PeerLoad, len(own))
+func (n *nodes) sumHall(own []route.ReplicaLoad, links tallies) (sum map[route.NameHash]route.PeerLoad, all tallies) {
+	sum = make(map[route.NameHash]route.PeerLoad, len(own))
 	addLoads(sum, own)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -273,7 +273,7 @@
 	return sum, maps.Clone(n.loads.links)
 }
 
-func addLoads(sum map[route.Key]route.PeerLoad, list []route.ReplicaLoad) {
+func addLoads(sum map[route.NameHash]route.PeerLoad, list []route.ReplicaLoad) {
 	for i := range list {
 		sum[list[i].Key] = sum[list[i].Key].Plus(list[i].Load)
 	}
@@ -281,7 +281,7 @@
 
 // busiest lists the replicas of whose memory the most is held, and behind that those
 // with the most requests.
-func busiest(sum map[route.Key]route.PeerLoad, most int) []route.ReplicaLoad {
+func busiest(sum map[route.NameHash]route.PeerLoad, most int) []route.ReplicaLoad {
 	list := make([]route.ReplicaLoad, 0, len(sum))
 	for key, load := range sum {
 		list = append(list, route.ReplicaLoad{Key: key, Load: load})
--- a/service/gateway/loads_heard.go
+++ b/service/gateway/loads_heard.go
@@ -133,7 +133,7 @@
 func (n *nodes) addPeers(links tallies) {
 	now := boottime.Now()
 	for store, t := range links {
-		n.kept.AddPeer(store, t, now)
+		n.kept.AddPeerTally(store, t, now)
 	}
 }
 
@@ -163,11 +163,11 @@
 	}
 }
 
-func (n *nodes) addUp(now time.Time) map[route.Key]route.PeerLoad {
+func (n *nodes) addUp(now time.Time) map[route.NameHash]route.PeerLoad {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loads.changed, n.loads.settled = false, now
-	sum := map[route.Key]route.PeerLoad{}
+	sum := map[route.NameHash]route.PeerLoad{}
 	for _, heard := range []map[string]heardState{n.loads.states, n.loads.halls} {
 		for name, s := range heard {
 			switch {
