--- a/service/gateway/loads_test.go
+++ b/service/gateway/loads_test.go
@@ -18,20 +18,20 @@
 // The sum of a large hall tells of the busiest replicas only: all of them would not
 // fit a datagram.
 func TestSumOfALargeHallFitsADatagram(t *testing.T) {
-	n := &nodes{self: control.Member{Name: "n0", DataHall: "h"}, kept: route.NewKept(), loads: newLoads()}
+	n := &nodes{self: control.Member{Name: "n0", DataHall: "h"}, kept: route.NewCacheIndex(), loads: newLoads()}
 	const replicas = 3000
 	for node := range 20 {
 		s := heardState{from: fmt.Sprint("n", node), at: time.Now()}
 		for i := node; i < replicas; i += 20 {
-			load := route.PeerLoad{Requests: 1, Memory: 9000 + i, Tokens: route.Banded{i}}
-			s.loads = append(s.loads, route.ReplicaLoad{Key: route.KeyOf(fmt.Sprintf("i-%012d", i)), Load: load})
+			load := route.PeerLoad{Requests: 1, Memory: 9000 + i, Tokens: route.BandTokens{i}}
+			s.loads = append(s.loads, route.ReplicaLoad{Key: route.HashName(fmt.Sprintf("i-%012d", i)), Load: load})
 		}
 		n.loads.states[s.from] = s
 	}
 	sum, _ := n.sumHall(nil, nil)
 	list := busiest(sum, sumMost)
 	assert.Equal(t, len(list), sumMost)
-	busy := route.KeyOf(fmt.Sprintf("i-%012d", replicas-1))
+	busy := route.HashName(fmt.Sprintf("i-%012d", replicas-1))
 	assert.Assert(t, slices.ContainsFunc(list, func(l route.ReplicaLoad) bool { return l.Key == busy }), "the busiest is told of")
 	text, err := json.Marshal(stateNote{Loads: packLoads(list)})
 	assert.NilError(t, err)
@@ -56,7 +56,7 @@
 	n := newsFleet(3)
 	now := time.Now()
 	for name, at := range map[string]time.Time{"a-1": now.Add(-stateTerm / 2), "a-2": now.Add(-stateTerm - time.Millisecond)} {
-		n.loads.states[name] = heardState{from: name, loads: []route.ReplicaLoad{{Key: route.KeyOf("r"), Load: route.PeerLoad{Requests: 1}}}, at: at}
+		n.loads.states[name] = heardState{from: name, loads: []route.ReplicaLoad{{Key: route.HashName("r"), Load: route.PeerLoad{Requests: 1}}}, at: at}
 	}
 	n.merge(now)
 	_, heard := n.loads.states["a-1"]
@@ -75,7 +75,7 @@
 			for i := range all {
 				all[i] = number.Draw(t, "n")
 			}
-			l := route.ReplicaLoad{Key: route.Key(rapid.Uint32().Draw(t, "key")), Load: all.load()}
+			l := route.ReplicaLoad{Key: route.NameHash(rapid.Uint32().Draw(t, "key")), Load: all.load()}
 			loads = append(loads, l)
 			tally := route.Tally{Bytes: int64(number.Draw(t, "bytes")), Late: int64(number.Draw(t, "late")), Early: int64(number.Draw(t, "early"))}
 			links = append(links, route.StoreTally{Key: l.Key, Tally: tally})
@@ -116,5 +116,5 @@
 	tell(2, []byte{1, 2})
 	n.hearState(json.RawMessage(`{"f": 1}`))
 	assert.Equal(t, n.dropped.Load(), int64(2))
-	assert.DeepEqual(t, n.addUp(time.Now()), map[route.Key]route.PeerLoad{9: {Requests: 4}})
+	assert.DeepEqual(t, n.addUp(time.Now()), map[route.NameHash]route.PeerLoad{9: {Requests: 4}})
 }
--- a/service/gateway/news.go
+++ b/service/gateway/news.go
@@ -43,7 +43,7 @@
 	// weights; without it, it has them.
 	Avoid int64 `json:"a,omitempty"`
 	// Rate says how many requests a second it takes from all nodes; it names the replica itself.
-	Rate *ratelimit.RateNews `json:"l,omitempty"`
+	Rate *ratelimit.RateUpdate `json:"l,omitempty"`
 	// Model and Version are the weights.
 	Model   string `json:"m,omitempty"`
 	Version int64  `json:"v,omitempty"`
@@ -57,31 +57,31 @@
 }
 
 // steer has all nodes pass a replica over for a while, beginning at once.
-func (n *nodes) steer(w route.Whom, model string, version int64, d time.Duration) {
+func (n *nodes) steer(w route.ReplicaRef, model string, version int64, d time.Duration) {
 	n.spread(newsOf(w, news{Avoid: d.Milliseconds(), Model: model, Version: version}))
 }
 
 // served tells all nodes that a replica has got other weights.
-func (n *nodes) served(w route.Whom, model string, version int64) {
+func (n *nodes) served(w route.ReplicaRef, model string, version int64) {
 	n.spread(newsOf(w, news{Model: model, Version: version}))
 }
 
 // doubt tells all nodes that a replica was not reached.
-func (n *nodes) doubt(w route.Whom) { n.spread(newsOf(w, news{Lost: true})) }
+func (n *nodes) doubt(w route.ReplicaRef) { n.spread(newsOf(w, news{Lost: true})) }
 
 // hearDraining takes in that a replica has told this node that it drains, and tells all nodes
 // the first time.
-func (n *nodes) hearDraining(w route.Whom) {
+func (n *nodes) hearDraining(w route.ReplicaRef) {
 	if n.beliefs.HearDraining(w, boottime.Now()) {
 		n.spread(newsOf(w, news{Draining: true}))
 	}
 }
 
-// TellRate implements ratelimit.Teller.
-func (n *nodes) TellRate(r ratelimit.RateNews) { n.spread(news{Replica: r.Replica, Rate: &r}) }
+// AnnounceRate implements ratelimit.Teller.
+func (n *nodes) AnnounceRate(r ratelimit.RateUpdate) { n.spread(news{Replica: r.Replica, Rate: &r}) }
 
 // newsOf completes news with the replica that they are of.
-func newsOf(w route.Whom, about news) news {
+func newsOf(w route.ReplicaRef, about news) news {
 	about.Replica = w.ID
 	if !w.Started.IsZero() {
 		about.Started = w.Started.UnixMilli()
@@ -90,8 +90,8 @@
 }
 
 // whom names the replica that news are of.
-func (w *news) whom() route.Whom {
-	who := route.Whom{ID: w.Replica}
+func (w *news) whom() route.ReplicaRef {
+	who := route.ReplicaRef{ID: w.Replica}
 	if w.Started > 0 {
 		who.Started = time.UnixMilli(w.Started)
 	}
@@ -138,7 +138,7 @@
 // newsAudience are the nodes that are told news by this one: all of small halls, and
 // of each large one a node that tells the others, another one at each try.
 func (n *nodes) newsAudience(try int) (direct, relays []netip.AddrPort) {
-	return n.members.View().Audience(n.self.Name, directMost, newsDuty, try)
+	return n.members.View().Recipients(n.self.Name, directMost, newsDuty, try)
 }
 
 // hearNews takes in another node's news, and tells them on if it is asked to.
@@ -160,7 +160,7 @@
 func (n *nodes) take(w news) {
 	now := boottime.Now()
 	if w.Rate != nil {
-		n.rateLimits.Hear(*w.Rate)
+		n.rateLimits.ApplyUpdate(*w.Rate)
 		return
 	}
 	if w.Draining {
@@ -171,11 +171,11 @@
 	for _, p := range n.beliefs.Pools() {
 		switch {
 		case w.Lost:
-			p.Presume(w.whom(), now)
+			p.PresumeCold(w.whom(), now)
 		case w.Avoid > 0:
-			p.Steer(w.whom(), w.Model, w.Version, until)
+			p.AvoidForSwap(w.whom(), w.Model, w.Version, until)
 		case w.Version > 0:
-			p.Serves(w.whom(), w.Model, w.Version)
+			p.RecordWeights(w.whom(), w.Model, w.Version)
 		}
 	}
 }
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -52,7 +52,7 @@
 	probes     *peer.Probes
 	store      Store
 	beliefs    *Beliefs
-	kept       *route.Kept
+	kept       *route.CacheIndex
 	log        *slog.Logger
 	due        chan struct{} // Holds one when the state is to be told soon.
 	boot       uint64        // Tells this life of the node from others.
@@ -81,7 +81,7 @@
 }
 
 func (n *nodes) probeLate(context.Context) {
-	n.probes.Send(n.members.Late(time.Now(), 0))
+	n.probes.Send(n.members.IndirectProbes(time.Now(), 0))
 }
 
 // meet writes this node's address to the store and learns those of others, as
@@ -156,8 +156,8 @@
 func (n *nodes) greet(rows []site.Row) {
 	var strangers []netip.AddrPort
 	for _, r := range rows {
-		if r.Key == suspects.RowBlocked {
-			n.suspects.Load(r, boottime.Now())
+		if r.Key == suspects.BlockedRowKey {
+			n.suspects.LoadRow(r, boottime.Now())
 			continue
 		}
 		var row nodeRow
@@ -170,7 +170,7 @@
 			strangers = append(strangers, row.Peer)
 		}
 	}
-	n.suspects.Learned()
+	n.suspects.MarkLearned()
 	rand.Shuffle(len(strangers), func(i, j int) { strangers[i], strangers[j] = strangers[j], strangers[i] })
 	n.mu.Lock()
 	n.strangers, n.greetEach = strangers, (len(strangers)+greetParts-1)/greetParts
@@ -187,7 +187,7 @@
 	n.strangers = n.strangers[len(some):]
 	n.mu.Unlock()
 	if len(some) > 0 {
-		n.probes.Send(n.members.Greet(some))
+		n.probes.Send(n.members.ProbeSeeds(some))
 	}
 }
 
--- a/service/gateway/packed_loads.go
+++ b/service/gateway/packed_loads.go
@@ -21,7 +21,7 @@
 
 // loadNumbers is what is told of a load, in the order on the wire. Numbers are added at
 // the end only: nodes that don't know them pass over them.
-type loadNumbers [loadFixed + len(route.Banded{})]int
+type loadNumbers [loadFixed + len(route.BandTokens{})]int
 
 func numbersOf(l *route.PeerLoad) (n loadNumbers) {
 	n[0], n[1] = l.Requests, l.Memory
@@ -63,12 +63,12 @@
 	err  error
 }
 
-func (u *unpacker) key() route.Key {
+func (u *unpacker) key() route.NameHash {
 	if len(u.rest) < keyBytes {
 		u.rest, u.err = nil, errCutShort
 		return 0
 	}
-	key := route.Key(binary.BigEndian.Uint32(u.rest))
+	key := route.NameHash(binary.BigEndian.Uint32(u.rest))
 	u.rest = u.rest[keyBytes:]
 	return key
 }
--- a/service/gateway/queue.go
+++ b/service/gateway/queue.go
@@ -80,16 +80,16 @@
 	now := boottime.Now()
 	own := x.ownTime(now)
 	x.lateFrom, x.sendBy = x.came.Add(x.route.Target-own), x.limit.Add(-own)
-	ask := route.Ask{
+	ask := route.QueueRequest{
 		Cost:     float64(x.need.Tokens),
 		Priority: x.priority(),
-		Limit:    x.sendBy,
+		Deadline: x.sendBy,
 		Fits:     x.fits,
 	}
 	if x.organisation != nil {
 		ask.Organisation = x.organisation.Name
 	}
-	w, err := x.g.promptQueue(x.service.Name).Offer(ask, now)
+	w, err := x.g.promptQueue(x.service.Name).Enqueue(ask, now)
 	if err != nil {
 		return overloaded(err), false
 	}
@@ -125,7 +125,7 @@
 			w.Done(boottime.Now())
 			return x.outOfTime(), false
 		case <-lateTimer.C:
-			w.Late(boottime.Now())
+			w.MarkLate(boottime.Now())
 			continue
 		case <-limitTimer.C:
 		}
@@ -136,7 +136,7 @@
 
 // letIn says whether a prompt that waits no longer was let in.
 func letIn(w *route.WaitingPrompt) (f refusal, ok bool) {
-	if err := w.Refused(); err != nil {
+	if err := w.Err(); err != nil {
 		return overloaded(err), false
 	}
 	return refusal{}, true
--- a/service/gateway/readers.go
+++ b/service/gateway/readers.go
@@ -130,7 +130,7 @@
 // told by nodes of others, as a small hall is. With a reader for each small hall, or none,
 // most of what 18 nodes in 5 halls paid for was calls to the store.
 func (r *readers) readersOf(view *control.View) []control.Member {
-	wide := control.Widest(view.Alive)
+	wide := control.WithWidestLinks(view.Alive)
 	if len(view.Hall(r.self.DataHall).Alive) <= directMost {
 		return wide
 	}
--- a/service/gateway/stores.go
+++ b/service/gateway/stores.go
@@ -44,7 +44,7 @@
 	engines Engines
 	watch   *watchers
 	beliefs *Beliefs
-	kept    *route.Kept
+	kept    *route.CacheIndex
 	members *control.Members
 	self    string
 	clock   *replicaClock
@@ -155,7 +155,7 @@
 	s.at = storeInputs{}
 	s.mu.Unlock()
 	for _, name := range names {
-		s.kept.Silent(name)
+		s.kept.MarkStoreStale(name)
 	}
 	s.refresh(context.Background())
 	return len(names)
@@ -253,7 +253,7 @@
 	}
 	s.mu.Unlock()
 	if err != nil {
-		s.kept.Silent(name)
+		s.kept.MarkStoreStale(name)
 		if !lost {
 			s.log.Warn("store of kept state lost", "store", name, "err", err)
 		}
@@ -263,7 +263,7 @@
 		s.log.Info("store of kept state back", "store", name, "boot", c.Boot)
 	}
 	s.clock.hear(c.Clock, now)
-	s.kept.Apply(name, c, now)
+	s.kept.ApplyStoreChanges(name, c, now)
 	return true
 }
 
@@ -280,7 +280,7 @@
 		if !ok || owner.Name != s.self || !v.Store.Managed {
 			continue
 		}
-		list, boot := s.kept.Surplus(v.Name, freeMost, func(realm string) bool { return s.replaced(realm, now) })
+		list, boot := s.kept.UnusedParts(v.Name, freeMost, func(realm string) bool { return s.replaced(realm, now) })
 		if len(list) == 0 {
 			continue
 		}
@@ -288,7 +288,7 @@
 			s.log.Warn("parts not freed", "store", v.Name, "parts", len(list), "err", err)
 			continue
 		}
-		s.kept.Freed(v.Name, boot, list)
+		s.kept.RemoveFreed(v.Name, boot, list)
 		s.log.Info("parts freed", "store", v.Name, "parts", len(list), "boot", boot)
 	}
 }
--- a/service/gateway/stores_test.go
+++ b/service/gateway/stores_test.go
@@ -57,7 +57,7 @@
 		list = append(list, v)
 		x.names = append(x.names, name)
 	}
-	k := route.NewKept()
+	k := route.NewCacheIndex()
 	k.Configure(list)
 	b := NewBeliefs(nil, "h", time.Second, k, log)
 	b.snapshot.Store(site.NewSnapshot(1, nil, services, site.Limits{}))
@@ -79,7 +79,7 @@
 // parts counts what is known to be kept at all stores that are heard.
 func (x *toldStores) parts() (parts, heard int) {
 	for _, s := range x.kept.Status() {
-		if s.Heard {
+		if s.Connected {
 			heard++
 			parts += s.Parts
 		}
--- a/service/gateway/swaps.go
+++ b/service/gateway/swaps.go
@@ -39,37 +39,37 @@
 // postponed says whether a replica gets no order yet, as it has asked this node to send it
 // nothing. Half of the time that there is for new weights is left for it.
 func (s *swaps) postponed(p *route.Pool, u *site.Upstream, model string, now time.Time) bool {
-	if !p.BacksOff(u.ID, now) {
+	if !p.InBackoff(u.ID, now) {
 		return false
 	}
 	_, since := s.beliefs.Weights(model)
 	return now.Sub(since) < s.within/2
 }
 
-// Steer implements rollout.Fleet.
-func (s *swaps) Steer(t rollout.Target, d time.Duration) {
-	s.nodes.steer(route.WhomOf(&t.Upstream), t.Model, t.Version, d)
+// AvoidForSwap implements rollout.Fleet.
+func (s *swaps) AvoidForSwap(t rollout.Target, d time.Duration) {
+	s.nodes.steer(route.RefOf(&t.Upstream), t.Model, t.Version, d)
 }
 
-// Steered implements rollout.Fleet.
-func (s *swaps) Steered() int {
+// Swapping implements rollout.Fleet.
+func (s *swaps) Swapping() int {
 	n, now := 0, boottime.Now()
 	for _, p := range s.beliefs.Pools() {
-		n += p.Steered(now)
+		n += p.Swapping(now)
 	}
 	return n
 }
 
-// Serves implements rollout.Fleet.
-func (s *swaps) Serves(t rollout.Target, version int64) {
+// RecordWeights implements rollout.Fleet.
+func (s *swaps) RecordWeights(t rollout.Target, version int64) {
 	if p := s.beliefs.Pool(t.Service); p != nil {
-		p.Serves(route.WhomOf(&t.Upstream), t.Model, version)
-		s.nodes.served(route.WhomOf(&t.Upstream), t.Model, version)
+		p.RecordWeights(route.RefOf(&t.Upstream), t.Model, version)
+		s.nodes.served(route.RefOf(&t.Upstream), t.Model, version)
 	}
 }
 
-// Drains implements rollout.Fleet.
-func (s *swaps) Drains(t rollout.Target) { s.nodes.hearDraining(route.WhomOf(&t.Upstream)) }
+// RecordDraining implements rollout.Fleet.
+func (s *swaps) RecordDraining(t rollout.Target) { s.nodes.hearDraining(route.RefOf(&t.Upstream)) }
 
 // Rank implements rollout.Fleet.
 func (s *swaps) Rank(duty string) int {
--- a/service/gateway/watchers.go
+++ b/service/gateway/watchers.go
@@ -75,7 +75,7 @@
 	if n := len(w.members.Working()); v.Store.MaxWatches <= 0 || n <= v.Store.MaxWatches-spareWatches {
 		return addr, false
 	}
-	owner, found := control.Owner(control.Widest(hallMembers(w.members, w.self.DataHall)), watchDuty+v.Name)
+	owner, found := control.Owner(control.WithWidestLinks(hallMembers(w.members, w.self.DataHall)), watchDuty+v.Name)
 	return owner.Peer, found && owner.Name != w.self.Name
 }
 
--- a/service/gateway/wiring.go
+++ b/service/gateway/wiring.go
@@ -26,7 +26,7 @@
 
 	Timer    *timer.Service
 	Beliefs  *Beliefs
-	Kept     *route.Kept
+	Kept     *route.CacheIndex
 	Nodes    *nodes
 	Peers    *peer.Server
 	Client   *peer.Client
@@ -78,18 +78,18 @@
 		func() *control.Members {
 			return control.NewMembers(self, s.Peer.ProbeEvery.Std(), nil, newRand())
 		},
-		func(k *route.Kept, o *coldShares, u *upstreamConns, x *suspects.Suspects, l *ratelimit.Limits) *Beliefs {
+		func(k *route.CacheIndex, o *coldShares, u *upstreamConns, x *suspects.Suspects, l *ratelimit.Limits) *Beliefs {
 			b := NewBeliefs(p.Codec, s.Node.DataHall, s.Platform.ReturnTime.Std(), k, log)
-			b.without, b.regions, b.cold, b.shares = s.Without, s.Regions, s.Cold, o
+			b.without, b.regions, b.cold, b.shares = s.Disabled, s.Regions, s.Cold, o
 			b.rates = l
 			b.leaveTime = time.Duration(leaveShare * float64(s.Evacuation.Within))
 			b.restarted = func(id string, planned bool, now time.Time) {
 				u.lost(id)
 				if !planned {
-					x.Restarted(id, now)
+					x.RecordRestart(id, now)
 				}
 			}
-			b.ended = x.Left
+			b.ended = x.RecordDelisted
 			return b
 		},
 		newColdShares,
@@ -102,24 +102,24 @@
 		func(b *Beliefs, n *nodes, l *ratelimit.Limits) *rollout.Rollout {
 			f := &swaps{beliefs: b, nodes: n, within: s.Orders.Within.Std()}
 			r := rollout.New(s.Node.Name, s.Orders.Pause.Std(), p.Store, countedOrders{p.Engines, b, l}, f, log)
-			if s.Without.SwapBound {
-				r.Unbounded()
+			if s.Disabled.SwapBound {
+				r.SetUnbounded()
 			}
 			return r
 		},
-		func() *route.Kept {
-			k := route.NewKept()
-			k.Without(s.Without)
+		func() *route.CacheIndex {
+			k := route.NewCacheIndex()
+			k.Disable(s.Disabled)
 			return k
 		},
 		func() *upstreamConns {
 			u := newUpstreamConns()
-			u.closed = s.Without.Resting
+			u.closed = s.Disabled.Resting
 			return u
 		},
 		func(m *control.Members, c *peer.Client) *readers {
 			r := newReaders(p.Store, self, m, c, log)
-			r.alone = s.Without.SharedReading
+			r.alone = s.Disabled.SharedReading
 			return r
 		},
 		newMetrics,
@@ -141,7 +141,7 @@
 }
 
 // newNodes listens for what other nodes tell.
-func newNodes(s config.GatewaySettings, self control.Member, m *control.Members, o *coldShares, x *suspects.Suspects, l *ratelimit.Limits, st Store, b *Beliefs, k *route.Kept, log *slog.Logger) (*nodes, error) {
+func newNodes(s config.GatewaySettings, self control.Member, m *control.Members, o *coldShares, x *suspects.Suspects, l *ratelimit.Limits, st Store, b *Beliefs, k *route.CacheIndex, log *slog.Logger) (*nodes, error) {
 	n := &nodes{
 		self:       self,
 		regions:    s.Regions,
@@ -165,10 +165,10 @@
 	n.probes.OnNote(noteState, n.hearState)
 	n.probes.OnNote(noteHall, n.hearHall)
 	n.probes.OnNote(noteNews, n.hearNews)
-	n.probes.OnNote(suspects.NoteCases, x.Hear)
-	n.probes.OnNote(suspects.NoteDigest, x.Compare)
-	x.Attach(suspectTeller{n})
-	l.Attach(n)
+	n.probes.OnNote(suspects.NoteCases, x.HandleCases)
+	n.probes.OnNote(suspects.NoteDigest, x.HandleDigest)
+	x.SetNotifier(suspectTeller{n})
+	l.SetAnnouncer(n)
 	return n, nil
 }
 
@@ -183,7 +183,7 @@
 	server.Handle(peer.RolePeer, methodEventsOf, w.serveSeveral)
 	server.Handle(peer.RolePeer, methodHeld, h.serve)
 	server.Handle(peer.RolePeer, suspects.MethodRun, x.ServeRun)
-	server.Handle(peer.RolePeer, suspects.MethodOver, x.ServeOver)
+	server.Handle(peer.RolePeer, suspects.MethodRunEnded, x.ServeRunEnded)
 	server.Handle(peer.RolePeer, ratelimit.MethodTake, peer.Handle(l.ServeTake))
 	server.Handle(peer.RolePeer, ratelimit.MethodRate, peer.Handle(l.ServeRate))
 	server.Handle(peer.RolePeer, ratelimit.MethodSpend, peer.Handle(l.ServeSpend))
@@ -195,7 +195,7 @@
 	e Engines,
 	w *watchers,
 	b *Beliefs,
-	k *route.Kept,
+	k *route.CacheIndex,
 	m *control.Members,
 	c *replicaClock,
 	log *slog.Logger,
--- a/service/node/blocks_test.go
+++ b/service/node/blocks_test.go
@@ -96,9 +96,9 @@
 		postUntil(ctx, n, strings.Repeat("a long prompt ", 1000))
 	}()
 	waitUntil(t, func() bool { return n.Entry.InFlight() == 1 })
-	waitUntil(t, func() bool { return n.Admission.Status().Inside == 1 })
+	waitUntil(t, func() bool { return n.Admission.Status().Admitted == 1 })
 	cancel()
 	<-gone
 	// Its prefill alone would take over half a minute.
-	waitUntil(t, func() bool { return n.Entry.InFlight() == 0 && n.Admission.Status().Inside == 0 })
+	waitUntil(t, func() bool { return n.Entry.InFlight() == 0 && n.Admission.Status().Admitted == 0 })
 }
--- a/service/node/loads.go
+++ b/service/node/loads.go
@@ -120,7 +120,7 @@
 func (l *Loads) ReportStore(store string, r upstream.StoreLoad) {
 	now := time.Now()
 	l.links.Report(store, r.LinkRate, r.LinkQueue, now)
-	l.links.Counted(store, r.Moved, time.Duration(r.BusyMillis)*time.Millisecond, now)
+	l.links.UpdateCounters(store, r.Moved, time.Duration(r.BusyMillis)*time.Millisecond, now)
 }
 
 // due lists the engines whose last report is old, oldest first.
@@ -180,7 +180,7 @@
 	for i, e := range l.chosen {
 		names[i] = e.Name
 	}
-	l.fleet.SetNear(names)
+	l.fleet.SetPolled(names)
 	return l.chosen
 }
 
--- a/service/node/local.go
+++ b/service/node/local.go
@@ -55,7 +55,7 @@
 func (l *local) queues() lang.Table {
 	t := lang.Table{Columns: []string{"organisation", "inside", "waiting"}}
 	for name, q := range l.admission.Status().Tenants {
-		t.Rows = append(t.Rows, []string{name, strconv.Itoa(q.Inside), strconv.Itoa(q.Waiting)})
+		t.Rows = append(t.Rows, []string{name, strconv.Itoa(q.Admitted), strconv.Itoa(q.Waiting)})
 	}
 	sortRows(t)
 	return t
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -55,7 +55,7 @@
 	Fleet      *route.Fleet
 	Links      *route.Links
 	Admission  *route.Admission
-	Keep       *route.Keep
+	Keep       *route.ExportPolicy
 	Watches    *Watches
 	Loads      *Loads
 	Spread     *Spread
@@ -113,7 +113,7 @@
 	n.Timer.Subscribe(capacityEvery, n.setCapacity)
 	n.Timer.Subscribe(reconcileEvery, n.Reconciler.Step)
 	n.Timer.Subscribe(vmsEvery, n.Platform.poll)
-	n.Timer.Subscribe(suspects.Every, n.Suspects.Step)
+	n.Timer.Subscribe(suspects.StepInterval, n.Suspects.Step)
 	n.Entry.Start()
 	n.Log.Info("node started", "node", n.Settings.Node.Name, "entry", n.Entry.Addr(), "peer", n.Peer.Addr(),
 		"version", n.Config.State().Version)
@@ -166,7 +166,7 @@
 }
 
 func (n *Node) probeLate(context.Context) {
-	n.Probes.Send(n.Members.Late(time.Now(), n.Config.State().Version))
+	n.Probes.Send(n.Members.IndirectProbes(time.Now(), n.Config.State().Version))
 }
 
 // setCapacity adapts how many requests are let in; at most this node's share of
--- a/service/node/reconcile.go
+++ b/service/node/reconcile.go
@@ -153,7 +153,7 @@
 	r.version = state.UpstreamsVersion
 	r.engines = nil
 	for _, u := range state.UpstreamsOf(config.UpstreamEngine) {
-		r.engines = append(r.engines, leasedEngine{Upstream: u, lease: control.GroupOf(u.Name)})
+		r.engines = append(r.engines, leasedEngine{Upstream: u, lease: control.LeaseFor(u.Name)})
 	}
 	r.count = map[wave]int{}
 	for _, u := range r.engines {
@@ -173,7 +173,7 @@
 	if have.Loading || (have.Model == e.Model && have.Weights == want) {
 		return
 	}
-	group := control.GroupOf(e.Name)
+	group := control.LeaseFor(e.Name)
 	if !e.Fenced && !r.leases.Settled(group) {
 		return
 	}
--- a/service/node/spread.go
+++ b/service/node/spread.go
@@ -69,7 +69,7 @@
 	if err := s.client.CallWithin(ctx, pullTimeout, from, peer.MethodSince, req, &d); err != nil {
 		return err
 	}
-	s.config.Take(d)
+	s.config.Merge(d)
 	return nil
 }
 
--- a/service/node/store_watch.go
+++ b/service/node/store_watch.go
@@ -181,7 +181,7 @@
 	if len(m.Sightings) == 0 {
 		return unknownOverdue
 	}
-	return route.StoreValue(m.Sightings[0], unseenGap)
+	return route.EvictionPriority(m.Sightings[0], unseenGap)
 }
 
 // ownerOf says whether this node has the duty to watch an upstream.
--- a/service/node/suspects.go
+++ b/service/node/suspects.go
@@ -37,7 +37,7 @@
 
 // Audience implements suspects.Teller.
 func (t *suspectTeller) Audience(try int) (direct, relays []netip.AddrPort) {
-	return t.members.View().Audience(t.self, directMost, suspectsDuty, try)
+	return t.members.View().Recipients(t.self, directMost, suspectsDuty, try)
 }
 
 // InHall implements suspects.Teller.
@@ -46,15 +46,15 @@
 // handleSuspects sets what other nodes tell and ask of such prompts.
 func (n *Node) handleSuspects() {
 	s := n.Suspects
-	s.Attach(&suspectTeller{
+	s.SetNotifier(&suspectTeller{
 		self:    n.Settings.Node.Name,
 		hall:    n.Settings.Node.DataHall,
 		members: n.Members,
 		probes:  n.Probes,
 		log:     n.Log,
 	})
-	n.Probes.OnNote(suspects.NoteCases, s.Hear)
-	n.Probes.OnNote(suspects.NoteDigest, s.Compare)
+	n.Probes.OnNote(suspects.NoteCases, s.HandleCases)
+	n.Probes.OnNote(suspects.NoteDigest, s.HandleDigest)
 	n.Peer.Handle(peer.RolePeer, suspects.MethodRun, s.ServeRun)
-	n.Peer.Handle(peer.RolePeer, suspects.MethodOver, s.ServeOver)
+	n.Peer.Handle(peer.RolePeer, suspects.MethodRunEnded, s.ServeRunEnded)
 }
--- a/service/node/wiring.go
+++ b/service/node/wiring.go
@@ -22,7 +22,7 @@
 
 // constructors are what the container builds a node from.
 func constructors(s config.Settings, log *slog.Logger, level *slog.LevelVar) []any {
-	weights := route.Weights{
+	weights := route.CostWeights{
 		Latency:   s.Policy.LatencyWeight,
 		Recompute: s.Policy.RecomputeWeight,
 		Link:      s.Policy.LinkWeight,
@@ -39,7 +39,7 @@
 		func() *prompt.Directory { return prompt.NewDirectory(s.Limits.DirectoryKeys, time.Now()) },
 		func() *route.Fleet { return route.NewFleet(newRand()) },
 		func() *entry.Metrics { return new(entry.Metrics) },
-		func() *route.Keep { return route.NewKeep(weights) },
+		func() *route.ExportPolicy { return route.NewExportPolicy(weights) },
 		func() *route.RetryBudget { return route.NewRetryBudget(s.Limits.RetryShare) },
 		func(f *route.Fleet, l *route.Links) route.Policy {
 			return route.NewPolicy(s.Policy.Name, f, l, weights)
@@ -138,7 +138,7 @@
 	Policy    route.Policy
 	Admission *route.Admission
 	Retries   *route.RetryBudget
-	Keep      *route.Keep
+	Keep      *route.ExportPolicy
 	Loads     *Loads
 	Metrics   *entry.Metrics
 	Suspects  *suspects.Suspects
--- a/service/operator/explain.go
+++ b/service/operator/explain.go
@@ -67,7 +67,7 @@
 	add("decision", "run on "+d.Replica)
 	if d.Import != nil {
 		add("import", fmt.Sprintf("%d tokens from %s, given up after %s",
-			d.Import.Chunks*prompt.ChunkTokens, d.Import.Store, d.Import.GiveUp.Round(time.Millisecond)))
+			d.Import.Chunks*prompt.ChunkTokens, d.Import.Store, d.Import.Timeout.Round(time.Millisecond)))
 	}
 	add("recomputed tokens", strconv.Itoa(d.Recompute))
 	add("wait", d.Wait.Round(time.Microsecond).String())
--- a/service/ratelimit/grants.go
+++ b/service/ratelimit/grants.go
@@ -18,9 +18,9 @@
 	MethodSpend = "ratelimit.spend"
 )
 
-// RateNews is what one node tells others of the rate that a replica names. Times are told as
+// RateUpdate is what one node tells others of the rate that a replica names. Times are told as
 // ages, as nodes have no clock in common. Its JSON names are short, as many go in one note.
-type RateNews struct {
+type RateUpdate struct {
 	Replica string `json:"r"`
 	// Started is the replica's start that is meant, in Unix milliseconds; 0 if it is not known.
 	Started   int64   `json:"t,omitempty"`
@@ -31,8 +31,8 @@
 	AgeMS int64 `json:"a"`
 }
 
-func newsOf(u *site.Upstream, r quota.Rate, now time.Time) RateNews {
-	n := RateNews{Replica: u.ID, PerSecond: r.PerSecond, Ended: r.Ended, AgeMS: now.Sub(r.At).Milliseconds()}
+func newsOf(u *site.Upstream, r quota.Rate, now time.Time) RateUpdate {
+	n := RateUpdate{Replica: u.ID, PerSecond: r.PerSecond, Ended: r.Ended, AgeMS: now.Sub(r.At).Milliseconds()}
 	if !u.Started.IsZero() {
 		n.Started = u.Started.UnixMilli()
 	}
@@ -40,7 +40,7 @@
 }
 
 // upstream names the replica that news are of.
-func (n *RateNews) upstream() *site.Upstream {
+func (n *RateUpdate) upstream() *site.Upstream {
 	u := &site.Upstream{ID: n.Replica}
 	if n.Started > 0 {
 		u.Started = time.UnixMilli(n.Started)
@@ -48,7 +48,7 @@
 	return u
 }
 
-func (n *RateNews) rate(now time.Time) quota.Rate {
+func (n *RateUpdate) rate(now time.Time) quota.Rate {
 	age := time.Duration(max(0, n.AgeMS)) * time.Millisecond
 	return quota.Rate{PerSecond: max(0, n.PerSecond), Ended: n.Ended, At: now.Add(-age)}
 }
@@ -59,7 +59,7 @@
 	Count  int   `json:"count"`
 	WaitMS int64 `json:"wait_ms,omitempty"`
 	// Rate is what the owner knows, if that is something.
-	Rate *RateNews `json:"rate,omitempty"`
+	Rate *RateUpdate `json:"rate,omitempty"`
 }
 
 // MaySend asks whether a request may be sent to a replica now. Where it names no limit it
@@ -153,7 +153,7 @@
 }
 
 // ServeTake answers a node that asks for a grant.
-func (l *Limits) ServeTake(_ context.Context, n RateNews) (takeAnswer, error) {
+func (l *Limits) ServeTake(_ context.Context, n RateUpdate) (takeAnswer, error) {
 	now := boottime.Now()
 	u := n.upstream()
 	l.note(u, n.rate(now), now)
@@ -161,7 +161,7 @@
 }
 
 // ServeRate takes in what a node has seen of a replica that this one owns.
-func (l *Limits) ServeRate(_ context.Context, n RateNews) (struct{}, error) {
+func (l *Limits) ServeRate(_ context.Context, n RateUpdate) (struct{}, error) {
 	now := boottime.Now()
 	u, r := n.upstream(), n.rate(now)
 	if r.Ended {
@@ -173,7 +173,7 @@
 }
 
 // ServeSpend counts what a node sent without a grant.
-func (l *Limits) ServeSpend(_ context.Context, n RateNews) (struct{}, error) {
+func (l *Limits) ServeSpend(_ context.Context, n RateUpdate) (struct{}, error) {
 	l.ledger.Spend(n.upstream().StartKey(), boottime.Now())
 	return struct{}{}, nil
 }
--- a/service/ratelimit/limits.go
+++ b/service/ratelimit/limits.go
@@ -37,7 +37,7 @@
 	met    func() bool
 	ledger *quota.Ledger
 	log    *slog.Logger
-	teller Teller
+	teller Announcer
 	counts counts
 	wg     sync.WaitGroup
 
@@ -53,9 +53,9 @@
 	Notify(ctx context.Context, addr netip.AddrPort, method string, params any) error
 }
 
-// Teller tells all other nodes what is known of the rate that a start of a replica names.
-type Teller interface {
-	TellRate(n RateNews)
+// Announcer tells all other nodes what is known of the rate that a start of a replica names.
+type Announcer interface {
+	AnnounceRate(n RateUpdate)
 }
 
 // grant is what this node was given by an owner, or not.
@@ -88,8 +88,8 @@
 	mostNamed = 1e5
 	// ownerDuty names the duty of dividing what a replica takes.
 	ownerDuty = "limit/"
-	// ForgetEvery is how often Forget is to be called.
-	ForgetEvery = 2 * time.Second
+	// ForgetInterval is how often Forget is to be called.
+	ForgetInterval = 2 * time.Second
 )
 
 // New returns what a node knows, which is nothing yet. Attach is to be called before anything
@@ -106,16 +106,16 @@
 	}
 }
 
-// Attach says by whom other nodes are told.
-func (l *Limits) Attach(t Teller) { l.teller = t }
+// SetAnnouncer says by whom other nodes are told.
+func (l *Limits) SetAnnouncer(t Announcer) { l.teller = t }
 
 // Close waits for what is under way.
 func (l *Limits) Close() { l.wg.Wait() }
 
-// Learn takes in what an answer says. Only one to a request that ran, and that was sent after
+// ObserveAnswer takes in what an answer says. Only one to a request that ran, and that was sent after
 // the rate was last seen, shows that there is none any more: others may have been under way
 // since before it was named.
-func (l *Limits) Learn(u *site.Upstream, a *site.Answer, sent, now time.Time) {
+func (l *Limits) ObserveAnswer(u *site.Upstream, a *site.Answer, sent, now time.Time) {
 	switch {
 	case a.Limit.Said == site.RateUnreadable:
 		l.counts.unread.Add(1)
@@ -132,7 +132,7 @@
 func (l *Limits) named(u *site.Upstream, r quota.Rate, now time.Time) {
 	switch l.note(u, r, now) {
 	case quota.ChangeBegun:
-		l.teller.TellRate(newsOf(u, r, now))
+		l.teller.AnnounceRate(newsOf(u, r, now))
 	case quota.ChangeRate:
 		l.tellOwner(u, r)
 	}
@@ -155,19 +155,19 @@
 // ended takes an end in, as the replica's owner.
 func (l *Limits) ended(u *site.Upstream, end quota.Rate, now time.Time) {
 	if l.note(u, end, now) == quota.ChangeEnded {
-		l.teller.TellRate(newsOf(u, end, now))
+		l.teller.AnnounceRate(newsOf(u, end, now))
 	}
 }
 
-// Hear takes in what another node tells of the rate that a start of a replica names.
-func (l *Limits) Hear(n RateNews) {
+// ApplyUpdate takes in what another node tells of the rate that a start of a replica names.
+func (l *Limits) ApplyUpdate(n RateUpdate) {
 	now := boottime.Now()
 	l.note(n.upstream(), n.rate(now), now)
 }
 
 // note takes in what was seen of a replica, and logs what that changes.
 func (l *Limits) note(u *site.Upstream, r quota.Rate, now time.Time) quota.Change {
-	change := l.ledger.Note(u.StartKey(), r, now)
+	change := l.ledger.Observe(u.StartKey(), r, now)
 	switch change {
 	case quota.ChangeBegun, quota.ChangeRate:
 		l.log.Info("replica names a limit", "replica", u.ID, "per_second", r.PerSecond, "age", now.Sub(r.At), "owner", l.owner(u.StartKey()).Name)
--- a/service/ratelimit/ratelimit_test.go
+++ b/service/ratelimit/ratelimit_test.go
@@ -75,7 +75,7 @@
 func (f *fleet) start(m control.Member, side int) *Limits {
 	met := func() bool { return !f.is(f.stranger, m.Name) }
 	l := New(m, f.sides[side], &lateCalls{f, m.Name}, met, slog.New(slog.DiscardHandler))
-	l.Attach(&lateNews{f, l})
+	l.SetAnnouncer(&lateNews{f, l})
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if old := f.byPeer[m.Peer]; old != nil {
@@ -114,7 +114,7 @@
 	from *Limits
 }
 
-func (t *lateNews) TellRate(news RateNews) {
+func (t *lateNews) AnnounceRate(news RateUpdate) {
 	t.f.mu.Lock()
 	t.f.told++
 	nodes := append([]*Limits(nil), t.f.nodes...)
@@ -123,7 +123,7 @@
 		if l == t.from || !t.f.hears(t.from.self.Name, l.self.Name) || t.f.chance() < lostNews {
 			continue
 		}
-		time.AfterFunc(t.f.late(), func() { l.Hear(news) })
+		time.AfterFunc(t.f.late(), func() { l.ApplyUpdate(news) })
 	}
 }
 
@@ -150,7 +150,7 @@
 		return errSilent
 	}
 	time.Sleep(callTime)
-	a, err := to.ServeTake(ctx, params.(RateNews))
+	a, err := to.ServeTake(ctx, params.(RateUpdate))
 	*result.(*takeAnswer) = a
 	c.f.mu.Lock()
 	c.f.asked++
@@ -166,9 +166,9 @@
 	time.Sleep(callTime)
 	switch method {
 	case MethodRate:
-		_, err = to.ServeRate(ctx, params.(RateNews))
+		_, err = to.ServeRate(ctx, params.(RateUpdate))
 	case MethodSpend:
-		_, err = to.ServeSpend(ctx, params.(RateNews))
+		_, err = to.ServeSpend(ctx, params.(RateUpdate))
 	}
 	return err
 }
@@ -219,7 +219,7 @@
 	if named >= 0 {
 		a.Limit = site.NamedRate(named)
 	}
-	l.Learn(u, &a, sent, time.Now())
+	l.ObserveAnswer(u, &a, sent, time.Now())
 }
 
 // worst is what came in the worst 4 s from a time on, and in all.
--- a/service/suspects/grants.go
+++ b/service/suspects/grants.go
@@ -15,7 +15,7 @@
 	// MethodRun asks an owner whether a watched request may be sent now, and MethodOver
 	// tells it that nothing came of that.
 	MethodRun  = "suspects.run"
-	MethodOver = "suspects.over"
+	MethodRunEnded = "suspects.over"
 )
 
 // runRequest are the parameters of MethodRun and MethodOver.
@@ -34,7 +34,7 @@
 // time, and the first of the request's owners that answers lets one of all nodes, for at
 // most a time. Where none answers, this node lets one of its own.
 func (s *Suspects) MayRun(ctx context.Context, f site.Fingerprint, most time.Duration) bool {
-	if !s.register.Run(f, most, boottime.Now()) {
+	if !s.register.StartRun(f, most, boottime.Now()) {
 		return false
 	}
 	var silent []control.Member // They may have given a grant.
@@ -50,7 +50,7 @@
 			silent = append(silent, o)
 			continue
 		case !a.Run:
-			s.register.Over(f)
+			s.register.EndRun(f)
 			s.tellOver(f, silent)
 		}
 		return a.Run
@@ -58,11 +58,11 @@
 	return true
 }
 
-// Over tells that a watched request has ended with no word of its replica. Told only to the
+// EndRun tells that a watched request has ended with no word of its replica. Told only to the
 // first owner, one that was asked for a grant and answered too late went on refusing the
 // request to all nodes, for up to 10 s.
-func (s *Suspects) Over(f site.Fingerprint) {
-	s.register.Over(f)
+func (s *Suspects) EndRun(f site.Fingerprint) {
+	s.register.EndRun(f)
 	s.tellOver(f, s.owners(f))
 }
 
@@ -75,7 +75,7 @@
 		s.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), askTerm)
 			defer cancel()
-			if err := s.client.Notify(ctx, o.Peer, MethodOver, runRequest{Content: f, Node: s.self.Name}); err != nil {
+			if err := s.client.Notify(ctx, o.Peer, MethodRunEnded, runRequest{Content: f, Node: s.self.Name}); err != nil {
 				s.log.Debug("end of a watched request not told", "err", err) // It lapses.
 			}
 		})
--- a/service/suspects/kept.go
+++ b/service/suspects/kept.go
@@ -16,8 +16,8 @@
 // that a node reads as it starts: it costs no call until there is one, and nodes that have
 // all started anew know of them with their first answer.
 const (
-	// RowBlocked is the key of that row in the table of the nodes.
-	RowBlocked = "requests/barred"
+	// BlockedRowKey is the key of that row in the table of the nodes.
+	BlockedRowKey = "requests/barred"
 	// keepRetry is the pause after a failure: each call is paid for.
 	keepRetry = 5 * time.Second
 	// mostKept is how many are kept, the newest: some 400 bytes each of a row of 64 kB.
@@ -32,8 +32,8 @@
 	Cases   []caseNews `json:"cases"`
 }
 
-// Load takes in the row.
-func (s *Suspects) Load(r site.Row, now time.Time) {
+// LoadRow takes in the row.
+func (s *Suspects) LoadRow(r site.Row, now time.Time) {
 	var row blockedRow
 	if err := json.Unmarshal(r.Value, &row); err != nil {
 		s.log.Error("row of blocked requests can't be read", "row", r.Key, "err", err)
@@ -49,9 +49,9 @@
 	}
 }
 
-// Keep writes the row if there are blocked requests that it lacks and that fall to this
+// SaveRow writes the row if there are blocked requests that it lacks and that fall to this
 // node; the timer service calls it.
-func (s *Suspects) Keep(ctx context.Context) {
+func (s *Suspects) SaveRow(ctx context.Context) {
 	now := boottime.Now()
 	if s.store == nil || s.register.Empty() || !s.mustKeep(now) {
 		return
@@ -71,7 +71,7 @@
 	if now.Before(s.keepNext) {
 		return false
 	}
-	for _, c := range s.register.Held(mostKept) {
+	for _, c := range s.register.Flagged(mostKept) {
 		if c.Verdict() != suspect.Blocked || s.kept[c.Content] {
 			continue
 		}
@@ -90,13 +90,13 @@
 	}
 	version := int64(0)
 	for _, r := range l.Rows {
-		if r.Key == RowBlocked {
+		if r.Key == BlockedRowKey {
 			version = r.Version
-			s.Load(r, now)
+			s.LoadRow(r, now)
 		}
 	}
 	row := blockedRow{Written: now.UnixMilli()}
-	for _, c := range s.register.Held(mostHeld) {
+	for _, c := range s.register.Flagged(mostHeld) {
 		if c.Verdict() == suspect.Blocked && len(row.Cases) < mostKept {
 			row.Cases = append(row.Cases, newsOfCase(c, now))
 		}
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := s.store.Put(ctx, site.TableNodes, RowBlocked, value, version); err != nil {
+	if _, err := s.store.Put(ctx, site.TableNodes, BlockedRowKey, value, version); err != nil {
 		return eris.Wrap(err, "write the row")
 	}
 	s.mu.Lock()
--- a/service/suspects/learn.go
+++ b/service/suspects/learn.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// LearnEvery is how often a node that has just started asks another one what is blocked:
+	// LearnInterval is how often a node that has just started asks another one what is blocked:
 	// an answer takes some milliseconds, and it needs no more than a few.
-	LearnEvery = 100 * time.Millisecond
+	LearnInterval = 100 * time.Millisecond
 	// learnMost bounds for how long the first requests of a node wait until it knows what is
 	// blocked. It answers a start of all nodes while the store turns this one away: the others
 	// then know nothing either until they have read the store, which takes them some 0.2 s.
@@ -29,8 +29,8 @@
 	knows bool
 }
 
-// Learned notes that the node has heard what is blocked.
-func (s *Suspects) Learned() {
+// MarkLearned notes that the node has heard what is blocked.
+func (s *Suspects) MarkLearned() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learning.knows = true
@@ -53,10 +53,10 @@
 	return s.learning.knows
 }
 
-// Await waits until the node knows what is blocked, for learnMost after the first call at
+// WaitLearned waits until the node knows what is blocked, for learnMost after the first call at
 // most. Without it a node that had just started ended one more replica under a request that
 // all others refused, before it had read the store.
-func (s *Suspects) Await(ctx context.Context) {
+func (s *Suspects) WaitLearned(ctx context.Context) {
 	select {
 	case <-s.learning.done:
 		return
--- a/service/suspects/news.go
+++ b/service/suspects/news.go
@@ -19,9 +19,9 @@
 	NoteCases = "suspects.cases"
 	// NoteDigest tells of what a node holds of them.
 	NoteDigest = "suspects.digest"
-	// Every is how often a node compares what it holds with one other's, which
+	// StepInterval is how often a node compares what it holds with one other's, which
 	// takes 0.2 kB: one that was cut off has heard of a block by its third look.
-	Every = time.Second
+	StepInterval = time.Second
 	// casesMost is how many go in one note, some 400 bytes each, and casesNotes how
 	// many notes answer a digest.
 	casesMost  = 30
@@ -45,7 +45,7 @@
 }
 
 func newsOfCase(c suspect.Case, now time.Time) caseNews {
-	news := caseNews{Content: c.Content, Sketch: c.Sketch}
+	news := caseNews{Content: c.Content, Sketch: c.QuickHash}
 	if !c.Finished.IsZero() {
 		news.Finished = max(1, now.Sub(c.Finished).Milliseconds())
 	}
@@ -58,12 +58,12 @@
 // caseAt is the case that is told of, if the news is of a time.
 func (w *caseNews) caseAt(at time.Time) suspect.Case {
 	ago := func(ms int64) time.Time { return at.Add(-time.Duration(max(0, ms)) * time.Millisecond) }
-	c := suspect.Case{Content: w.Content, Sketch: w.Sketch}
+	c := suspect.Case{Content: w.Content, QuickHash: w.Sketch}
 	if w.Finished > 0 {
 		c.Finished = ago(w.Finished)
 	}
 	for _, e := range w.Ends {
-		c.Ends = append(c.Ends, suspect.End{Replica: e.Replica, Begun: ago(e.Begun), At: ago(e.At)})
+		c.Ends = append(c.Ends, suspect.ReplicaEnd{Replica: e.Replica, Begun: ago(e.Begun), At: ago(e.At)})
 	}
 	return c
 }
@@ -92,8 +92,8 @@
 }
 
 // tell tells other nodes what this one has seen of a request.
-func (s *Suspects) tell(c suspect.Case, change suspect.Change, now time.Time) {
-	if change.Before != suspect.Free || change.After != suspect.Free {
+func (s *Suspects) tell(c suspect.Case, change suspect.MergeResult, now time.Time) {
+	if change.Before != suspect.Allowed || change.After != suspect.Allowed {
 		s.spread(c)
 		return
 	}
@@ -142,8 +142,8 @@
 	time.AfterFunc(tellAgain, func() { send(1) })
 }
 
-// Hear takes in what another node tells.
-func (s *Suspects) Hear(params json.RawMessage) {
+// HandleCases takes in what another node tells.
+func (s *Suspects) HandleCases(params json.RawMessage) {
 	var w casesNote
 	if err := json.Unmarshal(params, &w); err != nil {
 		s.log.Debug("suspects not understood", "err", err)
@@ -158,7 +158,7 @@
 		c := w.Cases[i].caseAt(now)
 		change := s.take(c, w.Collect)
 		blocked := change.Before != change.After && change.After == suspect.Blocked
-		if w.Compared && blocked && now.Sub(c.Last()) < missedTerm {
+		if w.Compared && blocked && now.Sub(c.LastEvent()) < missedTerm {
 			missed = append(missed, w.Cases[i])
 		}
 	}
@@ -178,16 +178,16 @@
 const finishSpread = 400 * time.Millisecond
 
 // take takes in what another node tells of a request; its owners tell all nodes if need be.
-func (s *Suspects) take(told suspect.Case, collect bool) (change suspect.Change) {
+func (s *Suspects) take(told suspect.Case, collect bool) (change suspect.MergeResult) {
 	change = s.register.Merge(told)
 	c := s.register.Case(told.Content)
 	s.changed(c, change)
 	switch {
-	case collect && change.New && change.After != suspect.Free:
+	case collect && change.New && change.After != suspect.Allowed:
 		s.spread(c)
-	case change.Own && told.Verdict() != suspect.Free:
+	case change.OwnFinish && told.Verdict() != suspect.Allowed:
 		time.AfterFunc(rand.N(finishSpread), func() {
-			if s.register.MayTell(c.Content) {
+			if s.register.ShouldAnnounce(c.Content) {
 				s.spread(s.register.Case(c.Content))
 			}
 		})
@@ -204,8 +204,8 @@
 	s.compareWith(s.members.View().All) // The dead too: this node may have been cut off.
 }
 
-// Compare answers a node that holds something else than this one.
-func (s *Suspects) Compare(params json.RawMessage) {
+// HandleDigest answers a node that holds something else than this one.
+func (s *Suspects) HandleDigest(params json.RawMessage) {
 	var w digestNote
 	if err := json.Unmarshal(params, &w); err != nil || !w.From.IsValid() {
 		s.log.Debug("digest not understood", "err", err)
@@ -213,7 +213,7 @@
 	}
 	own := s.register.Digest()
 	if own == w.Digest && w.Knows {
-		s.Learned()
+		s.MarkLearned()
 	}
 	to := []netip.AddrPort{w.From}
 	if !w.Answer && (own != w.Digest || w.Learning) {
@@ -222,7 +222,7 @@
 	if own == w.Digest {
 		return
 	}
-	held := s.register.Held(mostHeld)
+	held := s.register.Flagged(mostHeld)
 	// Also what is free again, or the other one would go on holding that up: of all that know,
 	// few have finished it themselves, and so speak of it unasked.
 	held = append(held, s.register.Cleared(casesMost)...)
@@ -252,14 +252,14 @@
 		return nil, eris.Wrap(err, "bad parameters")
 	}
 	most := min(time.Duration(q.MostMS)*time.Millisecond, longestRun)
-	return runAnswer{Run: s.register.Lend(q.Content, q.Node, most, boottime.Now())}, nil
+	return runAnswer{Run: s.register.GrantRun(q.Content, q.Node, most, boottime.Now())}, nil
 }
 
-func (s *Suspects) ServeOver(_ context.Context, params json.RawMessage) (any, error) {
+func (s *Suspects) ServeRunEnded(_ context.Context, params json.RawMessage) (any, error) {
 	var q runRequest
 	if err := json.Unmarshal(params, &q); err != nil {
 		return nil, eris.Wrap(err, "bad parameters")
 	}
-	s.register.Return(q.Content, q.Node)
+	s.register.EndGrantedRun(q.Content, q.Node)
 	return struct{}{}, nil
 }
--- a/service/suspects/suspects.go
+++ b/service/suspects/suspects.go
@@ -38,7 +38,7 @@
 	client   Caller
 	register *suspect.Register
 	log      *slog.Logger
-	notes    Teller
+	notes    Notifier
 	metrics  metrics
 	// dial says whether an address can't be reached.
 	dial func(addr netip.AddrPort) error
@@ -62,8 +62,8 @@
 	Put(ctx context.Context, t site.Table, key string, value []byte, expected int64) (site.Listing, error)
 }
 
-// Teller sends notes, which may be lost, to other nodes.
-type Teller interface {
+// Notifier sends notes, which may be lost, to other nodes.
+type Notifier interface {
 	// Note sends one to some nodes, and returns the bytes sent.
 	Note(to []netip.AddrPort, method string, params any) (sent int)
 	// Audience are the nodes to tell what all are to hear, and those that tell it on in
@@ -87,15 +87,15 @@
 // LostRun is a request whose replica gave no whole answer, and may have ended.
 type LostRun struct {
 	Content site.Fingerprint
-	Sketch  uint64
+	QuickHash  uint64
 	Request string // The caller's name of its attempt.
 	Replica string // The replica's ID.
-	Life    string // Its start.
+	StartKey    string // Its start.
 	Addr    netip.AddrPort
 	Begun   time.Time
 	At      time.Time // When the answer was lost.
-	// Alive says that the replica took a connection afterwards.
-	Alive bool
+	// Reachable says that the replica took a connection afterwards.
+	Reachable bool
 }
 
 const (
@@ -148,8 +148,8 @@
 	return conn.Close()
 }
 
-// Attach says by whom other nodes are told.
-func (s *Suspects) Attach(t Teller) { s.notes = t }
+// SetNotifier says by whom other nodes are told.
+func (s *Suspects) SetNotifier(t Notifier) { s.notes = t }
 
 // Empty says whether nothing is known of any request.
 func (s *Suspects) Empty() bool { return s.register.Empty() }
@@ -157,21 +157,21 @@
 // Case is what is known of a request.
 func (s *Suspects) Case(f site.Fingerprint) suspect.Case { return s.register.Case(f) }
 
-// LifeOf names a start of a replica; started is zero where that is not known.
-func LifeOf(id string, started time.Time) string {
+// StartKeyOf names a start of a replica; started is zero where that is not known.
+func StartKeyOf(id string, started time.Time) string {
 	if started.IsZero() {
 		return id
 	}
 	return id + "@" + strconv.FormatInt(started.UnixMilli(), 10)
 }
 
-// ShowsEnd says whether an error of a new connection shows that no process listens any
+// NotListening says whether an error of a new connection shows that no process listens any
 // more. A path that is cut shows nothing of the kind: every replica would seem to end.
-func ShowsEnd(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func NotListening(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Remember notes a request whose replica may have ended. If the replica's entry has gone
+// RecordLostRun notes a request whose replica may have ended. If the replica's entry has gone
 // while its answer was still waited for, that is found out.
-func (s *Suspects) Remember(run LostRun) {
+func (s *Suspects) RecordLostRun(run LostRun) {
 	s.mu.Lock()
 	if len(s.lost) >= mostLost {
 		s.lost = s.lost[1:]
@@ -192,7 +192,7 @@
 			s.alive(id)
 			return
 		}
-		s.confirm(boottime.Now(), func(r *LostRun) bool { return r.Replica == id && !r.Alive })
+		s.confirm(boottime.Now(), func(r *LostRun) bool { return r.Replica == id && !r.Reachable })
 	})
 }
 
@@ -202,7 +202,7 @@
 	defer s.mu.Unlock()
 	for i := range s.lost {
 		if s.lost[i].Replica == id {
-			s.lost[i].Alive = true
+			s.lost[i].Reachable = true
 		}
 	}
 }
@@ -221,19 +221,19 @@
 	maps.DeleteFunc(s.gone, func(_ string, at time.Time) bool { return now.Sub(at) > longestRun })
 }
 
-// Refused notes that the address of a start of a replica takes no connections any more.
-func (s *Suspects) Refused(life string, now time.Time) {
+// RecordNotListening notes that the address of a start of a replica takes no connections any more.
+func (s *Suspects) RecordNotListening(life string, now time.Time) {
 	s.confirm(now, func(r *LostRun) bool {
-		return r.Life == life && !r.Alive && now.Sub(r.At) < refusedTerm
+		return r.StartKey == life && !r.Reachable && now.Sub(r.At) < refusedTerm
 	})
 }
 
-// Left notes that the platform's list has no longer a replica that did not say that it was
+// RecordDelisted notes that the platform's list has no longer a replica that did not say that it was
 // leaving. If answers were lost there, it is found out whether it has ended.
-func (s *Suspects) Left(id string, now time.Time) {
+func (s *Suspects) RecordDelisted(id string, now time.Time) {
 	s.went(id, now)
 	s.mu.Lock()
-	i := slices.IndexFunc(s.lost, func(r LostRun) bool { return r.Replica == id && !r.Alive })
+	i := slices.IndexFunc(s.lost, func(r LostRun) bool { return r.Replica == id && !r.Reachable })
 	addr := netip.AddrPort{}
 	if i >= 0 {
 		addr = s.lost[i].Addr
@@ -244,9 +244,9 @@
 	}
 }
 
-// Restarted notes that a replica that had not said that it was leaving has started anew
+// RecordRestart notes that a replica that had not said that it was leaving has started anew
 // under its ID.
-func (s *Suspects) Restarted(id string, now time.Time) {
+func (s *Suspects) RecordRestart(id string, now time.Time) {
 	s.confirm(now, func(r *LostRun) bool { return r.Replica == id })
 }
 
@@ -268,16 +268,16 @@
 	s.lost = kept
 	s.mu.Unlock()
 	for _, r := range list {
-		s.Ended(r, now)
+		s.RecordEnd(r, now)
 	}
 }
 
-// Ended notes that a replica ended while a request was in flight there.
-func (s *Suspects) Ended(r LostRun, now time.Time) {
+// RecordEnd notes that a replica ended while a request was in flight there.
+func (s *Suspects) RecordEnd(r LostRun, now time.Time) {
 	change := s.register.Merge(suspect.Case{
 		Content: r.Content,
-		Sketch:  r.Sketch,
-		Ends:    []suspect.End{{Replica: r.Life, Begun: r.Begun, At: now}},
+		QuickHash:  r.QuickHash,
+		Ends:    []suspect.ReplicaEnd{{Replica: r.StartKey, Begun: r.Begun, At: now}},
 	})
 	c := s.register.Case(r.Content)
 	s.metrics.ends.Add(1)
@@ -289,8 +289,8 @@
 	}
 }
 
-// Finished notes that a replica finished a request.
-func (s *Suspects) Finished(sketch uint64, content func() site.Fingerprint, now time.Time) {
+// RecordFinish notes that a replica finished a request.
+func (s *Suspects) RecordFinish(sketch uint64, content func() site.Fingerprint, now time.Time) {
 	s.register.Finished(sketch, now)
 	if s.register.Empty() {
 		return // Nothing has to be hashed.
@@ -299,20 +299,20 @@
 	if len(s.register.Case(f).Ends) == 0 {
 		return
 	}
-	change := s.register.Merge(suspect.Case{Content: f, Sketch: sketch, Finished: now})
+	change := s.register.Merge(suspect.Case{Content: f, QuickHash: sketch, Finished: now})
 	c := s.register.Case(f)
 	s.changed(c, change)
-	if change.New && s.register.MayTell(f) {
+	if change.New && s.register.ShouldAnnounce(f) {
 		s.tell(c, change, now)
 	}
 }
 
 // changed logs a change of what is done with a request.
-func (s *Suspects) changed(c suspect.Case, change suspect.Change) {
+func (s *Suspects) changed(c suspect.Case, change suspect.MergeResult) {
 	if change.Before == change.After {
 		return
 	}
-	if change.After == suspect.Free {
+	if change.After == suspect.Allowed {
 		s.log.Info("request no longer suspected", "content", c.Content)
 		return
 	}
--- a/service/suspects/suspects_test.go
+++ b/service/suspects/suspects_test.go
@@ -65,8 +65,8 @@
 
 func (f *suspectFleet) add(m control.Member, members *control.Members) *Suspects {
 	s := New(m, members, nil, &lateCalls{f: f, from: m.Name}, slog.New(slog.DiscardHandler))
-	s.Attach(&lateNotes{self: m, members: members, f: f})
-	s.Learned()
+	s.SetNotifier(&lateNotes{self: m, members: members, f: f})
+	s.MarkLearned()
 	f.nodes = append(f.nodes, s)
 	f.byPeer[m.Peer] = s
 	return s
@@ -110,7 +110,7 @@
 
 // Audience tells large halls through one of their nodes, another one at each try.
 func (l *lateNotes) Audience(try int) (direct, relays []netip.AddrPort) {
-	return l.members.View().Audience(l.self.Name, smallHall, "news/", try)
+	return l.members.View().Recipients(l.self.Name, smallHall, "news/", try)
 }
 
 func (l *lateNotes) InHall() []netip.AddrPort {
@@ -132,9 +132,9 @@
 		}
 		time.AfterFunc(l.f.late(), func() {
 			if method == NoteDigest {
-				s.Compare(body)
+				s.HandleDigest(body)
 			} else {
-				s.Hear(body)
+				s.HandleCases(body)
 			}
 		})
 	}
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = s.ServeOver(ctx, body)
+	_, err = s.ServeRunEnded(ctx, body)
 	return err
 }
 
@@ -202,7 +202,7 @@
 	f.mu.Lock()
 	f.ended = append(f.ended, now)
 	f.mu.Unlock()
-	s.Ended(LostRun{Content: deadlyContent, Sketch: 1, Replica: life, Life: life, Begun: begun, At: now}, now)
+	s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, Begun: begun, At: now}, now)
 }
 
 // repeat sends it at any node again and again, several at once, and lets time pass.
@@ -223,16 +223,16 @@
 func (f *suspectFleet) steps(ctx context.Context) {
 	for _, s := range f.nodes {
 		go func() {
-			time.Sleep(rand.N(Every))
+			time.Sleep(rand.N(StepInterval))
 			for ctx.Err() == nil {
 				s.Step(ctx)
-				time.Sleep(Every)
+				time.Sleep(StepInterval)
 			}
 		}()
 		go func() {
 			for ctx.Err() == nil {
 				s.Learn(ctx)
-				time.Sleep(LearnEvery)
+				time.Sleep(LearnInterval)
 			}
 		}()
 	}
@@ -350,7 +350,7 @@
 			for i := range each {
 				c := site.NewFingerprint("", "POST", "h", "/x", fmt.Appendf(nil, "%d %d", r, i))
 				life := fmt.Sprint("replica", r)
-				f.nodes[rand.IntN(len(f.nodes))].Ended(LostRun{Content: c, Sketch: 1, Replica: life, Life: life, Begun: now, At: now}, now)
+				f.nodes[rand.IntN(len(f.nodes))].RecordEnd(LostRun{Content: c, QuickHash: 1, Replica: life, StartKey: life, Begun: now, At: now}, now)
 			}
 		}
 		time.Sleep(time.Second)
@@ -380,14 +380,14 @@
 		now := time.Now()
 		for i, s := range f.nodes[:3] {
 			life := fmt.Sprint("replica", i)
-			s.Ended(LostRun{Content: deadlyContent, Sketch: sketch, Replica: life, Life: life, Begun: now, At: now}, now)
+			s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: sketch, Replica: life, StartKey: life, Begun: now, At: now}, now)
 		}
 		time.Sleep(contact)
 		cancel()
-		defer time.Sleep(2 * Every)
+		defer time.Sleep(2 * StepInterval)
 		for _, s := range f.nodes {
 			c := s.register.Case(deadlyContent)
-			assert.Equal(t, c.Verdict(), suspect.Free, "%s", s.self.Name)
+			assert.Equal(t, c.Verdict(), suspect.Allowed, "%s", s.self.Name)
 		}
 	})
 }
@@ -400,7 +400,7 @@
 	for play := range 4 {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			defer time.Sleep(2 * Every)
+			defer time.Sleep(2 * StepInterval)
 			defer cancel()
 			f := newSuspectFleet(295, 5, func() time.Duration { return 5 * time.Millisecond })
 			f.steps(ctx)
@@ -413,7 +413,7 @@
 			now := time.Now()
 			for i, s := range f.nodes[:2] {
 				life := fmt.Sprint("replica", i)
-				s.Ended(LostRun{Content: deadlyContent, Sketch: sketch, Replica: life, Life: life, Begun: now, At: now}, now)
+				s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: sketch, Replica: life, StartKey: life, Begun: now, At: now}, now)
 			}
 			time.Sleep(contact)
 			c := away.register.Case(deadlyContent)
@@ -426,7 +426,7 @@
 			f.cutOff(false, away)
 			time.Sleep(contact)
 			c = away.register.Case(deadlyContent)
-			assert.Check(t, c.Verdict() == suspect.Free, "%s has not heard within %v", away.self.Name, contact)
+			assert.Check(t, c.Verdict() == suspect.Allowed, "%s has not heard within %v", away.self.Name, contact)
 		})
 	}
 }
@@ -441,7 +441,7 @@
 		for i := range 2 {
 			now := time.Now()
 			life := fmt.Sprint("replica", i)
-			f.nodes[i].Ended(LostRun{Content: deadlyContent, Sketch: 1, Replica: life, Life: life, Begun: now, At: now}, now)
+			f.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, Begun: now, At: now}, now)
 			time.Sleep(time.Second)
 		}
 		owners := f.nodes[0].owners(deadlyContent)
@@ -457,7 +457,7 @@
 		}
 		mayRun := func(s *Suspects) bool { return s.MayRun(t.Context(), deadlyContent, 4*time.Second) }
 		over := func(s *Suspects) {
-			s.Over(deadlyContent)
+			s.EndRun(deadlyContent)
 			time.Sleep(50 * time.Millisecond)
 		}
 
@@ -496,7 +496,7 @@
 		for i := range 3 {
 			now := time.Now()
 			life := fmt.Sprint("replica", i)
-			f.nodes[i].Ended(LostRun{Content: deadlyContent, Sketch: 1, Replica: life, Life: life, Begun: now, At: now}, now)
+			f.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, Begun: now, At: now}, now)
 			time.Sleep(time.Second)
 		}
 		f.cutOff(false, late)
@@ -505,7 +505,7 @@
 		}
 		f.steps(ctx)
 		begun := time.Now()
-		late.Await(ctx)
+		late.WaitLearned(ctx)
 		assert.Assert(t, time.Since(begun) < 700*time.Millisecond, "%v", time.Since(begun))
 		c := late.Case(deadlyContent)
 		assert.Equal(t, c.Verdict(), suspect.Blocked)
@@ -520,9 +520,9 @@
 		}
 		f.steps(ctx)
 		begun := time.Now()
-		f.nodes[0].Await(ctx)
+		f.nodes[0].WaitLearned(ctx)
 		assert.Equal(t, time.Since(begun), learnMost, "nobody knows")
-		f.nodes[0].Await(ctx)
+		f.nodes[0].WaitLearned(ctx)
 		assert.Equal(t, time.Since(begun), learnMost)
 		cancel()
 		time.Sleep(2 * time.Second)
@@ -532,7 +532,7 @@
 // lostAt is a request whose answer was lost at a replica of the same name.
 func lostAt(name string, begun, at time.Time) LostRun {
 	c := site.NewFingerprint("", "POST", "h", "/x", []byte(name))
-	return LostRun{Content: c, Sketch: 1, Replica: name, Life: name, Addr: addrOf(name), Begun: begun, At: at}
+	return LostRun{Content: c, QuickHash: 1, Replica: name, StartKey: name, Addr: addrOf(name), Begun: begun, At: at}
 }
 
 // addrOf is an address for each name.
@@ -565,22 +565,22 @@
 	s.unreachable("dropped", "old now")
 	now := time.Now()
 	for _, name := range []string{"silent", "refused", "dropped", "restarted", "serves on", "old now"} {
-		s.Remember(lostAt(name, now, now))
+		s.RecordLostRun(lostAt(name, now, now))
 	}
 	for _, name := range []string{"alive", "alive, restarted"} {
 		run := lostAt(name, now, now)
-		run.Alive = true
-		s.Remember(run)
+		run.Reachable = true
+		s.RecordLostRun(run)
 	}
-	s.Refused("refused", now.Add(time.Second))
-	s.Refused("alive", now.Add(time.Second))
-	s.Left("dropped", now.Add(4*time.Second))
-	s.Left("alive", now.Add(4*time.Second))
-	s.Left("serves on", now.Add(4*time.Second))
+	s.RecordNotListening("refused", now.Add(time.Second))
+	s.RecordNotListening("alive", now.Add(time.Second))
+	s.RecordDelisted("dropped", now.Add(4*time.Second))
+	s.RecordDelisted("alive", now.Add(4*time.Second))
+	s.RecordDelisted("serves on", now.Add(4*time.Second))
 	s.Close()
-	s.Restarted("restarted", now.Add(4*time.Second))
-	s.Restarted("alive, restarted", now.Add(4*time.Second))
-	s.Restarted("old now", now.Add(11*time.Second))
+	s.RecordRestart("restarted", now.Add(4*time.Second))
+	s.RecordRestart("alive, restarted", now.Add(4*time.Second))
+	s.RecordRestart("old now", now.Add(11*time.Second))
 	for name, want := range map[string]int{
 		"silent": 0, "refused": 1, "dropped": 1, "restarted": 1, "serves on": 0, "alive": 0, "alive, restarted": 1, "old now": 0,
 	} {
@@ -596,11 +596,11 @@
 	s := f.nodes[0]
 	s.unreachable("dropped", "long ago")
 	now := time.Now()
-	s.Left("dropped", now.Add(3600*time.Millisecond))
-	s.Left("serves on", now.Add(3600*time.Millisecond))
-	s.Left("long ago", now.Add(-7*time.Second))
+	s.RecordDelisted("dropped", now.Add(3600*time.Millisecond))
+	s.RecordDelisted("serves on", now.Add(3600*time.Millisecond))
+	s.RecordDelisted("long ago", now.Add(-7*time.Second))
 	for _, name := range []string{"dropped", "serves on", "long ago"} {
-		s.Remember(lostAt(name, now, now.Add(4*time.Second)))
+		s.RecordLostRun(lostAt(name, now, now.Add(4*time.Second)))
 	}
 	s.Close()
 	for name, want := range map[string]int{"dropped": 1, "serves on": 0, "long ago": 0} {
@@ -615,31 +615,31 @@
 	store := &keptStore{}
 	s.store = store
 	now := time.Now()
-	s.Keep(t.Context())
+	s.SaveRow(t.Context())
 	assert.Equal(t, store.writes, 0)
 	for i := range 3 {
 		life := fmt.Sprint("replica", i)
-		s.register.Merge(suspect.Case{Content: deadlyContent, Sketch: 1, Ends: []suspect.End{
+		s.register.Merge(suspect.Case{Content: deadlyContent, QuickHash: 1, Ends: []suspect.ReplicaEnd{
 			{Replica: life, Begun: now.Add(time.Duration(i)*time.Second - time.Minute), At: now.Add(time.Duration(i)*time.Second - 59500*time.Millisecond)},
 		}})
 	}
 	store.fail = true
-	s.Keep(t.Context())
-	s.Keep(t.Context())
+	s.SaveRow(t.Context())
+	s.SaveRow(t.Context())
 	assert.Equal(t, store.lists, 1, "a store that fails is not asked at each look")
 	store.fail = false
 	s.keepNext = time.Time{}
-	s.Keep(t.Context())
-	s.Keep(t.Context())
+	s.SaveRow(t.Context())
+	s.SaveRow(t.Context())
 	assert.Equal(t, store.writes, 1)
 	other := newSuspectFleet(1, 1, func() time.Duration { return 0 }).nodes[0]
-	other.Load(site.Row{Key: RowBlocked, Value: []byte("no JSON")}, time.Now())
+	other.LoadRow(site.Row{Key: BlockedRowKey, Value: []byte("no JSON")}, time.Now())
 	assert.Assert(t, other.register.Empty())
-	other.Load(store.row, time.Now())
+	other.LoadRow(store.row, time.Now())
 	c := other.register.Case(deadlyContent)
 	assert.Equal(t, c.Verdict(), suspect.Blocked)
 	other.store = store
-	other.Keep(t.Context())
+	other.SaveRow(t.Context())
 	assert.Equal(t, store.writes, 1, "it stands there")
 	other.register.Expire(time.Now().Add(58 * time.Minute))
 	assert.Assert(t, !other.register.Empty())
