--- a/_scripts/ablate/plan.go
+++ b/_scripts/ablate/plan.go
@@ -85,7 +85,7 @@
 
 // mechanisms lists the settings' names of all mechanisms.
 func mechanisms() ([]string, error) {
-	text, err := json.Marshal(config.WithoutSettings{})
+	text, err := json.Marshal(config.DisabledMechanisms{})
 	if err != nil {
 		return nil, err
 	}
--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -230,7 +230,7 @@
 	},
 	{
 		"suspects: a node that starts waits for what is blocked", "service/gateway/exchange_suspects.go",
-		"	x.g.suspects.Await(ctx)\n", "",
+		"	x.g.suspects.WaitLearned(ctx)\n", "",
 		"./internal/standin/onplatform", "TestNodeThatStartsWaitsForWhatIsBlocked",
 	},
 	{
@@ -265,7 +265,7 @@
 	},
 	{
 		"suspects: owners tell all nodes", "service/suspects/news.go",
-		"	case collect && change.New && change.After != suspect.Free:\n		s.spread(c)\n", "",
+		"	case collect && change.New && change.After != suspect.Allowed:\n		s.spread(c)\n", "",
 		"./service/suspects", "TestRepeatsAreStoppedAtAllSizes",
 	},
 	{
@@ -295,7 +295,7 @@
 	},
 	{
 		"suspended: leases", "pkg/rollout/lease.go",
-		"now: boottime.LookNow}\n}", "now: func() time.Time { _ = boottime.Now; return time.Now() }}\n}",
+		"now: boottime.RefreshNow}\n}", "now: func() time.Time { _ = boottime.Now; return time.Now() }}\n}",
 		"./pkg/rollout", "TestLeaseIsOverAfterASuspension",
 	},
 	{
@@ -329,7 +329,7 @@
 		"./internal/standin/onplatform", "TestDrainingReplicaIsSentNothingOnceItsAnswerSaysSo",
 	},
 	{
-		"drain: the list does not undo it", "service/gateway/beliefs.go",
+		"drain: the list does not undo it", "service/gateway/site_state.go",
 		"	u.Draining = u.Draining || b.saysDraining(u.StartKey())\n", "",
 		"./service/gateway", "TestDrainThatAnAnswerSaysHoldsAgainstTheList",
 	},
--- a/cmd/drumpath/cmds/root.go
+++ b/cmd/drumpath/cmds/root.go
@@ -89,7 +89,7 @@
 func (s stdio) exitCode(err error) int {
 	var usage *flags.Error
 	var exit *exitError
-	var faults config.Faults
+	var faults config.SettingErrors
 	switch {
 	case err == nil:
 		return ExitOK
--- a/cmd/drumpath/cmds/try.go
+++ b/cmd/drumpath/cmds/try.go
@@ -159,7 +159,7 @@
 	defer cancel()
 	return poll(ctx, "the engines did not forget", func() bool {
 		for _, w := range n.Watches.Status() {
-			if w.Kind == "engine" && w.Held > 0 {
+			if w.Kind == "engine" && w.Entries > 0 {
 				return false
 			}
 		}
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -131,7 +131,7 @@
 		Entries:  s.fleet.entries(),
 		Verify:   standin.Answer,
 		Attempts: attempts,
-		Observe: func(since time.Duration, a load.Streamed) {
+		Observe: func(since time.Duration, a load.StreamResult) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.firsts = append(s.firsts, firstToken{at: since, took: a.First})
--- a/internal/standin/engine_transfer.go
+++ b/internal/standin/engine_transfer.go
@@ -40,7 +40,7 @@
 	}
 	store := httpjson.NewClient(o.Store)
 	defer store.Close()
-	pin := upstream.Pin{
+	pin := upstream.PinObject{
 		Key:        o.Object.Key,
 		Generation: o.Object.Generation,
 		Epoch:      o.Object.Epoch,
@@ -142,7 +142,7 @@
 			return
 		}
 	}
-	seal := upstream.Seal{Key: o.Key, Generation: obj.Generation, Checksum: checksumOf(keys)}
+	seal := upstream.SealObject{Key: o.Key, Generation: obj.Generation, Checksum: checksumOf(keys)}
 	if err := store.Call(e.ctx, http.MethodPost, upstream.PathStoreSeal, seal, &obj); err != nil {
 		refuse(c, upstream.ReasonChecksum)
 		return
--- a/internal/standin/onplatform/silence_test.go
+++ b/internal/standin/onplatform/silence_test.go
@@ -178,7 +178,7 @@
 			return err
 		},
 		"free": func(e *platform.Engines, addr netip.AddrPort) error {
-			return e.Free(t.Context(), addr, []sitepkg.Freed{{Realm: "r", Part: "p"}}, 1)
+			return e.Free(t.Context(), addr, []sitepkg.PartRef{{Realm: "r", Part: "p"}}, 1)
 		},
 		"report": func(e *platform.Engines, addr netip.AddrPort) error {
 			_, err := e.Report(t.Context(), addr)
--- a/internal/standin/onplatform/suspended_test.go
+++ b/internal/standin/onplatform/suspended_test.go
@@ -44,7 +44,7 @@
 			back := s.away()
 			s.tenants = s.tenants[:1]
 			s.configure()
-			boottime.Skip(d)
+			boottime.SimulateSuspend(d)
 			woke := time.Now()
 			got := n.send(asTwo())
 			back()
@@ -64,7 +64,7 @@
 	s.replica(app, "a")
 	n := s.node("n1")
 	defer s.away()()
-	boottime.Skip(8 * time.Second)
+	boottime.SimulateSuspend(8 * time.Second)
 	assert.Assert(t, !n.isReady())
 	assert.Equal(t, n.addrs(), "", "it does not know where callers are to go")
 	got := n.send(request("GET", "/safe/x", ""))
@@ -83,7 +83,7 @@
 	a, b := s.replica(app, "a"), s.replica(app, "b")
 	n := s.node("n1")
 	sleepThen := func(w io.Writer, r *onplatform.Request) bool {
-		boottime.Skip(8 * time.Second)
+		boottime.SimulateSuspend(8 * time.Second)
 		return onplatform.NotRun(503)(w, r)
 	}
 	a.Script(sleepThen)
@@ -104,7 +104,7 @@
 	s.until("its own hall serves", func() bool { return n.reaches(a) })
 	back := s.away()
 	s.store.Put(onplatform.TableOperator, "evacuate/hall-a", map[string]any{})
-	boottime.Skip(8 * time.Second)
+	boottime.SimulateSuspend(8 * time.Second)
 	before := len(a.Seen())
 	for range 10 {
 		n.send(request("GET", "/safe/x", ""))
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -214,7 +214,7 @@
 
 // seal makes an object visible; an older one under the key is freed.
 func (s *Store) seal(c *fasthttp.RequestCtx) {
-	var req upstream.Seal
+	var req upstream.SealObject
 	if !decode(c, &req) {
 		return
 	}
@@ -251,7 +251,7 @@
 }
 
 func (s *Store) pin(c *fasthttp.RequestCtx) {
-	var req upstream.Pin
+	var req upstream.PinObject
 	if !decode(c, &req) {
 		return
 	}
@@ -270,7 +270,7 @@
 }
 
 func (s *Store) unpin(c *fasthttp.RequestCtx) {
-	var req upstream.Pin
+	var req upstream.PinObject
 	if !decode(c, &req) {
 		return
 	}
@@ -330,7 +330,7 @@
 }
 
 func (s *Store) free(c *fasthttp.RequestCtx) {
-	var req upstream.Free
+	var req upstream.FreeObject
 	if !decode(c, &req) {
 		return
 	}
--- a/internal/standin/store_test.go
+++ b/internal/standin/store_test.go
@@ -40,8 +40,8 @@
 	return o
 }
 
-func (f *storeFixture) pin(o prompt.Object, term time.Duration) (upstream.Pin, error) {
-	p := upstream.Pin{Key: o.Key, Generation: o.Generation, Epoch: o.Epoch, Reader: "r", Millis: term.Milliseconds()}
+func (f *storeFixture) pin(o prompt.Object, term time.Duration) (upstream.PinObject, error) {
+	p := upstream.PinObject{Key: o.Key, Generation: o.Generation, Epoch: o.Epoch, Reader: "r", Millis: term.Milliseconds()}
 	return p, f.call(upstream.PathStorePin, p, nil)
 }
 
@@ -58,17 +58,17 @@
 	o := f.put(testBlocks[:2])
 	_, err := f.pin(o, time.Minute)
 	assert.Assert(t, err != nil)
-	err = f.call(upstream.PathStoreSeal, upstream.Seal{Key: o.Key, Generation: o.Generation, Checksum: checksumOf(testBlocks)}, nil)
+	err = f.call(upstream.PathStoreSeal, upstream.SealObject{Key: o.Key, Generation: o.Generation, Checksum: checksumOf(testBlocks)}, nil)
 	assert.Assert(t, err != nil, "a half-written object was sealed")
 }
 
 func TestFreeWaitsForPins(t *testing.T) {
 	f := newStoreFixture(t)
 	o := f.put(testBlocks)
-	assert.NilError(t, f.call(upstream.PathStoreSeal, upstream.Seal{Key: o.Key, Generation: o.Generation, Checksum: checksumOf(testBlocks)}, &o))
+	assert.NilError(t, f.call(upstream.PathStoreSeal, upstream.SealObject{Key: o.Key, Generation: o.Generation, Checksum: checksumOf(testBlocks)}, &o))
 	pin, err := f.pin(o, time.Minute)
 	assert.NilError(t, err)
-	assert.NilError(t, f.call(upstream.PathStoreFree, upstream.Free{Key: o.Key, Generation: o.Generation, Epoch: o.Epoch}, nil))
+	assert.NilError(t, f.call(upstream.PathStoreFree, upstream.FreeObject{Key: o.Key, Generation: o.Generation, Epoch: o.Epoch}, nil))
 	_, err = f.pin(o, time.Minute)
 	assert.Assert(t, err != nil, "a freed object was pinned")
 	blocks, err := f.get(o)
--- a/pkg/boottime/clock.go
+++ b/pkg/boottime/clock.go
@@ -11,7 +11,7 @@
 	// suspended is for how long the machine has been found to have been suspended since
 	// the program started, in nanoseconds. It only grows.
 	suspended atomic.Int64
-	// skipped is what Skip has added to the clock.
+	// skipped is what SimulateSuspend has added to the clock.
 	skipped atomic.Int64
 	// ahead is by how much at most the clock that counts everything was ahead of the steady
 	// one when the program started.
@@ -46,7 +46,7 @@
 // is left out of each suspension that is found later.
 const startReadings = 8
 
-// leadAtStart takes the readings the other way round than Look, so that a pause of the
+// leadAtStart takes the readings the other way round than Refresh, so that a pause of the
 // process in either is never taken for a suspension of the machine.
 func leadAtStart() (time.Duration, error) {
 	behind, err := lead(steady, boot)
@@ -61,10 +61,10 @@
 // Err says why suspensions are not found on this system, nil if they are.
 func Err() error { return errClock }
 
-// Look finds out for how long the machine has been suspended since the program started, less
+// Refresh finds out for how long the machine has been suspended since the program started, less
 // what passed while the clocks were read, which the next look finds. It takes 0.6 us, two
 // calls of the system.
-func Look() time.Duration {
+func Refresh() time.Duration {
 	now, err := lead(boot, steady)
 	if err != nil || errClock != nil {
 		return Suspended()
@@ -78,16 +78,16 @@
 	}
 }
 
-// Suspended is what Look has found so far.
+// Suspended is what Refresh has found so far.
 func Suspended() time.Duration { return time.Duration(suspended.Load()) }
 
 // Now is the time with all suspensions found so far. Its wall clock is ahead by as much:
 // it is for ages, not to be shown.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
-// LookNow looks, and returns Now.
-func LookNow() time.Time {
-	Look()
+// RefreshNow looks, and returns Now.
+func RefreshNow() time.Time {
+	Refresh()
 	return Now()
 }
 
@@ -97,9 +97,9 @@
 // Until is how long it is to a time of Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Steady turns a time of Now into one of time.Now, for the runtime's timers and deadlines.
-func Steady(t time.Time) time.Time { return t.Add(-Suspended()) }
+// Monotonic turns a time of Now into one of time.Now, for the runtime's timers and deadlines.
+func Monotonic(t time.Time) time.Time { return t.Add(-Suspended()) }
 
-// Skip has the clock that counts everything tell as if the machine had been suspended for a
+// SimulateSuspend has the clock that counts everything tell as if the machine had been suspended for a
 // while. It is for tests.
-func Skip(d time.Duration) { skipped.Add(int64(d)) }
+func SimulateSuspend(d time.Duration) { skipped.Add(int64(d)) }
--- a/pkg/boottime/clock_test.go
+++ b/pkg/boottime/clock_test.go
@@ -15,36 +15,36 @@
 
 func TestSuspensionCountsOnceItIsFound(t *testing.T) {
 	assert.NilError(t, boottime.Err())
-	known := boottime.Look()
+	known := boottime.Refresh()
 	before := boottime.Now()
-	boottime.Skip(8 * time.Second)
+	boottime.SimulateSuspend(8 * time.Second)
 	assert.Assert(t, boottime.Since(before) < time.Second, "nobody has looked")
-	for begun := time.Now(); boottime.Look()-known < 8*time.Second-time.Millisecond; {
-		assert.Assert(t, time.Since(begun) < readTime, "found %v", boottime.Look()-known)
+	for begun := time.Now(); boottime.Refresh()-known < 8*time.Second-time.Millisecond; {
+		assert.Assert(t, time.Since(begun) < readTime, "found %v", boottime.Refresh()-known)
 	}
-	assert.Assert(t, boottime.Look()-known <= 8*time.Second+time.Millisecond, "found %v", boottime.Look()-known)
+	assert.Assert(t, boottime.Refresh()-known <= 8*time.Second+time.Millisecond, "found %v", boottime.Refresh()-known)
 	since := boottime.Since(before)
 	assert.Assert(t, since >= 8*time.Second-time.Millisecond && since < 10*time.Second, "%v", since)
 	assert.Assert(t, boottime.Until(before.Add(9*time.Second)) <= time.Second+time.Millisecond)
 	limit := boottime.Now().Add(time.Minute)
-	left := time.Until(boottime.Steady(limit))
+	left := time.Until(boottime.Monotonic(limit))
 	assert.Assert(t, left > 59*time.Second && left <= time.Minute, "%v", left)
 }
 
 // Between two looks only a suspension counts, not the time that passes, nor a pause of the
 // process between the two readings.
 func TestRunningOnIsNoSuspension(t *testing.T) {
-	first := boottime.Look()
+	first := boottime.Refresh()
 	for range 2000 {
 		time.Sleep(10 * time.Microsecond)
-		boottime.Look()
+		boottime.Refresh()
 	}
-	assert.Assert(t, boottime.Look()-first < time.Millisecond, "%v", boottime.Look()-first)
+	assert.Assert(t, boottime.Refresh()-first < time.Millisecond, "%v", boottime.Refresh()-first)
 }
 
 func BenchmarkLook(b *testing.B) {
 	for b.Loop() {
-		boottime.Look()
+		boottime.Refresh()
 	}
 }
 
--- a/pkg/boottime/doc.go
+++ b/pkg/boottime/doc.go
@@ -4,10 +4,10 @@
 // keys, loads of others.
 //
 // Now is time.Now and what the machine was suspended since the program started, as far as
-// that has been found. Look finds it: it reads the system's clock that counts everything.
+// that has been found. Refresh finds it: it reads the system's clock that counts everything.
 // A step of the time of day moves neither. Whatever must not act on old knowledge looks
 // first, and whatever only keeps an age takes Now.
 //
-// Timers and deadlines of the runtime go by the steady clock; Steady turns a time of Now
+// Timers and deadlines of the runtime go by the steady clock; Monotonic turns a time of Now
 // into theirs.
 package boottime
--- a/pkg/config/gateway.go
+++ b/pkg/config/gateway.go
@@ -60,8 +60,8 @@
 // GatewayPlatformSettings says how the platform's store is used.
 type GatewayPlatformSettings struct {
 	Store netip.AddrPort `json:"store" validate:"required"`
-	// Hold is for how long a call that waits for changes is held.
-	Hold Duration `json:"hold" validate:"gt=0"`
+	// LongPollTimeout is for how long a call that waits for changes is held.
+	LongPollTimeout Duration `json:"hold" validate:"gt=0"`
 	// ReturnTime is for how long an upstream that the store has dropped while
 	// it was away is still used.
 	ReturnTime Duration `json:"return_time" validate:"gte=0"`
@@ -137,8 +137,8 @@
 			LoadEvery:  Duration(defaultLoadEvery),
 		},
 		Platform: GatewayPlatformSettings{
-			Hold:       Duration(defaultHold),
-			ReturnTime: Duration(defaultReturnTime),
+			LongPollTimeout: Duration(defaultHold),
+			ReturnTime:      Duration(defaultReturnTime),
 		},
 		Retry:  RetrySettings{Share: defaultRetryShare, Window: Duration(10 * time.Second)},
 		Stop:   StopSettings{Grace: Duration(8 * time.Second)},
--- a/pkg/config/gateway_test.go
+++ b/pkg/config/gateway_test.go
@@ -77,14 +77,14 @@
 		"bounds.grace_s":          "",
 		"limits.memory_mb|json":   `"much"`,
 	}))
-	faults, ok := err.(Faults)
+	faults, ok := err.(SettingErrors)
 	assert.Assert(t, ok)
 	text := faults.Error()
 	for _, field := range []string{"entry.listen", "stop.grace", "limits.memory_mb"} {
 		assert.Assert(t, strings.Contains(text, field), "%s lacks %s", text, field)
 	}
 	_, err = ParseGateway([]byte(`{"node": {"name": "n"}}`))
-	faults, ok = err.(Faults)
+	faults, ok = err.(SettingErrors)
 	assert.Assert(t, ok)
 	for _, field := range []string{"node.data_hall", "entry.listen", "entry.ready", "entry.directory", "peer.listen", "peer.key", "platform.store"} {
 		assert.Assert(t, strings.Contains(faults.Error(), field), "%s lacks %s", faults.Error(), field)
--- a/pkg/config/load.go
+++ b/pkg/config/load.go
@@ -7,12 +7,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Load reads and checks a settings file; the error is Faults when the file
+// Load reads and checks a settings file; the error is SettingErrors when the file
 // could be read but is wrong.
 func Load(path string) (s Settings, err error) { return load(path, Parse) }
 
 // Parse checks settings text and returns the settings, or every fault as
-// Faults.
+// SettingErrors.
 func Parse(text []byte) (s Settings, err error) {
 	s = Defaults()
 	if err := parse(text, &s); err != nil {
@@ -35,7 +35,7 @@
 
 func load[T any](path string, parse func([]byte) (T, error)) (s T, err error) {
 	defer func() {
-		if _, faults := err.(Faults); err != nil && !faults { // Faults is returned bare.
+		if _, faults := err.(SettingErrors); err != nil && !faults { // SettingErrors is returned bare.
 			err = eris.Wrapf(err, "settings %s", path)
 		}
 	}()
--- a/pkg/config/load_test.go
+++ b/pkg/config/load_test.go
@@ -32,7 +32,7 @@
 	text = strings.Replace(text, `"seeds": ["127.0.0.1:9081"]`, `"seeds": ["localhost"]`, 1)
 	text = strings.Replace(text, `"operator"`, `"operatr"`, 1)
 	_, err := Parse([]byte(text))
-	var faults Faults
+	var faults SettingErrors
 	assert.Assert(t, errors.As(err, &faults))
 	assert.Equal(t, len(faults), 3, err.Error())
 	assert.Equal(t, faults[0].Path, "entry.max_age")
@@ -54,7 +54,7 @@
 	f.Add([]byte(`{"entry": {"max_body": "1e400GiB"}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		_, err := Parse(text)
-		var faults Faults
+		var faults SettingErrors
 		if err != nil && !errors.As(err, &faults) {
 			t.Fatalf("not a list of faults: %v", err)
 		}
--- a/pkg/config/reader.go
+++ b/pkg/config/reader.go
@@ -20,7 +20,7 @@
 type reader struct {
 	text   []byte
 	lines  map[string]int // Path to line, for faults found after reading.
-	faults Faults
+	faults SettingErrors
 }
 
 func newReader(text []byte) *reader {
@@ -30,7 +30,7 @@
 func (r *reader) read(into any) {
 	v, err := hujson.Parse(r.text)
 	if err != nil {
-		r.faults = append(r.faults, Fault{Path: "file", Line: syntaxLine(err), Found: err.Error(), Wanted: "JSON with comments"})
+		r.faults = append(r.faults, SettingError{Path: "file", Line: syntaxLine(err), Found: err.Error(), Wanted: "JSON with comments"})
 		return
 	}
 	r.value("", v, reflect.ValueOf(into).Elem())
@@ -60,7 +60,7 @@
 	if isSecret(path) {
 		found = "another type"
 	}
-	r.faults = append(r.faults, Fault{Path: path, Line: r.line(v), Found: found, Wanted: wanted})
+	r.faults = append(r.faults, SettingError{Path: path, Line: r.line(v), Found: found, Wanted: wanted})
 }
 
 const maxFoundText = 40
@@ -183,7 +183,7 @@
 		if isSecret(path) && written {
 			found = "a shorter one"
 		}
-		r.faults = append(r.faults, Fault{Path: path, Line: line, Found: found, Wanted: wantedByTag(e)})
+		r.faults = append(r.faults, SettingError{Path: path, Line: line, Found: found, Wanted: wantedByTag(e)})
 	}
 }
 
--- a/pkg/config/fault.go
+++ b/pkg/config/setting_error.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a settings file.
-type Fault struct {
+// SettingError is one thing wrong with a settings file.
+type SettingError struct {
 	Path   string `json:"path"`
 	Line   int    `json:"line"`
 	Found  string `json:"found"`
@@ -14,15 +14,15 @@
 }
 
 // String gives the fault in one line.
-func (f Fault) String() string {
+func (f SettingError) String() string {
 	return fmt.Sprintf("line %d: %s: found %s, wanted %s", f.Line, f.Path, f.Found, f.Wanted)
 }
 
-// Faults is every fault of a settings file, in file order.
-type Faults []Fault
+// SettingErrors is every fault of a settings file, in file order.
+type SettingErrors []SettingError
 
 // Error lists all faults, one a line.
-func (f Faults) Error() string {
+func (f SettingErrors) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
 		lines[i] = f[i].String()
--- a/pkg/control/leases.go
+++ b/pkg/control/leases.go
@@ -58,7 +58,7 @@
 		table:   t,
 		members: m,
 		log:     log,
-		now:     boottime.LookNow,
+		now:     boottime.RefreshNow,
 		leases:  map[string]*Lease{},
 	}
 	for i := range LeaseGroups {
--- a/pkg/control/leases_test.go
+++ b/pkg/control/leases_test.go
@@ -206,6 +206,6 @@
 	l := newLeases("vm-0", testTerm, newMemTable(), m, quiet)
 	l.Step(t.Context())
 	assert.Assert(t, l.Held(testLease))
-	boottime.Skip(testTerm)
+	boottime.SimulateSuspend(testTerm)
 	assert.Assert(t, !l.Held(testLease))
 }
--- a/pkg/http1/body.go
+++ b/pkg/http1/body.go
@@ -13,12 +13,12 @@
 
 // Framings of bodies.
 const (
-	FramedNone Framing = iota
-	FramedLength
-	FramedChunks
-	// FramedClose: the body ends with the connection. It can't be told from
+	FramingNone Framing = iota
+	FramingLength
+	FramingChunked
+	// FramingClose: the body ends with the connection. It can't be told from
 	// one that was cut by an orderly close.
-	FramedClose
+	FramingClose
 )
 
 // Body is the body of one message. Reading it never goes past its end.
@@ -43,20 +43,20 @@
 // ResponseBody returns the body of a response to a request of the given method.
 func ResponseBody(h *Head, method string, r *bufio.Reader) (*Body, error) {
 	if method == "HEAD" || h.Status < 200 || h.Status == 204 || h.Status == 304 {
-		return newBody(r, FramedNone, 0), nil
+		return newBody(r, FramingNone, 0), nil
 	}
 	framing, n, err := framingOf(h)
 	if err != nil {
 		return nil, err
 	}
-	if framing == FramedNone && !h.Has("Content-Length") {
-		framing = FramedClose
+	if framing == FramingNone && !h.Has("Content-Length") {
+		framing = FramingClose
 	}
 	return newBody(r, framing, n), nil
 }
 
 func newBody(r *bufio.Reader, framing Framing, n int64) *Body {
-	return &Body{r: r, framing: framing, left: n, done: framing == FramedNone}
+	return &Body{r: r, framing: framing, left: n, done: framing == FramingNone}
 }
 
 // framingOf refuses every head that two readers could frame differently:
@@ -82,11 +82,11 @@
 	case chunked && found:
 		return 0, 0, ErrMalformed
 	case chunked:
-		return FramedChunks, 0, nil
+		return FramingChunked, 0, nil
 	case length > 0:
-		return FramedLength, length, nil
+		return FramingLength, length, nil
 	default:
-		return FramedNone, 0, nil
+		return FramingNone, 0, nil
 	}
 }
 
@@ -112,7 +112,7 @@
 // Done says whether the whole body has been read.
 func (b *Body) Done() bool { return b.done }
 
-// Read implements io.Reader; the error is ErrBodyCut when the connection ends
+// Read implements io.Reader; the error is ErrBodyTruncated when the connection ends
 // inside the body.
 func (b *Body) Read(p []byte) (n int, err error) {
 	if b.err != nil {
@@ -130,9 +130,9 @@
 
 func (b *Body) read(p []byte) (int, error) {
 	switch b.framing {
-	case FramedLength:
+	case FramingLength:
 		return b.readLeft(p, true)
-	case FramedChunks:
+	case FramingChunked:
 		return b.readChunk(p)
 	default:
 		n, err := b.r.Read(p)
@@ -224,20 +224,20 @@
 	}
 }
 
-// cut turns an orderly end inside a body into ErrBodyCut.
+// cut turns an orderly end inside a body into ErrBodyTruncated.
 func cut(err error) error {
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
-		return ErrBodyCut
+		return ErrBodyTruncated
 	}
 	return err
 }
 
 // ReadAll reads a body of at most limit bytes.
 func ReadAll(b *Body, limit int) ([]byte, error) {
-	if b.framing == FramedLength && b.left > int64(limit) {
+	if b.framing == FramingLength && b.left > int64(limit) {
 		return nil, ErrBodyTooLarge
 	}
-	if b.framing == FramedLength {
+	if b.framing == FramingLength {
 		all := make([]byte, b.left)
 		_, err := io.ReadFull(b, all)
 		return all, cut(err)
--- a/pkg/http1/conn.go
+++ b/pkg/http1/conn.go
@@ -29,10 +29,10 @@
 	return d.Dial("tcp", addr)
 }
 
-// PeerLeft says whether the peer of a TCP connection has closed it, or its own side of
+// PeerClosed says whether the peer of a TCP connection has closed it, or its own side of
 // it, or reset it. It tells so also while bytes that came before are unread, where
 // reading would not. The error says that the connection was closed here.
-func PeerLeft(conn net.Conn) (left bool, err error) {
+func PeerClosed(conn net.Conn) (left bool, err error) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false, nil
@@ -70,10 +70,10 @@
 	return err == nil && n > 0
 }
 
-// Quiet says whether a connection that rests between two messages is still open
+// Idle says whether a connection that rests between two messages is still open
 // and has nothing to be read; it may take a byte out, so one that is not quiet
 // has to be closed.
-func Quiet(conn net.Conn) bool {
+func Idle(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/pkg/http1/errors.go
+++ b/pkg/http1/errors.go
@@ -11,6 +11,6 @@
 	ErrHeadTooLarge = errors.New("HTTP head too large")
 	// ErrBodyTooLarge says that the body is over the limit.
 	ErrBodyTooLarge = errors.New("HTTP body too large")
-	// ErrBodyCut says that the connection ended inside a body.
-	ErrBodyCut = errors.New("HTTP body cut short")
+	// ErrBodyTruncated says that the connection ended inside a body.
+	ErrBodyTruncated = errors.New("HTTP body cut short")
 )
--- a/pkg/http1/read_test.go
+++ b/pkg/http1/read_test.go
@@ -136,7 +136,7 @@
 			b, err := ResponseBody(h, "GET", r)
 			assert.NilError(t, err)
 			_, err = ReadAll(b, testLimit)
-			assert.ErrorIs(t, err, ErrBodyCut)
+			assert.ErrorIs(t, err, ErrBodyTruncated)
 			assert.Assert(t, !b.Done())
 		})
 	}
@@ -193,7 +193,7 @@
 	all, err := ReadAll(b, testLimit)
 	assert.NilError(t, err)
 	assert.Equal(t, string(all), "abc")
-	assert.Equal(t, b.Framing(), FramedClose)
+	assert.Equal(t, b.Framing(), FramingClose)
 }
 
 // Whatever is accepted says the same when it is written and read again, and no
@@ -263,7 +263,7 @@
 		switch {
 		case err == nil:
 			assert.Assert(t, b.Done() && len(all) <= testLimit)
-		case errors.Is(err, ErrBodyCut), errors.Is(err, ErrMalformed), errors.Is(err, ErrBodyTooLarge):
+		case errors.Is(err, ErrBodyTruncated), errors.Is(err, ErrMalformed), errors.Is(err, ErrBodyTooLarge):
 		default:
 			t.Fatalf("unexpected error %v", err)
 		}
--- a/pkg/http1/write.go
+++ b/pkg/http1/write.go
@@ -71,9 +71,9 @@
 // LastChunk ends a body in chunks.
 const LastChunk = "0\r\n\r\n"
 
-// AppendClosing appends the head of a response whose body ends with the
+// AppendUntilCloseResponse appends the head of a response whose body ends with the
 // connection, for clients of HTTP/1.0.
-func AppendClosing(b []byte, status int, fields []Field) []byte {
+func AppendUntilCloseResponse(b []byte, status int, fields []Field) []byte {
 	b = append(b, "HTTP/1.0 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
--- a/pkg/httpjson/client.go
+++ b/pkg/httpjson/client.go
@@ -56,8 +56,8 @@
 	return c
 }
 
-// LargeSince is when a large answer last began to come in, zero if none has.
-func (c *Client) LargeSince() time.Time {
+// LastLargeResponse is when a large answer last began to come in, zero if none has.
+func (c *Client) LastLargeResponse() time.Time {
 	if at := c.large.Load(); at != nil {
 		return *at
 	}
--- a/pkg/httpjson/patience.go
+++ b/pkg/httpjson/patience.go
@@ -44,7 +44,7 @@
 // engines that had ended before were counted as ended under them.
 func (c *patientConn) Write(b []byte) (int, error) {
 	if c.rested {
-		if left, err := http1.PeerLeft(c.Conn); left || err != nil {
+		if left, err := http1.PeerClosed(c.Conn); left || err != nil {
 			return 0, errClosedAtRest
 		}
 	}
--- a/pkg/load/run.go
+++ b/pkg/load/run.go
@@ -29,7 +29,7 @@
 	Attempts int
 	// Observe is called with each answer that came and its time since the load's
 	// start; it may be nil.
-	Observe func(since time.Duration, s Streamed)
+	Observe func(since time.Duration, s StreamResult)
 	// Progress is called about once a second.
 	Progress func(Progress)
 	// OnTime is called when the load has run for some time; it may be nil.
@@ -174,7 +174,7 @@
 	r.tally.report.Again++
 }
 
-func (r *runner) send(ctx context.Context, a arrival, text string, start time.Time) (s Streamed, err error) {
+func (r *runner) send(ctx context.Context, a arrival, text string, start time.Time) (s StreamResult, err error) {
 	entry, err := r.entries.get(ctx, a.organisation.Key)
 	if err != nil {
 		return s, err
@@ -207,7 +207,7 @@
 }
 
 // count tallies one request that came after the warm-up.
-func (r *runner) count(a arrival, text string, s Streamed, err error) {
+func (r *runner) count(a arrival, text string, s StreamResult, err error) {
 	t := r.tally
 	wrong := err == nil && r.opts.Verify != nil && s.Text != r.opts.Verify(text, r.profile.MaxTokens)
 	t.mu.Lock()
--- a/pkg/load/stream.go
+++ b/pkg/load/stream.go
@@ -10,8 +10,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Streamed is what a caller saw of one streamed answer.
-type Streamed struct {
+// StreamResult is what a caller saw of one streamed answer.
+type StreamResult struct {
 	Text   string
 	First  time.Duration // To the first token.
 	Last   time.Duration
@@ -51,7 +51,7 @@
 
 // ReadStream reads a streamed answer to its end; an answer without its end mark
 // is an error.
-func ReadStream(resp *http.Response, start time.Time) (s Streamed, err error) {
+func ReadStream(resp *http.Response, start time.Time) (s StreamResult, err error) {
 	if resp.StatusCode != http.StatusOK {
 		return s, readError(resp)
 	}
@@ -98,7 +98,7 @@
 }
 
 // take adds a chunk that came after some time.
-func (s *Streamed) take(c streamChunk, text *strings.Builder, after time.Duration) {
+func (s *StreamResult) take(c streamChunk, text *strings.Builder, after time.Duration) {
 	for _, ch := range c.Choices {
 		if ch.Text == "" {
 			continue
--- a/pkg/prompt/holding.go
+++ b/pkg/prompt/cache_location.go
@@ -10,8 +10,8 @@
 	Checksum   uint64 `json:"checksum"`
 }
 
-// Holding is a place that keeps the state of a prefix of a chain.
-type Holding struct {
+// CacheLocation is a place that keeps the state of a prefix of a chain.
+type CacheLocation struct {
 	Upstream string `json:"upstream"`
 	Chunks   int    `json:"chunks"` // Length of the prefix it shares.
 	// Object names the kept run in a store; nil when an engine holds it hot.
@@ -19,4 +19,4 @@
 }
 
 // Tokens is the length of the shared prefix.
-func (h Holding) Tokens() int { return h.Chunks * ChunkTokens }
+func (h CacheLocation) Tokens() int { return h.Chunks * ChunkTokens }
--- a/pkg/prompt/directory.go
+++ b/pkg/prompt/directory.go
@@ -89,8 +89,8 @@
 	return m
 }
 
-// Look looks a chain up and records nothing.
-func (d *Directory) Look(marks []Mark, now time.Time) Match {
+// Lookup looks a chain up and records nothing.
+func (d *Directory) Lookup(marks []Mark, now time.Time) Match {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var m Match
@@ -132,8 +132,8 @@
 	}
 }
 
-// ForgetHot drops all that an engine held, after a gap in its events.
-func (d *Directory) ForgetHot(engine string) {
+// RemoveEngine drops all that an engine held, after a gap in its events.
+func (d *Directory) RemoveEngine(engine string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.places, d.hot[engine])
@@ -315,7 +315,7 @@
 		}
 		seen[r] = true
 		p := d.places[r]
-		m.Holdings = append(m.Holdings, Holding{Upstream: p.upstream, Chunks: mark.Chunks, Object: p.object})
+		m.Locations = append(m.Locations, CacheLocation{Upstream: p.upstream, Chunks: mark.Chunks, Object: p.object})
 	}
 }
 
@@ -323,12 +323,12 @@
 	if e.times == 0 {
 		return
 	}
-	if n := len(m.Sightings); n > 0 && m.Sightings[n-1].Times == int(e.times) {
+	if n := len(m.Occurrences); n > 0 && m.Occurrences[n-1].Count == int(e.times) {
 		return
 	}
-	m.Sightings = append(m.Sightings, Sighting{
+	m.Occurrences = append(m.Occurrences, Occurrence{
 		Chunks: mark.Chunks,
-		Times:  int(e.times),
+		Count:  int(e.times),
 		Since:  time.Duration(at-e.last) * tick,
 		Gap:    time.Duration(e.gap) * tick,
 	})
--- a/pkg/prompt/directory_test.go
+++ b/pkg/prompt/directory_test.go
@@ -22,19 +22,19 @@
 func TestObserveFindsLongestHolding(t *testing.T) {
 	d := NewDirectory(1000, testStart)
 	c := testChain(t, "a", 40)
-	assert.Equal(t, len(d.Observe(c.Marks, testStart).Holdings), 0)
+	assert.Equal(t, len(d.Observe(c.Marks, testStart).Locations), 0)
 	d.AddHot("e1", []Key{c.Marks[2].Key, c.Marks[5].Key}, testStart)
 	tail, _ := c.Tail()
 	d.AddStored("s1", Object{Key: tail.Key, Chunks: tail.Chunks, Generation: 7}, c.Marks, testStart)
 	m := d.Observe(c.Marks, testStart.Add(time.Minute))
-	assert.Equal(t, len(m.Holdings), 2)
-	assert.Equal(t, m.Holdings[0].Upstream, "s1")
-	assert.Equal(t, m.Holdings[0].Chunks, 40)
-	assert.Equal(t, m.Holdings[1].Chunks, c.Marks[5].Chunks)
-	assert.Equal(t, m.Sightings[0].Since, time.Minute)
-	d.ForgetHot("e1")
+	assert.Equal(t, len(m.Locations), 2)
+	assert.Equal(t, m.Locations[0].Upstream, "s1")
+	assert.Equal(t, m.Locations[0].Chunks, 40)
+	assert.Equal(t, m.Locations[1].Chunks, c.Marks[5].Chunks)
+	assert.Equal(t, m.Occurrences[0].Since, time.Minute)
+	d.RemoveEngine("e1")
 	d.RemoveStored("s1", tail.Key)
-	assert.Equal(t, len(d.Observe(c.Marks, testStart).Holdings), 0)
+	assert.Equal(t, len(d.Observe(c.Marks, testStart).Locations), 0)
 }
 
 func TestSightingsShowWhichPrefixReturns(t *testing.T) {
@@ -45,9 +45,9 @@
 		c := NewChain(Scope{}, text)
 		m := d.Observe(c.Marks, testStart.Add(time.Duration(i)*time.Hour))
 		if i == 2 {
-			assert.Equal(t, m.Sightings[0].Chunks, 32)
-			assert.Equal(t, m.Sightings[0].Times, 2)
-			assert.Equal(t, m.Sightings[0].Gap, time.Hour)
+			assert.Equal(t, m.Occurrences[0].Chunks, 32)
+			assert.Equal(t, m.Occurrences[0].Count, 2)
+			assert.Equal(t, m.Occurrences[0].Gap, time.Hour)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	tail, _ := c.Tail()
 	d.AddStored("s1", Object{Key: tail.Key, Chunks: 8, Epoch: 1}, c.Marks, testStart)
 	d.RetainStored("s1", func(o Object) bool { return o.Epoch == 2 })
-	assert.Equal(t, len(d.Look(c.Marks, testStart).Holdings), 0)
+	assert.Equal(t, len(d.Lookup(c.Marks, testStart).Locations), 0)
 }
 
 // The directory agrees with a plain model, whatever order things come in.
@@ -82,7 +82,7 @@
 				d.RemoveHot(engine, []Key{mark.Key})
 				delete(hot[engine], mark.Key)
 			case 2:
-				d.ForgetHot(engine)
+				d.RemoveEngine(engine)
 				clear(hot[engine])
 			}
 		}
@@ -96,7 +96,7 @@
 				}
 			}
 			got := map[string]int{}
-			for _, h := range d.Look(c.Marks, testStart).Holdings {
+			for _, h := range d.Lookup(c.Marks, testStart).Locations {
 				got[h.Upstream] = h.Chunks
 			}
 			assert.DeepEqual(t, got, want)
--- a/pkg/rollout/lease.go
+++ b/pkg/rollout/lease.go
@@ -63,7 +63,7 @@
 // NewLease returns a lease of a name that is not held; pause is the least time
 // between the orders of two holders.
 func NewLease(key, node string, pause time.Duration, s Store, log *slog.Logger) *Lease {
-	return &Lease{key: key, node: node, pause: pause, store: s, log: log, now: boottime.LookNow}
+	return &Lease{key: key, node: node, pause: pause, store: s, log: log, now: boottime.RefreshNow}
 }
 
 // Held says whether an order may be given now; it is asked just before each.
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -142,7 +142,7 @@
 // New returns a rollout that gives orders in a node's name; pause is the least
 // time between the orders of two nodes to a replica.
 func New(node string, pause time.Duration, st Store, e Engines, f Fleet, log *slog.Logger) *Rollout {
-	r := &Rollout{node: node, engines: e, fleet: f, log: log, now: boottime.LookNow}
+	r := &Rollout{node: node, engines: e, fleet: f, log: log, now: boottime.RefreshNow}
 	for i := range r.groups {
 		name := fmt.Sprintf("weights/%d", i)
 		r.groups[i] = &group{name: name, lease: NewLease(name, node, pause, st, log), swaps: map[string]*swap{}, loading: startLoading}
@@ -354,7 +354,7 @@
 	})
 	r.log.Info("order given", "replica", t.ID, "model", t.Model, "version", t.Version,
 		"fence", g.lease.Fence(), "orders", orders, "outcome", int(outcome), "err", err)
-	return outcome == site.OrderTaken || outcome == site.OrderUnknown
+	return outcome == site.OrderAccepted || outcome == site.OrderUnknown
 }
 
 func (r *Rollout) sleep(d time.Duration) { time.Sleep(d) }
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -147,7 +147,7 @@
 	if f.silent {
 		return site.OrderUnknown, fmt.Errorf("no answer")
 	}
-	return site.OrderTaken, nil
+	return site.OrderAccepted, nil
 }
 
 // carryOut begins to load, unless others have ordered since; the caller holds mu.
@@ -486,6 +486,6 @@
 	l := NewLease("l", "a", testPause, view{s, "a"}, slog.New(slog.DiscardHandler))
 	assert.Assert(t, l.Keep(t.Context()))
 	assert.Assert(t, l.Held())
-	boottime.Skip(leaseTerm)
+	boottime.SimulateSuspend(leaseTerm)
 	assert.Assert(t, !l.Held())
 }
--- a/pkg/route/baselines.go
+++ b/pkg/route/baselines.go
@@ -43,7 +43,7 @@
 func (p *longestPrefix) Place(q *Request, now time.Time) (Decision, error) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	hot, _ := splitHoldings(q.Match.Holdings)
+	hot, _ := splitHoldings(q.Match.Locations)
 	var best *replica
 	for name, tokens := range hot {
 		r, known := p.fleet.replicas[name]
--- a/pkg/route/kept.go
+++ b/pkg/route/cache_index.go
@@ -352,7 +352,7 @@
 
 // UnusedParts lists up to most parts of a store for which drop says that they will
 // not be used again, with the start of the store that they belong to.
-func (k *CacheIndex) UnusedParts(name string, most int, drop func(realm string) bool) (list []site.Freed, boot int64) {
+func (k *CacheIndex) UnusedParts(name string, most int, drop func(realm string) bool) (list []site.PartRef, boot int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s, ok := k.stores[name]
@@ -367,7 +367,7 @@
 			judged[key.realm] = useless
 		}
 		if useless {
-			list = append(list, site.Freed{Realm: key.realm, Part: key.part})
+			list = append(list, site.PartRef{Realm: key.realm, Part: key.part})
 		}
 		if len(list) == most {
 			break
@@ -377,7 +377,7 @@
 }
 
 // RemoveFreed notes that a store has dropped parts: its own word of that may get lost.
-func (k *CacheIndex) RemoveFreed(name string, boot int64, list []site.Freed) {
+func (k *CacheIndex) RemoveFreed(name string, boot int64, list []site.PartRef) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s, ok := k.stores[name]
--- a/pkg/route/estimator.go
+++ b/pkg/route/estimator.go
@@ -46,7 +46,7 @@
 func (p *estimator) Place(q *Request, now time.Time) (Decision, error) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	hot, stored := splitHoldings(q.Match.Holdings)
+	hot, stored := splitHoldings(q.Match.Locations)
 	var all []Decision
 	for _, r := range p.candidates(q, hot, now) {
 		all = p.options(all, q, r, hot[r.Name], stored, now)
@@ -79,7 +79,7 @@
 
 // splitHoldings sorts holdings into hot tokens by engine and stored copies,
 // longest first.
-func splitHoldings(all []prompt.Holding) (hot map[string]int, stored []prompt.Holding) {
+func splitHoldings(all []prompt.CacheLocation) (hot map[string]int, stored []prompt.CacheLocation) {
 	hot = map[string]int{}
 	for _, h := range all {
 		if h.Object != nil {
@@ -88,7 +88,7 @@
 		}
 		hot[h.Upstream] = max(hot[h.Upstream], h.Tokens())
 	}
-	slices.SortStableFunc(stored, func(a, b prompt.Holding) int { return cmp.Compare(b.Chunks, a.Chunks) })
+	slices.SortStableFunc(stored, func(a, b prompt.CacheLocation) int { return cmp.Compare(b.Chunks, a.Chunks) })
 	return hot, stored[:min(len(stored), storeCandidates)]
 }
 
@@ -140,7 +140,7 @@
 	q *Request,
 	r *replica,
 	hotTokens int,
-	stored []prompt.Holding,
+	stored []prompt.CacheLocation,
 	now time.Time,
 ) []Decision {
 	hotTokens = min(hotTokens, q.Chain.Tokens)
--- a/pkg/route/keep.go
+++ b/pkg/route/export_policy.go
@@ -58,7 +58,7 @@
 	}
 	returned := k.learn(in, tail)
 	stored := 0
-	for _, h := range in.Match.Holdings {
+	for _, h := range in.Match.Locations {
 		if h.Object != nil {
 			stored = max(stored, h.Chunks)
 		}
@@ -83,8 +83,8 @@
 		p = priorReturn
 	}
 	seen := 0
-	if len(in.Match.Sightings) > 0 {
-		seen = in.Match.Sightings[0].Chunks
+	if len(in.Match.Occurrences) > 0 {
+		seen = in.Match.Occurrences[0].Chunks
 	}
 	hit := 0.0
 	if float64(seen) >= nearlyAll*float64(tail.Chunks) {
@@ -97,10 +97,10 @@
 
 // longestSeen is the longest mark that an earlier request had too.
 func longestSeen(in ExportInput) prompt.Mark {
-	if len(in.Match.Sightings) == 0 {
+	if len(in.Match.Occurrences) == 0 {
 		return prompt.Mark{}
 	}
-	chunks := in.Match.Sightings[0].Chunks
+	chunks := in.Match.Occurrences[0].Chunks
 	for _, m := range in.Chain.Marks {
 		if m.Chunks == chunks {
 			return m
@@ -125,7 +125,7 @@
 
 // EvictionPriority ranks a kept object for eviction: how overdue its next return is.
 // The most overdue goes first.
-func EvictionPriority(s prompt.Sighting, unseenGap time.Duration) float64 {
+func EvictionPriority(s prompt.Occurrence, unseenGap time.Duration) float64 {
 	gap := s.Gap
 	if gap <= 0 {
 		gap = unseenGap
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -147,7 +147,7 @@
 	p.list = p.list[:0]
 	for _, u := range list {
 		m, ok := old[u.ID]
-		if !ok || m.OlderStart(&u) {
+		if !ok || m.StartedBefore(&u) {
 			// What is known of an earlier start goes with it: its weights, its lateness,
 			// its failures and what was in flight there.
 			m = &member{hash: rendezvous.Hash(u.ID), key: HashName(u.StartKey()), start: u.StartKey(), flights: map[*InFlightRequest]struct{}{}, late: 1}
--- a/pkg/route/prompt_queue.go
+++ b/pkg/route/prompt_queue.go
@@ -22,7 +22,7 @@
 // then who came first. At its own node nobody is passed by: a large prompt that finds no
 // room is not overtaken by smaller ones behind it.
 //
-// The lock is taken before that of a Pool, which Ask.Fits looks into.
+// The lock is taken before that of a Pool, which QueueRequest.Fits looks into.
 type PromptQueue struct {
 	mu      sync.Mutex
 	waiting queue.Heap[*WaitingPrompt]
@@ -56,7 +56,7 @@
 	// Deadline is the time after which it is not worth being sent.
 	Deadline time.Time
 	// Fits says whether an engine is expected to begin it soon; late is as in
-	// WaitingPrompt.Late. It is called with the queue's lock held.
+	// WaitingPrompt.MarkLate. It is called with the queue's lock held.
 	Fits func(late bool, now time.Time) bool
 }
 
@@ -188,7 +188,7 @@
 	return q.waiting.Len()
 }
 
-// Ready is closed once the prompt waits no longer: it is let in, unless Refused says
+// Ready is closed once the prompt waits no longer: it is let in, unless Err says
 // otherwise.
 func (w *WaitingPrompt) Ready() <-chan struct{} { return w.ready }
 
--- a/pkg/site/cache_change.go
+++ b/pkg/site/cache_change.go
@@ -20,8 +20,8 @@
 	Clock time.Duration
 }
 
-// Freed names a part that a store is to drop.
-type Freed struct {
+// PartRef names a part that a store is to drop.
+type PartRef struct {
 	Realm string
 	Part  string
 }
--- a/pkg/site/dispatch.go
+++ b/pkg/site/dispatch.go
@@ -9,8 +9,8 @@
 type Dispatch struct {
 	// Instance is the start of the replica that is meant; another refuses.
 	Instance string
-	// Left is how long the client still waits.
-	Left         time.Duration
+	// TimeLeft is how long the client still waits.
+	TimeLeft     time.Duration
 	Organisation string
 	// Priority is 0 for the most urgent; it is sent for prompts only.
 	Priority int
--- a/pkg/site/order.go
+++ b/pkg/site/order.go
@@ -21,12 +21,12 @@
 const (
 	// OrderUnknown: no answer came; it may be carried out later.
 	OrderUnknown OrderOutcome = iota
-	// OrderTaken: it is under way.
-	OrderTaken
-	// OrderHolds: the replica has that version.
-	OrderHolds
+	// OrderAccepted: it is under way.
+	OrderAccepted
+	// OrderAlreadyApplied: the replica has that version.
+	OrderAlreadyApplied
 	// OrderRefused: another is under way, or others have come between.
 	OrderRefused
-	// OrderWrong: the replica is another, or does not know such an order.
-	OrderWrong
+	// OrderMismatch: the replica is another, or does not know such an order.
+	OrderMismatch
 )
--- a/pkg/site/terms.go
+++ b/pkg/site/request_info.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Terms are what a request's head says of how it is to be served.
-type Terms struct {
+// RequestInfo are what a request's head says of how it is to be served.
+type RequestInfo struct {
 	// ID is the client's name of this attempt.
 	ID string
-	// Patience is how long the client waits; 0 if it does not say.
-	Patience time.Duration
+	// ClientTimeout is how long the client waits; 0 if it does not say.
+	ClientTimeout time.Duration
 	// Key is the API key, "" if there is none.
 	Key   string
 	Model string
 	// Prompt are the parts of the prompt in order. All but the last may be
 	// shared with other requests.
 	Prompt []Part
-	// Out is the most tokens to be generated.
-	Out int
+	// MaxTokens is the most tokens to be generated.
+	MaxTokens int
 }
 
 // PromptTokens is the length of the prompt.
-func (t *Terms) PromptTokens() int {
+func (t *RequestInfo) PromptTokens() int {
 	n := 0
 	for _, p := range t.Prompt {
 		n += p.Tokens
@@ -28,7 +28,7 @@
 }
 
 // Shared are the parts of the prompt that other requests may have in common.
-func (t *Terms) Shared() []Part {
+func (t *RequestInfo) Shared() []Part {
 	if len(t.Prompt) == 0 {
 		return nil
 	}
--- a/pkg/site/answer.go
+++ b/pkg/site/response_info.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Answer is what a replica's head says beside the status.
-type Answer struct {
+// ResponseInfo is what a replica's head says beside the status.
+type ResponseInfo struct {
 	// RequestID names the request that is answered.
 	RequestID string
 	// NotRun says that the replica did not run the request and will not.
--- a/pkg/site/route.go
+++ b/pkg/site/route.go
@@ -13,8 +13,8 @@
 	Streaming bool
 	// Resumable streams may go on at another replica behind a given event.
 	Resumable bool
-	// Prompted requests carry a prompt, in named parts.
-	Prompted bool
+	// HasPrompt requests carry a prompt, in named parts.
+	HasPrompt bool
 	// Anonymous requests need no key.
 	Anonymous bool
 	// Timeout is the longest that a request may be held.
--- a/pkg/site/snapshot.go
+++ b/pkg/site/snapshot.go
@@ -11,8 +11,8 @@
 	Version  int64
 	Services map[string]*Service
 	Limits   Limits
-	// Keyed says that requests need a key, except on anonymous routes.
-	Keyed bool
+	// RequireKey says that requests need a key, except on anonymous routes.
+	RequireKey bool
 
 	byHost map[string]hostRoutes
 	byKey  map[string]*Organisation
@@ -90,9 +90,9 @@
 	return found
 }
 
-// Grant lets a key act for an organisation; it is called before the snapshot
+// AddKey lets a key act for an organisation; it is called before the snapshot
 // is in use.
-func (s *Snapshot) Grant(key string, o *Organisation) { s.byKey[key] = o }
+func (s *Snapshot) AddKey(key string, o *Organisation) { s.byKey[key] = o }
 
 // Route finds the route of a request, nil if there is none. A host may carry a
 // port; it is compared without regard to case.
--- a/pkg/site/upstream.go
+++ b/pkg/site/upstream.go
@@ -42,7 +42,7 @@
 	return u.ID + "@" + strconv.FormatInt(u.Started.UnixMilli(), 10)
 }
 
-// OlderStart says whether this is an earlier start of the same replica than another.
-func (u *Upstream) OlderStart(o *Upstream) bool {
+// StartedBefore says whether this is an earlier start of the same replica than another.
+func (u *Upstream) StartedBefore(o *Upstream) bool {
 	return !u.Started.IsZero() && u.Started.Before(o.Started)
 }
--- a/pkg/suspect/register.go
+++ b/pkg/suspect/register.go
@@ -135,7 +135,7 @@
 	return r.run(f, "", most, now)
 }
 
-// GrantRun is Run for another node. A node has one run under way at a time, so one that asks
+// GrantRun is StartRun for another node. A node has one run under way at a time, so one that asks
 // again has not heard the answer, or its run is over.
 func (r *Register) GrantRun(f site.Fingerprint, node string, most time.Duration, now time.Time) bool {
 	return r.run(f, node, most, now)
@@ -161,7 +161,7 @@
 // of its replica.
 func (r *Register) EndRun(f site.Fingerprint) { r.EndGrantedRun(f, "") }
 
-// EndGrantedRun is Over for a run that was lent to another node.
+// EndGrantedRun is EndRun for a run that was lent to another node.
 func (r *Register) EndGrantedRun(f site.Fingerprint, node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/upstream/engine.go
+++ b/pkg/upstream/engine.go
@@ -25,7 +25,7 @@
 
 // Run starts a run and returns its answer stream, which the caller closes; the
 // error is a *NotRunError where it is certain that nothing ran, else a
-// *BrokenError or *CrossedError.
+// *TruncatedError or *MismatchError.
 func (e *Engine) Run(ctx context.Context, r RunRequest) (s *Stream, err error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -41,7 +41,7 @@
 	}
 	if id := string(resp.Header.Peek(HeaderRequestID)); id != r.RequestID {
 		closeResponse(resp)
-		return nil, &CrossedError{Upstream: e.name, Want: r.RequestID, Found: id}
+		return nil, &MismatchError{Upstream: e.name, Want: r.RequestID, Found: id}
 	}
 	return newStream(ctx, e.name, r, resp), nil
 }
--- a/pkg/upstream/errors.go
+++ b/pkg/upstream/errors.go
@@ -21,27 +21,27 @@
 	return fmt.Sprintf("upstream %s did not run it: %s", e.Upstream, e.Reason)
 }
 
-// CrossedError is an answer that belongs to another request.
-type CrossedError struct {
+// MismatchError is an answer that belongs to another request.
+type MismatchError struct {
 	Upstream string
 	Want     string
 	Found    string
 }
 
 // Error names both requests.
-func (e *CrossedError) Error() string {
+func (e *MismatchError) Error() string {
 	return fmt.Sprintf("upstream %s answered request %s with the answer to %s", e.Upstream, e.Want, e.Found)
 }
 
-// BrokenError is an answer that ended before its last event.
-type BrokenError struct {
+// TruncatedError is an answer that ended before its last event.
+type TruncatedError struct {
 	Upstream string
 	Tokens   int // Received until then.
 	Reason   string
 }
 
 // Error names the upstream, how far it came and why it ended.
-func (e *BrokenError) Error() string {
+func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("upstream %s broke off after %d tokens: %s", e.Upstream, e.Tokens, e.Reason)
 }
 
@@ -55,12 +55,12 @@
 	}
 	var status *httpjson.StatusError
 	if !errors.As(err, &status) {
-		return &BrokenError{Upstream: name, Reason: err.Error()}
+		return &TruncatedError{Upstream: name, Reason: err.Error()}
 	}
 	var refusal Refusal
 	refused := status.Code == http.StatusConflict || status.Code == http.StatusServiceUnavailable
 	if refused && json.Unmarshal(status.Body, &refusal) == nil && refusal.NotRun {
 		return &NotRunError{Upstream: name, Reason: refusal.Reason}
 	}
-	return &BrokenError{Upstream: name, Reason: status.Error()}
+	return &TruncatedError{Upstream: name, Reason: status.Error()}
 }
--- a/pkg/upstream/service.go
+++ b/pkg/upstream/service.go
@@ -55,7 +55,7 @@
 		return ServiceAnswer{}, err
 	}
 	if id := string(resp.Header.Peek(HeaderRequestID)); id != c.RequestID {
-		return ServiceAnswer{}, &CrossedError{Upstream: s.name, Want: c.RequestID, Found: id}
+		return ServiceAnswer{}, &MismatchError{Upstream: s.name, Want: c.RequestID, Found: id}
 	}
 	return ServiceAnswer{
 		Status:      resp.StatusCode(),
--- a/pkg/upstream/store.go
+++ b/pkg/upstream/store.go
@@ -40,7 +40,7 @@
 }
 
 // Free hides an object and releases it once no reader has it pinned.
-func (s *Store) Free(ctx context.Context, f Free) (err error) {
+func (s *Store) Free(ctx context.Context, f FreeObject) (err error) {
 	defer func() { err = eris.Wrapf(err, "free on %s", s.name) }()
 	return classify(s.name, s.http.Call(ctx, http.MethodPost, PathStoreFree, f, nil))
 }
--- a/pkg/upstream/stream.go
+++ b/pkg/upstream/stream.go
@@ -61,7 +61,7 @@
 }
 
 // Next returns the next event. After the last one it returns io.EOF; any other
-// error is a *BrokenError or *CrossedError.
+// error is a *TruncatedError or *MismatchError.
 func (s *Stream) Next() (ev Event, err error) {
 	if s.whole {
 		return Event{}, io.EOF
@@ -88,7 +88,7 @@
 func (s *Stream) check(ev Event) error {
 	switch {
 	case ev.RequestID != s.id:
-		return &CrossedError{Upstream: s.upstream, Want: s.id, Found: ev.RequestID}
+		return &MismatchError{Upstream: s.upstream, Want: s.id, Found: ev.RequestID}
 	case ev.Error != "":
 		return s.broken(ev.Error)
 	case ev.Index != s.next:
@@ -102,7 +102,7 @@
 }
 
 func (s *Stream) broken(reason string) error {
-	return &BrokenError{Upstream: s.upstream, Tokens: s.next, Reason: reason}
+	return &TruncatedError{Upstream: s.upstream, Tokens: s.next, Reason: reason}
 }
 
 // Load returns the engine's load report that came with the answer; ok is false
--- a/pkg/upstream/stream_test.go
+++ b/pkg/upstream/stream_test.go
@@ -144,8 +144,8 @@
 }
 
 func TestWrongAnswersAreErrors(t *testing.T) {
-	var broken *BrokenError
-	var crossed *CrossedError
+	var broken *TruncatedError
+	var crossed *MismatchError
 	tests := map[string]struct {
 		events func(id string) []string
 		whole  bool
--- a/pkg/upstream/transfer.go
+++ b/pkg/upstream/transfer.go
@@ -59,16 +59,16 @@
 	Bytes      int64        `json:"bytes"`
 }
 
-// Seal makes an object visible; the store checks length and checksum first.
-type Seal struct {
+// SealObject makes an object visible; the store checks length and checksum first.
+type SealObject struct {
 	Key        prompt.Key `json:"key"`
 	Generation uint64     `json:"generation"`
 	Checksum   uint64     `json:"checksum"`
 }
 
-// Pin keeps an object from being released for a time, named by generation and
+// PinObject keeps an object from being released for a time, named by generation and
 // boot epoch so that an older or newer one can't be meant.
-type Pin struct {
+type PinObject struct {
 	Key        prompt.Key `json:"key"`
 	Generation uint64     `json:"generation"`
 	Epoch      uint64     `json:"epoch"`
@@ -92,8 +92,8 @@
 	Load   StoreLoad    `json:"load"`
 }
 
-// Free hides an object at once and releases it when its pins have ended.
-type Free struct {
+// FreeObject hides an object at once and releases it when its pins have ended.
+type FreeObject struct {
 	Key        prompt.Key `json:"key"`
 	Generation uint64     `json:"generation"`
 	Epoch      uint64     `json:"epoch"`
--- a/service/entry/parts.go
+++ b/service/entry/dependencies.go
@@ -38,8 +38,8 @@
 	ReportStore(store string, r upstream.StoreLoad)
 }
 
-// Parts are what requests are run with.
-type Parts struct {
+// Dependencies are what requests are run with.
+type Dependencies struct {
 	Settings  config.Settings
 	Log       *slog.Logger
 	State     configuration
--- a/service/entry/export.go
+++ b/service/entry/export.go
@@ -22,7 +22,7 @@
 
 // exporter copies kept state to stores in the background.
 type exporter struct {
-	parts *Parts
+	parts *Dependencies
 	jobs  chan exportJob
 	wg    sync.WaitGroup
 
@@ -38,7 +38,7 @@
 	mark      prompt.Mark
 }
 
-func newExporter(p *Parts) *exporter {
+func newExporter(p *Dependencies) *exporter {
 	e := &exporter{parts: p, jobs: make(chan exportJob, exportQueue), going: map[prompt.Key]bool{}}
 	for range exportWorkers {
 		e.wg.Go(e.work)
--- a/service/entry/once.go
+++ b/service/entry/once.go
@@ -27,7 +27,7 @@
 	return f
 }
 
-func acquireClaim(ctx context.Context, parts *Parts, t Terms) (*control.Claim, *Failure) {
+func acquireClaim(ctx context.Context, parts *Dependencies, t Terms) (*control.Claim, *Failure) {
 	ctx, cancel := context.WithTimeout(ctx, claimWait)
 	defer cancel()
 	claim, err := parts.Claims.Acquire(ctx, t.Organisation.Name, t.Key)
@@ -64,7 +64,7 @@
 	voidClaim(r.parts, r.claim)
 }
 
-func voidClaim(parts *Parts, claim *control.Claim) {
+func voidClaim(parts *Dependencies, claim *control.Claim) {
 	ctx, cancel := context.WithTimeout(context.Background(), voidWait)
 	defer cancel()
 	parts.Claims.Void(ctx, claim)
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -24,7 +24,7 @@
 
 // Run is one completion from admission to its last token.
 type Run struct {
-	parts   *Parts
+	parts   *Dependencies
 	call    *Call
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -276,7 +276,7 @@
 	r.nobody = false
 	r.endAttempt(outcomeOf(err, r.ctx.Err() != nil))
 	var notRun *upstream.NotRunError
-	var crossed *upstream.CrossedError
+	var crossed *upstream.MismatchError
 	switch {
 	case errors.As(err, &notRun):
 		if r.nobody = notRun.Reason == upstream.ReasonUnreachable; r.nobody {
--- a/service/entry/run_suspects.go
+++ b/service/entry/run_suspects.go
@@ -74,7 +74,7 @@
 
 // noteLost notes that an engine's answer was lost, and looks whether the engine has ended.
 func (r *Run) noteLost(replica string, err error) {
-	var broken *upstream.BrokenError
+	var broken *upstream.TruncatedError
 	if !errors.As(err, &broken) || r.sent.IsZero() {
 		return
 	}
@@ -84,13 +84,13 @@
 		life = time.Now().Truncate(unknownLife)
 	}
 	run := suspects.LostRun{
-		Content: r.content(),
-		QuickHash:  r.sketch(),
-		Request: r.call.RequestID,
-		Replica: replica,
-		StartKey:    suspects.StartKeyOf(replica, life),
-		Begun:   r.sent,
-		At:      boottime.Now(),
+		Content:   r.content(),
+		QuickHash: r.sketch(),
+		Request:   r.call.RequestID,
+		Replica:   replica,
+		StartKey:  suspects.StartKeyOf(replica, life),
+		Begun:     r.sent,
+		At:        boottime.Now(),
 	}
 	engine, ok := r.parts.Upstreams.Engine(replica)
 	if !ok || r.ctx.Err() != nil {
--- a/service/entry/run_test.go
+++ b/service/entry/run_test.go
@@ -100,7 +100,7 @@
 	r := &Run{
 		call: &Call{Terms: Terms{RequestID: "r"}},
 		log:  slog.New(slog.DiscardHandler),
-		parts: &Parts{
+		parts: &Dependencies{
 			Directory: knowsNothing{},
 			Upstreams: list,
 			Policy:    placed,
--- a/service/entry/server.go
+++ b/service/entry/server.go
@@ -30,7 +30,7 @@
 
 // Server serves callers.
 type Server struct {
-	parts   *Parts
+	parts   *Dependencies
 	ln      net.Listener
 	http    *fasthttp.Server
 	exports *exporter
@@ -43,7 +43,7 @@
 }
 
 // NewServer listens at the settings' entry address.
-func NewServer(p *Parts, t *timer.Service) (s *Server, err error) {
+func NewServer(p *Dependencies, t *timer.Service) (s *Server, err error) {
 	defer func() { err = eris.Wrap(err, "entry server") }()
 	ln, err := net.Listen("tcp", p.Settings.Entry.Listen.String())
 	if err != nil {
--- a/service/gateway/attempt.go
+++ b/service/gateway/attempt.go
@@ -57,7 +57,7 @@
 
 	head   *http1.Head
 	body   *http1.Body
-	answer site.Answer
+	answer site.ResponseInfo
 }
 
 // newAttempt records that a request is about to be sent to a replica.
@@ -123,14 +123,14 @@
 	if len(x.body) > 0 || x.head.Has("Content-Length") || x.head.Has("Transfer-Encoding") {
 		length = len(x.body)
 	}
-	message := http1.AppendRequest(nil, x.head.Method, x.head.Target, a.codec.Forwarded(x.head, d), length)
+	message := http1.AppendRequest(nil, x.head.Method, x.head.Target, a.codec.UpstreamHeaders(x.head, d), length)
 	go a.write(message, x.body)
 	a.head, a.body, a.crossed, err = a.conn.readAnswer(x.head.Method, x.terms.ID, a.codec)
 	if err != nil {
 		a.discard()
 		return fateUnknown, err
 	}
-	a.answer = a.codec.Answer(a.head)
+	a.answer = a.codec.ResponseInfo(a.head)
 	if a.answer.NotRun {
 		return fateNotRun, nil
 	}
@@ -166,7 +166,7 @@
 	}
 	stopped := a.stop()
 	last := a.head == nil || a.head.Close() || a.crossed || !a.body.Done() ||
-		a.body.Framing() == http1.FramedClose || !a.written.Load()
+		a.body.Framing() == http1.FramingClose || !a.written.Load()
 	if last || !stopped {
 		a.discard()
 		return
--- a/service/gateway/attempt_test.go
+++ b/service/gateway/attempt_test.go
@@ -32,7 +32,7 @@
 		limit:  boottime.Now().Add(time.Minute),
 		out:    &clientWriter{conn: near},
 		head:   &http1.Head{Method: "GET", Target: "/x"},
-		terms:  site.Terms{ID: "r"},
+		terms:  site.RequestInfo{ID: "r"},
 		route:  &site.Route{},
 		cancel: leave,
 	}
--- a/service/gateway/client_conn.go
+++ b/service/gateway/client_conn.go
@@ -124,7 +124,7 @@
 
 // clientLeft is why a client's connection carries no answer any more, nil if it does.
 func clientLeft(conn net.Conn) error {
-	left, err := http1.PeerLeft(conn)
+	left, err := http1.PeerClosed(conn)
 	switch {
 	case err != nil:
 		return leaveCause(err)
@@ -202,7 +202,7 @@
 	c.enter(connBodying)
 	c.g.look()
 	came := boottime.Now()
-	terms, termsErr := c.g.codec.Terms(head)
+	terms, termsErr := c.g.codec.RequestInfo(head)
 	body, err := c.readBody(head, &terms, limits, came)
 	if err != nil {
 		c.refuseRead(err)
@@ -217,7 +217,7 @@
 		old:      head.Minor == 0,
 		closing:  func() bool { return last || c.g.stopping() },
 	}
-	_ = c.conn.SetWriteDeadline(boottime.Steady(came.Add(c.g.holdMost(&terms) + writeSlack))) // The next write tells.
+	_ = c.conn.SetWriteDeadline(boottime.Monotonic(came.Add(c.g.holdMost(&terms) + writeSlack))) // The next write tells.
 	c.g.inFlight.Add(1)
 	defer c.g.inFlight.Add(-1)
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -234,7 +234,7 @@
 }
 
 // readBody reads a request's body within the time that the request has.
-func (c *clientConn) readBody(h *http1.Head, t *site.Terms, l site.Limits, came time.Time) ([]byte, error) {
+func (c *clientConn) readBody(h *http1.Head, t *site.RequestInfo, l site.Limits, came time.Time) ([]byte, error) {
 	b, err := http1.RequestBody(h, c.r)
 	if err != nil || b.Done() {
 		return nil, err
@@ -245,10 +245,10 @@
 		}
 	}
 	within := bodyTime
-	if t.Patience > 0 {
-		within = t.Patience
+	if t.ClientTimeout > 0 {
+		within = t.ClientTimeout
 	}
-	_ = c.conn.SetReadDeadline(boottime.Steady(came.Add(within))) // The next read tells.
+	_ = c.conn.SetReadDeadline(boottime.Monotonic(came.Add(within))) // The next read tells.
 	return http1.ReadAll(b, l.BodyBytes)
 }
 
--- a/service/gateway/client_writer.go
+++ b/service/gateway/client_writer.go
@@ -71,7 +71,7 @@
 	last := w.settle()
 	var b []byte
 	if w.old {
-		b = http1.AppendClosing(nil, status, fields)
+		b = http1.AppendUntilCloseResponse(nil, status, fields)
 	} else {
 		b = http1.AppendResponse(nil, status, fields, http1.NoLength, last)
 	}
--- a/service/gateway/control_bench_test.go
+++ b/service/gateway/control_bench_test.go
@@ -26,7 +26,7 @@
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: "front-0", DataHall: "hall-0", State: control.MemberAlive, Link: 20}
 	k := route.NewCacheIndex()
-	bel := NewBeliefs(nil, self.DataHall, time.Second, k, log)
+	bel := NewSiteState(nil, self.DataHall, time.Second, k, log)
 	engine := &site.Engine{PlannedFetch: true, MaxWatches: 4, TokenBytes: 18_000, LinkRate: 1e10, Capacity: 40_000}
 	bel.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
 	for i := range engines {
--- a/service/gateway/dispatch.go
+++ b/service/gateway/dispatch.go
@@ -27,7 +27,7 @@
 // dispatch makes what a replica is told beside the request, with a plan for the
 // prompt's kept state.
 func (x *exchange) dispatch(c route.Choice, now time.Time) (*site.Dispatch, *route.Plan) {
-	d := &site.Dispatch{Instance: c.ID, Left: x.limit.Sub(now), Priority: -1}
+	d := &site.Dispatch{Instance: c.ID, TimeLeft: x.limit.Sub(now), Priority: -1}
 	if x.organisation != nil {
 		d.Organisation = x.organisation.Name
 	}
--- a/service/gateway/evacuations.go
+++ b/service/gateway/evacuations.go
@@ -22,7 +22,7 @@
 const leaveShare = 0.2
 
 // evacuate notes that a data hall is evacuated, or taken back.
-func (b *Beliefs) evacuate(hall string, on bool, version int64, now time.Time) {
+func (b *SiteState) evacuate(hall string, on bool, version int64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old, known := b.evacuated[hall]
@@ -50,7 +50,7 @@
 
 // takeBack ends an evacuation. The hall's replicas are likely cold by then, and their own
 // word of it comes a moment later: they are taken to be cold until then.
-func (b *Beliefs) takeBack(hall string, e *evacuation, version int64, now time.Time) {
+func (b *SiteState) takeBack(hall string, e *evacuation, version int64, now time.Time) {
 	e.version, e.ended = version, now
 	b.log.Info("data hall taken back", "hall", hall, "version", version, "after", now.Sub(e.since))
 	s := b.snapshot.Load()
@@ -70,7 +70,7 @@
 
 // endEvacuations takes back the data halls of which all rows of the operator's table say
 // nothing.
-func (b *Beliefs) endEvacuations(rows []site.Row, now time.Time) {
+func (b *SiteState) endEvacuations(rows []site.Row, now time.Time) {
 	there := map[string]bool{}
 	for _, r := range rows {
 		if hall, on, ok := b.codec.Evacuation(r); ok && on {
@@ -93,7 +93,7 @@
 
 // evacuates says whether a replica gets no more requests as its data hall is evacuated; the
 // caller holds mu.
-func (b *Beliefs) evacuates(u *site.Upstream, now time.Time) bool {
+func (b *SiteState) evacuates(u *site.Upstream, now time.Time) bool {
 	e, known := b.evacuated[u.DataHall]
 	if !known || !e.ended.IsZero() {
 		return false
@@ -107,7 +107,7 @@
 
 // leaving says whether a data hall is just being left, so that the list of replicas has to
 // be made again; the caller holds mu.
-func (b *Beliefs) leaving(now time.Time) bool {
+func (b *SiteState) leaving(now time.Time) bool {
 	for _, e := range b.evacuated {
 		if e.ended.IsZero() && now.Sub(e.since) < b.leaveTime+2*expireEvery {
 			return true
@@ -117,7 +117,7 @@
 }
 
 // EvacuatedHalls lists the data halls that get no more requests.
-func (b *Beliefs) EvacuatedHalls() (list []string) {
+func (b *SiteState) EvacuatedHalls() (list []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for hall, e := range b.evacuated {
@@ -128,15 +128,15 @@
 	return list
 }
 
-// Unusable counts the rows of the list of upstreams that named none.
-func (b *Beliefs) Unusable() int64 {
+// UnusableRows counts the rows of the list of upstreams that named none.
+func (b *SiteState) UnusableRows() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.unusable
 }
 
 // limitCold puts the limits of a configuration on cold replicas in force.
-func (b *Beliefs) limitCold(s *site.Snapshot) {
+func (b *SiteState) limitCold(s *site.Snapshot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for service := range b.pools {
@@ -145,7 +145,7 @@
 }
 
 // limitPool limits what cold replicas of a service get; the caller holds mu.
-func (b *Beliefs) limitPool(s *site.Snapshot, service string) {
+func (b *SiteState) limitPool(s *site.Snapshot, service string) {
 	if s == nil || s.Services[service] == nil || b.shares == nil {
 		return
 	}
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -18,7 +18,7 @@
 	out   *clientWriter
 	head  *http1.Head
 	body  []byte
-	terms site.Terms
+	terms site.RequestInfo
 	came  time.Time
 	limit time.Time // By when the final answer is given.
 	// cancel ends the request because its client's connection has ended.
--- a/service/gateway/exchange_limits.go
+++ b/service/gateway/exchange_limits.go
@@ -52,7 +52,7 @@
 type countedOrders struct {
 	Engines
 
-	beliefs *Beliefs
+	beliefs *SiteState
 	limits  *ratelimit.Limits
 }
 
--- a/service/gateway/exchange_needs.go
+++ b/service/gateway/exchange_needs.go
@@ -19,14 +19,14 @@
 	if x.route = s.Route(x.head.Get("Host"), x.head.Path()); x.route == nil {
 		return refuse(http.StatusNotFound, reasonNoRoute), false
 	}
-	if s.Keyed {
+	if s.RequireKey {
 		x.organisation = s.Organisation(x.terms.Key)
 		if x.organisation == nil && !x.route.Anonymous {
 			return refuse(http.StatusUnauthorized, reasonUnknownKey), false
 		}
 	}
 	patience := x.route.Timeout
-	if t := x.terms.Patience; t > 0 && (patience == 0 || t < patience) {
+	if t := x.terms.ClientTimeout; t > 0 && (patience == 0 || t < patience) {
 		patience = t
 	}
 	x.limit = x.came.Add(patience)
@@ -65,7 +65,7 @@
 	n.Model = x.terms.Model
 	n.Tokens = x.terms.PromptTokens()
 	n.Priority = x.priority()
-	n.Memory = n.Tokens + x.terms.Out
+	n.Memory = n.Tokens + x.terms.MaxTokens
 	n.Capacity = x.service.Engine.Capacity
 	shared := x.terms.Shared()
 	for _, p := range shared {
--- a/service/gateway/exchange_suspects.go
+++ b/service/gateway/exchange_suspects.go
@@ -100,14 +100,14 @@
 		return // It left as planned, and cut what it still had: long answers meet that often.
 	}
 	run := suspects.LostRun{
-		Content: x.fingerprint(),
-		QuickHash:  x.sketch(),
-		Request: x.terms.ID,
-		Replica: u.ID,
-		StartKey:    suspects.StartKeyOf(u.ID, u.Started),
-		Addr:    u.Addr,
-		Begun:   a.begun,
-		At:      now,
+		Content:   x.fingerprint(),
+		QuickHash: x.sketch(),
+		Request:   x.terms.ID,
+		Replica:   u.ID,
+		StartKey:  suspects.StartKeyOf(u.ID, u.Started),
+		Addr:      u.Addr,
+		Begun:     a.begun,
+		At:        now,
 	}
 	if silent {
 		x.g.suspects.RecordLostRun(run)
--- a/service/gateway/follow.go
+++ b/service/gateway/follow.go
@@ -54,13 +54,13 @@
 // whole table read again.
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		before := boottime.Look()
+		before := boottime.Refresh()
 		begun := boottime.Now()
 		call, hold, done := f.begin(ctx)
 		err := f.step(call, hold)
 		woken := call.Err() != nil
 		done()
-		now := boottime.LookNow()
+		now := boottime.RefreshNow()
 		switch {
 		case err == nil && boottime.Suspended()-before >= leastSuspension:
 			// The answer may have come before the machine was suspended.
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -61,7 +61,7 @@
 	codec      Codec
 	log        *slog.Logger
 	timer      *timer.Service
-	beliefs    *Beliefs
+	beliefs    *SiteState
 	kept       *route.CacheIndex
 	nodes      *nodes
 	peers      *peer.Server
@@ -172,7 +172,7 @@
 	if g.figures != nil {
 		g.figures.start(g)
 	}
-	hold := g.conf().Platform.Hold.Std()
+	hold := g.conf().Platform.LongPollTimeout.Std()
 	g.followers = []*follower{
 		{
 			store: g.readers, table: site.TableOperator, name: "operator", hold: hold, log: g.log,
@@ -183,9 +183,9 @@
 		{
 			store: g.readers, table: site.TableUpstreams, name: "upstreams", hold: hold, log: g.log,
 			apply: g.beliefs.ApplyUpstreams, rest: upstreamsRest,
-			away: g.beliefs.StoreAway,
+			away: g.beliefs.MarkStoreUnreachable,
 			heard: func(begun, now time.Time) {
-				g.beliefs.StoreHeard(now)
+				g.beliefs.MarkStoreSynced(now)
 				g.suspension.hear(site.TableUpstreams, begun)
 			},
 		},
@@ -249,7 +249,7 @@
 	if !reflect.DeepEqual(kept, s) {
 		g.log.Warn("changed addresses hold only after a restart", "node", old.Node.Name)
 	}
-	boottime.Skip(max(0, kept.Test.Suspended.Std()-old.Test.Suspended.Std()))
+	boottime.SimulateSuspend(max(0, kept.Test.Suspended.Std()-old.Test.Suspended.Std()))
 	g.settings.Store(&kept)
 	g.budgetMu.Lock()
 	clear(g.budgets)
@@ -260,7 +260,7 @@
 // ready says whether callers are to be sent here.
 func (g *Gateway) ready() bool {
 	g.look()
-	return g.awake() && !g.stopping() && g.beliefs.Snapshot() != nil && g.beliefs.Upstreams() > 0 && !g.apart(boottime.Now())
+	return g.awake() && !g.stopping() && g.beliefs.Snapshot() != nil && g.beliefs.UpstreamCount() > 0 && !g.apart(boottime.Now())
 }
 
 // apart says whether the node can't know any more what operators have changed: it hears no
@@ -288,9 +288,9 @@
 }
 
 // holdMost is the longest that a request may be held.
-func (g *Gateway) holdMost(t *site.Terms) time.Duration {
-	if t.Patience > 0 {
-		return t.Patience
+func (g *Gateway) holdMost(t *site.RequestInfo) time.Duration {
+	if t.ClientTimeout > 0 {
+		return t.ClientTimeout
 	}
 	return longestHold
 }
--- a/service/gateway/grown_configuration_test.go
+++ b/service/gateway/grown_configuration_test.go
@@ -132,7 +132,7 @@
 	store   Store
 	members *control.Members
 	readers *readers
-	beliefs *Beliefs
+	beliefs *SiteState
 
 	mu      sync.Mutex
 	inForce map[int64]time.Time // Since when, by version.
@@ -187,7 +187,7 @@
 		link:    newLink(mbit),
 		server:  server,
 		client:  peer.NewClient("key"),
-		beliefs: NewBeliefs(h.codec, "h", time.Second, route.NewCacheIndex(), log),
+		beliefs: NewSiteState(h.codec, "h", time.Second, route.NewCacheIndex(), log),
 		inForce: map[int64]time.Time{},
 	}
 	n.store = platform.NewStore(h.links.connect(h.t, n.link, nil, h.store.Addr()))
--- a/service/gateway/holdings.go
+++ b/service/gateway/holdings.go
@@ -47,7 +47,7 @@
 // holdings keeps this node's knowledge of what engines hold.
 type holdings struct {
 	engines Engines
-	beliefs *Beliefs
+	beliefs *SiteState
 	kept    *route.CacheIndex
 	members *control.Members
 	client  *peer.Client
@@ -85,7 +85,7 @@
 	cancel context.CancelFunc
 }
 
-func newHoldings(e Engines, b *Beliefs, k *route.CacheIndex, m *control.Members, c *peer.Client, self control.Member, r *replicaClock, log *slog.Logger) *holdings {
+func newHoldings(e Engines, b *SiteState, k *route.CacheIndex, m *control.Members, c *peer.Client, self control.Member, r *replicaClock, log *slog.Logger) *holdings {
 	return &holdings{
 		engines:  e,
 		beliefs:  b,
@@ -128,7 +128,7 @@
 // refresh finds out which engines this node follows and which nodes it asks; the
 // timer service calls it.
 func (h *holdings) refresh(context.Context) {
-	at := heldInputs{view: h.members.View(), snapshot: h.beliefs.Snapshot(), rebuilt: h.beliefs.Rebuilt()}
+	at := heldInputs{view: h.members.View(), snapshot: h.beliefs.Snapshot(), rebuilt: h.beliefs.Revision()}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if at == h.at {
@@ -157,7 +157,7 @@
 }
 
 // chooseEngines lists the engines of which this node keeps what they hold, by hall and
-// in the order of route.Followed.
+// in the order of route.SelectTracked.
 func (h *holdings) chooseEngines(s *site.Snapshot) map[string][]site.Upstream {
 	list := map[string][]site.Upstream{}
 	if s == nil || h.beliefs.without.Held {
--- a/service/gateway/holdings_serve.go
+++ b/service/gateway/holdings_serve.go
@@ -18,7 +18,7 @@
 	From  uint64   `json:"from"`
 	Halls []string `json:"halls"`
 	// Most is of how many engines of each hall news are wanted, in the order of
-	// route.Followed; without it of all.
+	// route.SelectTracked; without it of all.
 	Most map[string]int `json:"most,omitempty"`
 	// Fresh are engines of which the node that asks knows nothing yet.
 	Fresh  []string `json:"fresh,omitempty"`
--- a/service/gateway/holdings_test.go
+++ b/service/gateway/holdings_test.go
@@ -68,7 +68,7 @@
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: name, DataHall: "h", State: control.MemberAlive}
 	k := route.NewCacheIndex()
-	b := NewBeliefs(nil, "h", time.Second, k, log)
+	b := NewSiteState(nil, "h", time.Second, k, log)
 	engine := &site.Engine{PlannedFetch: true, MaxWatches: 4, TokenBytes: 1, LinkRate: 1e9, Capacity: 40_000}
 	b.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
 	b.upstreams["e"] = &upstreamEntry{Upstream: site.Upstream{ID: "e", Service: "llm", DataHall: "h", Weights: map[string]int64{"m": 1}}}
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -178,7 +178,7 @@
 
 // note tells other nodes something and returns the bytes sent.
 func (n *nodes) note(to []netip.AddrPort, method string, params any) int {
-	sent, err := n.probes.Note(to, method, params)
+	sent, err := n.probes.SendNote(to, method, params)
 	if err != nil {
 		n.log.Error("note not sent", "method", method, "err", err)
 	}
--- a/service/gateway/metrics.go
+++ b/service/gateway/metrics.go
@@ -158,7 +158,7 @@
 		Nodes:    g.nodes.count(),
 		Unread:   g.nodes.dropped.Load(),
 		Weights:  g.beliefs.NewestWeights(),
-		Unusable: g.beliefs.Unusable(),
+		Unusable: g.beliefs.UnusableRows(),
 		Away:     g.beliefs.EvacuatedHalls(),
 		Stores:   g.kept.Status(),
 		Suspects: g.suspects.Status(),
--- a/service/gateway/news.go
+++ b/service/gateway/news.go
@@ -72,12 +72,12 @@
 // hearDraining takes in that a replica has told this node that it drains, and tells all nodes
 // the first time.
 func (n *nodes) hearDraining(w route.ReplicaRef) {
-	if n.beliefs.HearDraining(w, boottime.Now()) {
+	if n.beliefs.ApplyDraining(w, boottime.Now()) {
 		n.spread(newsOf(w, news{Draining: true}))
 	}
 }
 
-// AnnounceRate implements ratelimit.Teller.
+// AnnounceRate implements ratelimit.Announcer.
 func (n *nodes) AnnounceRate(r ratelimit.RateUpdate) { n.spread(news{Replica: r.Replica, Rate: &r}) }
 
 // newsOf completes news with the replica that they are of.
@@ -164,7 +164,7 @@
 		return
 	}
 	if w.Draining {
-		n.beliefs.HearDraining(w.whom(), now)
+		n.beliefs.ApplyDraining(w.whom(), now)
 		return
 	}
 	until := now.Add(time.Duration(w.Avoid) * time.Millisecond)
--- a/service/gateway/news_test.go
+++ b/service/gateway/news_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	m.Merge(list, time.Now())
-	return &nodes{self: self, members: m, log: slog.New(slog.DiscardHandler), loads: newLoads(), beliefs: &Beliefs{}}
+	return &nodes{self: self, members: m, log: slog.New(slog.DiscardHandler), loads: newLoads(), beliefs: &SiteState{}}
 }
 
 // A roll-out over 3,000 replicas told to each of 300 nodes took nine tenths of a
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -51,7 +51,7 @@
 	members    *control.Members
 	probes     *peer.Probes
 	store      Store
-	beliefs    *Beliefs
+	beliefs    *SiteState
 	kept       *route.CacheIndex
 	log        *slog.Logger
 	due        chan struct{} // Holds one when the state is to be told soon.
@@ -247,15 +247,15 @@
 // suspectTeller tells other nodes of suspects.
 type suspectTeller struct{ n *nodes }
 
-// Note implements suspects.Teller.
-func (t suspectTeller) Note(to []netip.AddrPort, method string, params any) int {
+// SendNote implements suspects.Notifier.
+func (t suspectTeller) SendNote(to []netip.AddrPort, method string, params any) int {
 	return t.n.note(to, method, params)
 }
 
-// Audience implements suspects.Teller.
-func (t suspectTeller) Audience(try int) (direct, relays []netip.AddrPort) {
+// Recipients implements suspects.Notifier.
+func (t suspectTeller) Recipients(try int) (direct, relays []netip.AddrPort) {
 	return t.n.newsAudience(try)
 }
 
-// InHall implements suspects.Teller.
-func (t suspectTeller) InHall() []netip.AddrPort { return t.n.inHall(t.n.self.DataHall) }
+// HallPeers implements suspects.Notifier.
+func (t suspectTeller) HallPeers() []netip.AddrPort { return t.n.inHall(t.n.self.DataHall) }
--- a/service/gateway/platform.go
+++ b/service/gateway/platform.go
@@ -20,8 +20,8 @@
 	Put(ctx context.Context, t site.Table, key string, value []byte, expected int64) (site.Listing, error)
 	// Announce writes a row whatever it was.
 	Announce(ctx context.Context, t site.Table, key string, value []byte) error
-	// LargeSince is when a large answer last began to come in, zero if none has.
-	LargeSince() time.Time
+	// LastLargeResponse is when a large answer last began to come in, zero if none has.
+	LastLargeResponse() time.Time
 	Close()
 }
 
@@ -30,7 +30,7 @@
 	Report(ctx context.Context, addr netip.AddrPort) (site.EngineReport, error)
 	Order(ctx context.Context, addr netip.AddrPort, o site.Order) (site.OrderOutcome, error)
 	Changes(ctx context.Context, addr netip.AddrPort, since int64, wait time.Duration) (site.CacheChanges, error)
-	Free(ctx context.Context, addr netip.AddrPort, parts []site.Freed, boot int64) error
+	Free(ctx context.Context, addr netip.AddrPort, parts []site.PartRef, boot int64) error
 	Close()
 }
 
@@ -44,14 +44,14 @@
 	// that is taken back, ok where it is another row.
 	Evacuation(r site.Row) (hall string, on, ok bool)
 	Upstream(r site.Row) (site.Upstream, error)
-	// Terms reads a request's head.
-	Terms(h *http1.Head) (site.Terms, error)
-	// Forwarded returns the header lines that a replica gets.
-	Forwarded(h *http1.Head, d *site.Dispatch) []http1.Field
-	// Answer reads the head of a replica's answer.
-	Answer(h *http1.Head) site.Answer
-	// Echo is the header line that names the request in an answer.
-	Echo(id string) http1.Field
+	// RequestInfo reads a request's head.
+	RequestInfo(h *http1.Head) (site.RequestInfo, error)
+	// UpstreamHeaders returns the header lines that a replica gets.
+	UpstreamHeaders(h *http1.Head, d *site.Dispatch) []http1.Field
+	// ResponseInfo reads the head of a replica's answer.
+	ResponseInfo(h *http1.Head) site.ResponseInfo
+	// RequestIDHeader is the header line that names the request in an answer.
+	RequestIDHeader(id string) http1.Field
 	// Addresses is the answer to a caller that asks where to go.
 	Addresses(addrs []netip.AddrPort, ttl time.Duration) any
 }
--- a/service/gateway/reader_serve.go
+++ b/service/gateway/reader_serve.go
@@ -80,7 +80,7 @@
 		r.mu.Lock()
 		x := r.tableAt(q.Table)
 		whole, after, asking := x.rows == nil, x.version, x.asking
-		age, _ := x.age(boottime.Now(), r.store.LargeSince(), q.oldest())
+		age, _ := x.age(boottime.Now(), r.store.LastLargeResponse(), q.oldest())
 		fresh := !whole && age <= q.oldest()
 		lost := !r.detours[q.Table].lost.IsZero() || boottime.Since(x.refused) < refreshPause
 		var turn chan struct{}
@@ -124,7 +124,7 @@
 	if x == nil || x.rows == nil {
 		return a, nil, until, errReaderBehind
 	}
-	age, until := x.age(boottime.Now(), r.store.LargeSince(), q.oldest())
+	age, until := x.age(boottime.Now(), r.store.LastLargeResponse(), q.oldest())
 	// Rounded down, an age just over the bound was within it: a reader that had been cut
 	// off was asked for another second.
 	ageMS := (age + time.Millisecond - 1).Milliseconds()
--- a/service/gateway/readers.go
+++ b/service/gateway/readers.go
@@ -242,7 +242,7 @@
 
 // own reads the store itself.
 func (r *readers) own(ctx context.Context, q changesRequest, wait time.Duration) (l site.Listing, err error) {
-	before := boottime.Look()
+	before := boottime.Refresh()
 	begun := boottime.Now()
 	if r.missing(q.Table) {
 		wait = 0
@@ -261,7 +261,7 @@
 		return l, err
 	}
 	// An answer may have come before the machine was suspended: it is not new then.
-	r.take(q, l, boottime.Look()-before < leastSuspension)
+	r.take(q, l, boottime.Refresh()-before < leastSuspension)
 	r.logRows(q, l, byStore, begun)
 	return l, nil
 }
--- a/service/gateway/readers_test.go
+++ b/service/gateway/readers_test.go
@@ -74,7 +74,7 @@
 	return site.Listing{}, nil
 }
 func (s *tableStore) Announce(context.Context, site.Table, string, []byte) error { return nil }
-func (s *tableStore) LargeSince() time.Time                                      { return time.Time{} }
+func (s *tableStore) LastLargeResponse() time.Time                               { return time.Time{} }
 func (s *tableStore) Close()                                                     {}
 
 func (s *tableStore) count() int {
@@ -602,7 +602,7 @@
 	large time.Time
 }
 
-func (s squeezedStore) LargeSince() time.Time { return s.large }
+func (s squeezedStore) LastLargeResponse() time.Time { return s.large }
 
 func (s squeezedStore) Changes(ctx context.Context, _ site.Table, _ int64, _ time.Duration) (site.Listing, error) {
 	<-ctx.Done()
--- a/service/gateway/refusal.go
+++ b/service/gateway/refusal.go
@@ -61,7 +61,7 @@
 	}
 	fields := []http1.Field{{Name: "Content-Type", Value: "application/json"}}
 	if id != "" {
-		fields = append(fields, codec.Echo(id))
+		fields = append(fields, codec.RequestIDHeader(id))
 	}
 	if f.retry > 0 {
 		seconds := strconv.FormatFloat(f.retry.Seconds(), 'f', 2, 64)
--- a/service/gateway/relay.go
+++ b/service/gateway/relay.go
@@ -82,9 +82,9 @@
 		switch {
 		case x.out.failed:
 			return errClientLeft
-		case err == io.EOF && a.body.Framing() == http1.FramedClose && len(r.held) > 0:
+		case err == io.EOF && a.body.Framing() == http1.FramingClose && len(r.held) > 0:
 			// It ended inside an event, so the connection was cut.
-			return http1.ErrBodyCut
+			return http1.ErrBodyTruncated
 		case err == io.EOF:
 			return nil
 		case err != nil:
--- a/service/gateway/beliefs.go
+++ b/service/gateway/site_state.go
@@ -13,10 +13,10 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Beliefs is what this node holds for true of the site: the configuration, the
+// SiteState is what this node holds for true of the site: the configuration, the
 // newest weights, and which upstreams there are. None of it ever goes back to
 // something older.
-type Beliefs struct {
+type SiteState struct {
 	codec      Codec
 	hall       string
 	returnTime time.Duration
@@ -74,9 +74,9 @@
 	gone time.Time
 }
 
-// NewBeliefs returns beliefs of which none is held yet.
-func NewBeliefs(c Codec, hall string, returnTime time.Duration, k *route.CacheIndex, log *slog.Logger) *Beliefs {
-	return &Beliefs{
+// NewSiteState returns beliefs of which none is held yet.
+func NewSiteState(c Codec, hall string, returnTime time.Duration, k *route.CacheIndex, log *slog.Logger) *SiteState {
+	return &SiteState{
 		codec:      c,
 		hall:       hall,
 		returnTime: returnTime,
@@ -93,11 +93,11 @@
 }
 
 // Snapshot is the configuration in force, nil if none is known yet.
-func (b *Beliefs) Snapshot() *site.Snapshot { return b.snapshot.Load() }
+func (b *SiteState) Snapshot() *site.Snapshot { return b.snapshot.Load() }
 
 // ApplyOperator takes in rows of the operator's table; with whole they are all that there
 // are.
-func (b *Beliefs) ApplyOperator(rows []site.Row, whole bool, now time.Time) {
+func (b *SiteState) ApplyOperator(rows []site.Row, whole bool, now time.Time) {
 	for _, r := range rows {
 		if err := b.applyOperator(r, now); err != nil {
 			b.log.Error("configuration not usable, the last one stays", "row", r.Key, "version", r.Version, "err", err)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (b *Beliefs) applyOperator(r site.Row, now time.Time) error {
+func (b *SiteState) applyOperator(r site.Row, now time.Time) error {
 	if hall, on, ok := b.codec.Evacuation(r); ok {
 		b.evacuate(hall, on, r.Version, now)
 		return nil
@@ -128,12 +128,12 @@
 	if err != nil || !ok {
 		return err
 	}
-	b.HearWeights(model, version, now)
+	b.ApplyWeights(model, version, now)
 	return nil
 }
 
 // configure puts a configuration in force unless a newer one is.
-func (b *Beliefs) configure(s *site.Snapshot) {
+func (b *SiteState) configure(s *site.Snapshot) {
 	for {
 		old := b.snapshot.Load()
 		if old != nil && old.Version >= s.Version {
@@ -148,8 +148,8 @@
 	b.log.Info("configuration in force", "version", s.Version, "routes", len(s.Routes()))
 }
 
-// HearWeights takes in that a model has weights of a version.
-func (b *Beliefs) HearWeights(model string, version int64, now time.Time) {
+// ApplyWeights takes in that a model has weights of a version.
+func (b *SiteState) ApplyWeights(model string, version int64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old := b.weights[model]
@@ -166,7 +166,7 @@
 }
 
 // Weights is the newest version of a model's weights, and since when it is known.
-func (b *Beliefs) Weights(model string) (version int64, since time.Time) {
+func (b *SiteState) Weights(model string) (version int64, since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.weights[model]
@@ -175,7 +175,7 @@
 
 // WeightsBefore is the newest version of a model's weights that was known at a
 // time, 0 for none.
-func (b *Beliefs) WeightsBefore(model string, at time.Time) int64 {
+func (b *SiteState) WeightsBefore(model string, at time.Time) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.weights[model]
@@ -192,7 +192,7 @@
 
 // ReplacedAt is when the first version behind one of a model's weights was named,
 // zero if it is the newest.
-func (b *Beliefs) ReplacedAt(model string, version int64) time.Time {
+func (b *SiteState) ReplacedAt(model string, version int64) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.weights[model]
@@ -210,7 +210,7 @@
 }
 
 // NewestWeights lists the newest versions of all models.
-func (b *Beliefs) NewestWeights() map[string]int64 {
+func (b *SiteState) NewestWeights() map[string]int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := make(map[string]int64, len(b.weights))
@@ -220,15 +220,15 @@
 	return list
 }
 
-// StoreAway records that the list of upstreams can't be had.
-func (b *Beliefs) StoreAway(now time.Time) {
+// MarkStoreUnreachable records that the list of upstreams can't be had.
+func (b *SiteState) MarkStoreUnreachable(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.away = now
 }
 
-// StoreHeard records that the list of upstreams is as the store has it.
-func (b *Beliefs) StoreHeard(now time.Time) {
+// MarkStoreSynced records that the list of upstreams is as the store has it.
+func (b *SiteState) MarkStoreSynced(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.heard = now
@@ -237,7 +237,7 @@
 // Ages tells how old the beliefs are: the version of the configuration in force,
 // since when the store's list was not heard of, and how long ago it was last not
 // to be had, 0 for never.
-func (b *Beliefs) Ages(now time.Time) (config int64, heard, away time.Duration) {
+func (b *SiteState) Ages(now time.Time) (config int64, heard, away time.Duration) {
 	if s := b.snapshot.Load(); s != nil {
 		config = s.Version
 	}
@@ -256,7 +256,7 @@
 
 // ApplyUpstreams takes in rows of the list of upstreams; with whole they are all
 // that there are.
-func (b *Beliefs) ApplyUpstreams(rows []site.Row, whole bool, now time.Time) {
+func (b *SiteState) ApplyUpstreams(rows []site.Row, whole bool, now time.Time) {
 	// What was held before is forgotten without the lock: look-ups of it ask the beliefs
 	// with a lock of their own.
 	for id, planned := range b.applyUpstreams(rows, whole, now) {
@@ -267,7 +267,7 @@
 }
 
 // tellDropped tells of replicas that were dropped, without the lock.
-func (b *Beliefs) tellDropped(now time.Time) {
+func (b *SiteState) tellDropped(now time.Time) {
 	b.mu.Lock()
 	list := b.dropped
 	b.dropped = nil
@@ -279,7 +279,7 @@
 
 // applyUpstreams lists the replicas that have started anew under their IDs, with whether
 // they had said before that they leave.
-func (b *Beliefs) applyUpstreams(rows []site.Row, whole bool, now time.Time) (restarted map[string]bool) {
+func (b *SiteState) applyUpstreams(rows []site.Row, whole bool, now time.Time) (restarted map[string]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	restarted = map[string]bool{}
@@ -305,7 +305,7 @@
 // applyUpstream takes in one row. What is older than what is known is passed over; a row
 // that can't be used names no replica, whatever stood there before. It says whether the
 // replica has started anew under its ID.
-func (b *Beliefs) applyUpstream(r site.Row, now time.Time) (restarted bool) {
+func (b *SiteState) applyUpstream(r site.Row, now time.Time) (restarted bool) {
 	old, known := b.upstreams[r.Key]
 	if known && r.Version < old.version {
 		return false
@@ -321,7 +321,7 @@
 		b.log.Error("upstream not usable, left out", "row", r.Key, "version", r.Version, "err", err)
 		return false
 	}
-	if known && u.OlderStart(&old.Upstream) {
+	if known && u.StartedBefore(&old.Upstream) {
 		return false
 	}
 	return b.take(u, r.Version, now)
@@ -329,9 +329,9 @@
 
 // take notes a row that can be used, and says whether it is of a new start. Its cold term
 // counts from when the row was written, so a row that is heard again does not begin it anew.
-func (b *Beliefs) take(u site.Upstream, version int64, now time.Time) (restarted bool) {
+func (b *SiteState) take(u site.Upstream, version int64, now time.Time) (restarted bool) {
 	old, known := b.upstreams[u.ID]
-	restarted = known && old.OlderStart(&u)
+	restarted = known && old.StartedBefore(&u)
 	if known && !restarted && b.saysDraining(old.StartKey()) {
 		b.draining[u.StartKey()] = now // The same start, told with its time or without.
 	}
@@ -355,10 +355,10 @@
 // draining that isn't listed.
 const drainingKept = 10 * time.Minute
 
-// HearDraining takes in that a start of a replica says in answers that it drains, and says
+// ApplyDraining takes in that a start of a replica says in answers that it drains, and says
 // whether that is news. It holds until the replica ends, whatever the list says: a row may be
 // late, or not have been written, and a replica that drains does not go back on it.
-func (b *Beliefs) HearDraining(w route.ReplicaRef, now time.Time) (first bool) {
+func (b *SiteState) ApplyDraining(w route.ReplicaRef, now time.Time) (first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	told := site.Upstream{ID: w.ID, Started: w.Started}
@@ -386,14 +386,14 @@
 }
 
 // saysDraining says whether a start of a replica has said in an answer that it drains.
-func (b *Beliefs) saysDraining(start string) bool {
+func (b *SiteState) saysDraining(start string) bool {
 	_, says := b.draining[start]
 	return says
 }
 
 // drop takes an upstream out, at once unless the store was away: an entry may
 // then have run out for want of a heartbeat, and is given time to come back.
-func (b *Beliefs) drop(id string, now time.Time) {
+func (b *SiteState) drop(id string, now time.Time) {
 	e, known := b.upstreams[id]
 	if !known || !e.gone.IsZero() {
 		return
@@ -407,7 +407,7 @@
 }
 
 // forget takes an entry out; the caller holds mu.
-func (b *Beliefs) forget(id string, e *upstreamEntry) {
+func (b *SiteState) forget(id string, e *upstreamEntry) {
 	delete(b.upstreams, id)
 	if !e.Draining {
 		b.dropped = append(b.dropped, id)
@@ -416,7 +416,7 @@
 
 // Expire drops upstreams whose entries have not come back; the timer service
 // calls it.
-func (b *Beliefs) Expire(now time.Time) {
+func (b *SiteState) Expire(now time.Time) {
 	defer b.tellDropped(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -433,7 +433,7 @@
 	}
 }
 
-func (b *Beliefs) rebuild(now time.Time) {
+func (b *SiteState) rebuild(now time.Time) {
 	b.rebuilt++
 	lists := map[string][]site.Upstream{}
 	for _, e := range b.upstreams {
@@ -454,14 +454,14 @@
 }
 
 // Pool returns the replicas of a service, nil if it never had any.
-func (b *Beliefs) Pool(service string) *route.Pool {
+func (b *SiteState) Pool(service string) *route.Pool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.pools[service]
 }
 
 // Pools lists all pools by service.
-func (b *Beliefs) Pools() map[string]*route.Pool {
+func (b *SiteState) Pools() map[string]*route.Pool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := make(map[string]*route.Pool, len(b.pools))
@@ -471,15 +471,15 @@
 	return list
 }
 
-// Rebuilt counts the changes of the list of upstreams so far.
-func (b *Beliefs) Rebuilt() int {
+// Revision counts the changes of the list of upstreams so far.
+func (b *SiteState) Revision() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.rebuilt
 }
 
-// Upstreams is how many upstreams are known.
-func (b *Beliefs) Upstreams() int {
+// UpstreamCount is how many upstreams are known.
+func (b *SiteState) UpstreamCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.upstreams)
--- a/service/gateway/beliefs_test.go
+++ b/service/gateway/site_state_test.go
@@ -14,14 +14,14 @@
 
 // Each version's time counts from its own naming, whatever came behind it.
 func TestWhenWeightsWereReplaced(t *testing.T) {
-	b := NewBeliefs(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
+	b := NewSiteState(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
 	t0 := time.Now()
 	at := func(s int) time.Time { return t0.Add(time.Duration(s) * time.Second) }
 	assert.Assert(t, b.ReplacedAt("m", 1).IsZero())
-	b.HearWeights("m", 1, at(0))
-	b.HearWeights("m", 2, at(10))
-	b.HearWeights("m", 4, at(14))
-	b.HearWeights("m", 3, at(15)) // Told late by another node.
+	b.ApplyWeights("m", 1, at(0))
+	b.ApplyWeights("m", 2, at(10))
+	b.ApplyWeights("m", 4, at(14))
+	b.ApplyWeights("m", 3, at(15)) // Told late by another node.
 	assert.Equal(t, b.ReplacedAt("m", 1), at(10))
 	assert.Equal(t, b.ReplacedAt("m", 2), at(14))
 	assert.Equal(t, b.ReplacedAt("m", 3), at(14))
@@ -38,11 +38,11 @@
 // list of upstreams tells that a replica has started again under its ID.
 // Cause: what the replica had held was forgotten with the lock of the beliefs held, and the
 // look-up asks the beliefs with that of the held parts.
-// What settled it: a dump of the process, with Beliefs.take waiting in Kept.Restarted and
+// What settled it: a dump of the process, with SiteState.take waiting in CacheIndex.ResetEngine and
 // everything else for the beliefs.
 func TestReplicaThatHasStartedAgainDoesNotStopLookUps(t *testing.T) {
 	k := route.NewCacheIndex()
-	b := NewBeliefs(nil, "h", time.Second, k, slog.New(slog.DiscardHandler))
+	b := NewSiteState(nil, "h", time.Second, k, slog.New(slog.DiscardHandler))
 	u := site.Upstream{ID: "e", Service: "s", DataHall: "h", Started: time.UnixMilli(1), Weights: map[string]int64{"m": 1}}
 	b.applyRestart(u, time.Now())
 	inside, done := make(chan struct{}), make(chan struct{})
@@ -75,14 +75,14 @@
 func (c oneUpstream) Upstream(site.Row) (site.Upstream, error) { return c.u, nil }
 
 // applyRestart takes in a row of an upstream.
-func (b *Beliefs) applyRestart(u site.Upstream, now time.Time) {
+func (b *SiteState) applyRestart(u site.Upstream, now time.Time) {
 	b.codec = oneUpstream{u: u}
 	b.ApplyUpstreams([]site.Row{{Key: u.ID, Version: u.Started.UnixMilli()}}, false, now)
 }
 
 // A replica said in its answers that it drains, and its row, which is late or comes again, said that it is ready.
 func TestDrainThatAnAnswerSaysHoldsAgainstTheList(t *testing.T) {
-	b := NewBeliefs(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
+	b := NewSiteState(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
 	now := time.Now()
 	u := site.Upstream{ID: "e", Service: "s", DataHall: "h", Started: time.UnixMilli(5)}
 	b.applyRestart(u, now)
@@ -91,8 +91,8 @@
 		b.ApplyUpstreams([]site.Row{{Key: "e", Version: version, Gone: gone}}, false, now)
 	}
 	assert.Assert(t, p.Accepts(&u, now))
-	assert.Assert(t, b.HearDraining(route.RefOf(&u), now), "it is news, and told at once")
-	assert.Assert(t, !b.HearDraining(route.RefOf(&u), now))
+	assert.Assert(t, b.ApplyDraining(route.RefOf(&u), now), "it is news, and told at once")
+	assert.Assert(t, !b.ApplyDraining(route.RefOf(&u), now))
 	assert.Assert(t, !p.Accepts(&u, now))
 	assert.Assert(t, !p.IsActive("e"))
 	row(6, false)
@@ -105,16 +105,16 @@
 	again.Started = time.UnixMilli(9)
 	b.applyRestart(again, now)
 	assert.Assert(t, p.Accepts(&again, now), "it has started again")
-	assert.Assert(t, !b.HearDraining(route.RefOf(&u), now), "its former start's answer comes late")
+	assert.Assert(t, !b.ApplyDraining(route.RefOf(&u), now), "its former start's answer comes late")
 	assert.Assert(t, p.Accepts(&again, now))
 }
 
 func TestStartsThatDrainedAreForgotten(t *testing.T) {
-	b := NewBeliefs(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
+	b := NewSiteState(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
 	now := time.Now()
 	for i := range 1000 {
 		now = now.Add(drainingKept / 10)
-		b.HearDraining(route.ReplicaRef{ID: fmt.Sprint(i)}, now)
+		b.ApplyDraining(route.ReplicaRef{ID: fmt.Sprint(i)}, now)
 	}
 	assert.Assert(t, len(b.draining) <= 11, "%d", len(b.draining))
 }
--- a/service/gateway/stores.go
+++ b/service/gateway/stores.go
@@ -43,7 +43,7 @@
 type stores struct {
 	engines Engines
 	watch   *watchers
-	beliefs *Beliefs
+	beliefs *SiteState
 	kept    *route.CacheIndex
 	members *control.Members
 	self    string
--- a/service/gateway/stores_test.go
+++ b/service/gateway/stores_test.go
@@ -59,7 +59,7 @@
 	}
 	k := route.NewCacheIndex()
 	k.Configure(list)
-	b := NewBeliefs(nil, "h", time.Second, k, log)
+	b := NewSiteState(nil, "h", time.Second, k, log)
 	b.snapshot.Store(site.NewSnapshot(1, nil, services, site.Limits{}))
 	x.stores = newStores(self, nil, newWatchers(nil, self, m, client), b, k, m, new(replicaClock), log)
 	t.Cleanup(func() {
--- a/service/gateway/suspension.go
+++ b/service/gateway/suspension.go
@@ -25,7 +25,7 @@
 	count atomic.Int64
 
 	mu      sync.Mutex
-	handled atomic.Int64 // Of boottime.Look, in nanoseconds.
+	handled atomic.Int64 // Of boottime.Refresh, in nanoseconds.
 	// since is when the node found that its machine had been suspended, until it has heard
 	// from the store or from other nodes since; zero otherwise.
 	since atomic.Pointer[time.Time]
@@ -34,14 +34,14 @@
 
 func newSuspension() *suspension {
 	s := &suspension{heard: map[site.Table]time.Time{}}
-	s.handled.Store(int64(boottime.Look()))
+	s.handled.Store(int64(boottime.Refresh()))
 	return s
 }
 
 // look finds out whether the machine has been suspended. Whatever acts on what the node
 // knows looks first, so that it is found at the next decision and not at the next tick.
 func (g *Gateway) look() {
-	total := boottime.Look()
+	total := boottime.Refresh()
 	s := g.suspension
 	if total-time.Duration(s.handled.Load()) < leastSuspension {
 		return
--- a/service/gateway/suspension_test.go
+++ b/service/gateway/suspension_test.go
@@ -16,8 +16,8 @@
 
 // sleepMachine has the machine be suspended, and that be found.
 func sleepMachine(d time.Duration) {
-	boottime.Skip(d)
-	boottime.Look()
+	boottime.SimulateSuspend(d)
+	boottime.Refresh()
 }
 
 func TestLoadsHeardBeforeASuspensionAreOld(t *testing.T) {
@@ -89,7 +89,7 @@
 }
 
 func (s *sleepingStore) List(context.Context, site.Table) (site.Listing, error) {
-	boottime.Skip(s.sleep)
+	boottime.SimulateSuspend(s.sleep)
 	return site.Listing{Version: 1}, nil
 }
 
--- a/service/gateway/swaps.go
+++ b/service/gateway/swaps.go
@@ -12,7 +12,7 @@
 
 // swaps is the fleet as the roll-out of weights sees it.
 type swaps struct {
-	beliefs *Beliefs
+	beliefs *SiteState
 	nodes   *nodes
 	within  time.Duration // In which all replicas are to have weights that were named.
 }
--- a/service/gateway/upstream_conn.go
+++ b/service/gateway/upstream_conn.go
@@ -63,7 +63,7 @@
 // usable says whether a resting connection may carry another request; bytes
 // that came while it rested belong to no request.
 func (c *upstreamConn) usable(now time.Time, most time.Duration) bool {
-	return now.Sub(c.at) < min(c.idle, most) && c.r.Buffered() == 0 && http1.Quiet(c.conn)
+	return now.Sub(c.at) < min(c.idle, most) && c.r.Buffered() == 0 && http1.Idle(c.conn)
 }
 
 // keepFrom notes for how long the replica keeps a resting connection.
@@ -105,11 +105,11 @@
 		if err != nil {
 			return nil, nil, crossed, err
 		}
-		if codec.Answer(h).RequestID == id {
+		if codec.ResponseInfo(h).RequestID == id {
 			return h, b, crossed, nil
 		}
 		crossed = true
-		if b.Framing() == http1.FramedClose {
+		if b.Framing() == http1.FramingClose {
 			break
 		}
 		if _, err := io.Copy(io.Discard, b); err != nil {
--- a/service/gateway/wiring.go
+++ b/service/gateway/wiring.go
@@ -25,7 +25,7 @@
 	dig.In
 
 	Timer    *timer.Service
-	Beliefs  *Beliefs
+	Beliefs  *SiteState
 	Kept     *route.CacheIndex
 	Nodes    *nodes
 	Peers    *peer.Server
@@ -78,8 +78,8 @@
 		func() *control.Members {
 			return control.NewMembers(self, s.Peer.ProbeEvery.Std(), nil, newRand())
 		},
-		func(k *route.CacheIndex, o *coldShares, u *upstreamConns, x *suspects.Suspects, l *ratelimit.Limits) *Beliefs {
-			b := NewBeliefs(p.Codec, s.Node.DataHall, s.Platform.ReturnTime.Std(), k, log)
+		func(k *route.CacheIndex, o *coldShares, u *upstreamConns, x *suspects.Suspects, l *ratelimit.Limits) *SiteState {
+			b := NewSiteState(p.Codec, s.Node.DataHall, s.Platform.ReturnTime.Std(), k, log)
 			b.without, b.regions, b.cold, b.shares = s.Disabled, s.Regions, s.Cold, o
 			b.rates = l
 			b.leaveTime = time.Duration(leaveShare * float64(s.Evacuation.Within))
@@ -99,7 +99,7 @@
 		func(m *control.Members, c *peer.Client, o *coldShares) *ratelimit.Limits {
 			return ratelimit.New(self, m, c, o.hasMet, log)
 		},
-		func(b *Beliefs, n *nodes, l *ratelimit.Limits) *rollout.Rollout {
+		func(b *SiteState, n *nodes, l *ratelimit.Limits) *rollout.Rollout {
 			f := &swaps{beliefs: b, nodes: n, within: s.Orders.Within.Std()}
 			r := rollout.New(s.Node.Name, s.Orders.Pause.Std(), p.Store, countedOrders{p.Engines, b, l}, f, log)
 			if s.Disabled.SwapBound {
@@ -141,7 +141,7 @@
 }
 
 // newNodes listens for what other nodes tell.
-func newNodes(s config.GatewaySettings, self control.Member, m *control.Members, o *coldShares, x *suspects.Suspects, l *ratelimit.Limits, st Store, b *Beliefs, k *route.CacheIndex, log *slog.Logger) (*nodes, error) {
+func newNodes(s config.GatewaySettings, self control.Member, m *control.Members, o *coldShares, x *suspects.Suspects, l *ratelimit.Limits, st Store, b *SiteState, k *route.CacheIndex, log *slog.Logger) (*nodes, error) {
 	n := &nodes{
 		self:       self,
 		regions:    s.Regions,
@@ -194,7 +194,7 @@
 	self control.Member,
 	e Engines,
 	w *watchers,
-	b *Beliefs,
+	b *SiteState,
 	k *route.CacheIndex,
 	m *control.Members,
 	c *replicaClock,
--- a/service/node/blocks_test.go
+++ b/service/node/blocks_test.go
@@ -66,7 +66,7 @@
 	setUp(t, n, site)
 	held := func() int {
 		for _, w := range n.Watches.Status() {
-			return w.Held
+			return w.Entries
 		}
 		return 0
 	}
--- a/service/node/directory.go
+++ b/service/node/directory.go
@@ -79,9 +79,9 @@
 	return d.ask(ctx, chain.Marks, peer.MethodObserve, d.local.Observe)
 }
 
-// Look looks a chain up and records nothing.
-func (d *Directory) Look(ctx context.Context, marks []prompt.Mark) prompt.Match {
-	return d.ask(ctx, marks, peer.MethodLook, d.local.Look)
+// Lookup looks a chain up and records nothing.
+func (d *Directory) Lookup(ctx context.Context, marks []prompt.Mark) prompt.Match {
+	return d.ask(ctx, marks, peer.MethodLookup, d.local.Lookup)
 }
 
 // ask asks the holder of a chain's shard, by method, or this node's own.
@@ -205,7 +205,7 @@
 		return err
 	}
 	if req.Reset {
-		d.local.ForgetHot(req.Upstream)
+		d.local.RemoveEngine(req.Upstream)
 		d.local.RetainStored(req.Upstream, func(prompt.Object) bool { return false })
 	}
 	d.local.RemoveHot(req.Upstream, removed)
--- a/service/node/engine_watch_test.go
+++ b/service/node/engine_watch_test.go
@@ -52,9 +52,9 @@
 	chain := prompt.NewChain(prompt.Scope{}, text)
 	// The node that placed the run has told the shard already.
 	d.Placed(chain, "e")
-	assert.Equal(t, len(d.Look(t.Context(), chain.Marks).Holdings), 1)
+	assert.Equal(t, len(d.Lookup(t.Context(), chain.Marks).Locations), 1)
 	w.take(chainEvents(chain.Root, text, true))
-	assert.Equal(t, len(d.Look(t.Context(), chain.Marks).Holdings), 0)
+	assert.Equal(t, len(d.Lookup(t.Context(), chain.Marks).Locations), 0)
 	w.take(chainEvents(chain.Root, text, false))
-	assert.Equal(t, len(d.Look(t.Context(), chain.Marks).Holdings), 1)
+	assert.Equal(t, len(d.Lookup(t.Context(), chain.Marks).Locations), 1)
 }
--- a/service/node/handlers.go
+++ b/service/node/handlers.go
@@ -16,7 +16,7 @@
 func (n *Node) handle() {
 	p := n.Peer
 	p.Handle(peer.RolePeer, peer.MethodObserve, peer.Handle(n.observe))
-	p.Handle(peer.RolePeer, peer.MethodLook, peer.Handle(n.look))
+	p.Handle(peer.RolePeer, peer.MethodLookup, peer.Handle(n.look))
 	p.Handle(peer.RolePeer, peer.MethodUpdate, peer.Handle(n.update))
 	p.Handle(peer.RolePeer, peer.MethodCommit, peer.Handle(n.commit))
 	p.Handle(peer.RolePeer, peer.MethodSince, peer.Handle(n.since))
@@ -42,7 +42,7 @@
 	if err != nil {
 		return prompt.Match{}, err
 	}
-	return n.Shard.Look(marks, time.Now()), nil
+	return n.Shard.Lookup(marks, time.Now()), nil
 }
 
 func (n *Node) update(_ context.Context, req peer.UpdateRequest) (struct{}, error) {
--- a/service/node/loads.go
+++ b/service/node/loads.go
@@ -36,8 +36,8 @@
 	loadFresh = 300 * time.Millisecond
 )
 
-// Loads asks engines for their load, as often as the budget allows.
-type Loads struct {
+// LoadPoller asks engines for their load, as often as the budget allows.
+type LoadPoller struct {
 	self      string
 	members   *control.Members
 	upstreams *Upstreams
@@ -54,9 +54,9 @@
 	nextStore int // Only used by PollStores.
 }
 
-// NewLoads returns a poller that has asked nobody yet.
-func NewLoads(self string, m *control.Members, u *Upstreams, f *route.Fleet, l *route.Links, log *slog.Logger) *Loads {
-	return &Loads{
+// NewLoadPoller returns a poller that has asked nobody yet.
+func NewLoadPoller(self string, m *control.Members, u *Upstreams, f *route.Fleet, l *route.Links, log *slog.Logger) *LoadPoller {
+	return &LoadPoller{
 		self:      self,
 		members:   m,
 		upstreams: u,
@@ -72,7 +72,7 @@
 // Poll asks those of the subset that have not reported for longest, as many as
 // the budget allows. Reports that come with answers count, so a busy fleet is
 // hardly ever asked.
-func (l *Loads) Poll(ctx context.Context) {
+func (l *LoadPoller) Poll(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -94,7 +94,7 @@
 
 // PollStores asks stores for the load of their links: as many as the budget
 // allows, in turn.
-func (l *Loads) PollStores(ctx context.Context) {
+func (l *LoadPoller) PollStores(ctx context.Context) {
 	stores := l.upstreams.Stores()
 	if len(stores) == 0 {
 		return
@@ -117,14 +117,14 @@
 
 // ReportStore takes in the load of a store's link, asked for or sent with an
 // answer.
-func (l *Loads) ReportStore(store string, r upstream.StoreLoad) {
+func (l *LoadPoller) ReportStore(store string, r upstream.StoreLoad) {
 	now := time.Now()
 	l.links.Report(store, r.LinkRate, r.LinkQueue, now)
 	l.links.UpdateCounters(store, r.Moved, time.Duration(r.BusyMillis)*time.Millisecond, now)
 }
 
 // due lists the engines whose last report is old, oldest first.
-func (l *Loads) due(now time.Time) []engineClient {
+func (l *LoadPoller) due(now time.Time) []engineClient {
 	taken := map[string]time.Time{}
 	var list []engineClient
 	for _, e := range l.subset() {
@@ -137,7 +137,7 @@
 	return list
 }
 
-func (l *Loads) ask(ctx context.Context, e engineClient) {
+func (l *LoadPoller) ask(ctx context.Context, e engineClient) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	r, err := e.Load(ctx)
@@ -149,7 +149,7 @@
 }
 
 // Report takes in a load report, asked for or sent with an answer.
-func (l *Loads) Report(engine string, r upstream.LoadReport) {
+func (l *LoadPoller) Report(engine string, r upstream.LoadReport) {
 	now := time.Now()
 	l.fleet.Report(engine, loadReport(r, now))
 	l.links.Report(engine, r.LinkRate, r.LinkQueue, now)
@@ -171,7 +171,7 @@
 }
 
 // subset picks the engines that this node asks; the caller holds mu.
-func (l *Loads) subset() []engineClient {
+func (l *LoadPoller) subset() []engineClient {
 	if !l.duties.stale() {
 		return l.chosen
 	}
@@ -184,7 +184,7 @@
 	return l.chosen
 }
 
-func (l *Loads) choose() []engineClient {
+func (l *LoadPoller) choose() []engineClient {
 	all := l.upstreams.Engines()
 	if len(all) <= loadSubset {
 		return all
--- a/service/node/local.go
+++ b/service/node/local.go
@@ -77,7 +77,7 @@
 	t := lang.Table{Columns: []string{"upstream", "kind", "held", "resyncs", "freed"}}
 	for _, w := range l.watches.Status() {
 		t.Rows = append(t.Rows, []string{
-			w.Upstream, w.Kind, strconv.Itoa(w.Held), strconv.Itoa(w.Resyncs), strconv.Itoa(w.Freed),
+			w.Upstream, w.Kind, strconv.Itoa(w.Entries), strconv.Itoa(w.Resyncs), strconv.Itoa(w.Freed),
 		})
 	}
 	sortRows(t)
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -57,7 +57,7 @@
 	Admission  *route.Admission
 	Keep       *route.ExportPolicy
 	Watches    *Watches
-	Loads      *Loads
+	Loads      *LoadPoller
 	Spread     *Spread
 	Reconciler *Reconciler
 	Suspects   *suspects.Suspects
--- a/service/node/store_watch.go
+++ b/service/node/store_watch.go
@@ -146,7 +146,7 @@
 	for bytes > 0 && len(w.objects) > 0 && ctx.Err() == nil {
 		victim := w.leastWorth(ctx)
 		o := victim.object
-		if err := w.store.Free(ctx, upstream.Free{Key: o.Key, Generation: o.Generation, Epoch: o.Epoch}); err != nil {
+		if err := w.store.Free(ctx, upstream.FreeObject{Key: o.Key, Generation: o.Generation, Epoch: o.Epoch}); err != nil {
 			w.log.Warn("object not freed", "upstream", w.name, "err", err)
 			return
 		}
@@ -177,11 +177,11 @@
 // overdue is how overdue an object's next return is, by its longest prefix that
 // was ever asked for.
 func (w *storeWatch) overdue(ctx context.Context, e storedEntry) float64 {
-	m := w.dir.Look(ctx, e.marks)
-	if len(m.Sightings) == 0 {
+	m := w.dir.Lookup(ctx, e.marks)
+	if len(m.Occurrences) == 0 {
 		return unknownOverdue
 	}
-	return route.EvictionPriority(m.Sightings[0], unseenGap)
+	return route.EvictionPriority(m.Occurrences[0], unseenGap)
 }
 
 // ownerOf says whether this node has the duty to watch an upstream.
--- a/service/node/suspects.go
+++ b/service/node/suspects.go
@@ -26,22 +26,22 @@
 	log     *slog.Logger
 }
 
-// Note implements suspects.Teller.
-func (t *suspectTeller) Note(to []netip.AddrPort, method string, params any) int {
-	sent, err := t.probes.Note(to, method, params)
+// SendNote implements suspects.Notifier.
+func (t *suspectTeller) SendNote(to []netip.AddrPort, method string, params any) int {
+	sent, err := t.probes.SendNote(to, method, params)
 	if err != nil {
 		t.log.Error("note not sent", "method", method, "err", err)
 	}
 	return sent
 }
 
-// Audience implements suspects.Teller.
-func (t *suspectTeller) Audience(try int) (direct, relays []netip.AddrPort) {
+// Recipients implements suspects.Notifier.
+func (t *suspectTeller) Recipients(try int) (direct, relays []netip.AddrPort) {
 	return t.members.View().Recipients(t.self, directMost, suspectsDuty, try)
 }
 
-// InHall implements suspects.Teller.
-func (t *suspectTeller) InHall() []netip.AddrPort { return t.members.View().Others(t.self, t.hall) }
+// HallPeers implements suspects.Notifier.
+func (t *suspectTeller) HallPeers() []netip.AddrPort { return t.members.View().Others(t.self, t.hall) }
 
 // handleSuspects sets what other nodes tell and ask of such prompts.
 func (n *Node) handleSuspects() {
--- a/service/node/watches.go
+++ b/service/node/watches.go
@@ -149,7 +149,7 @@
 	Upstream string `json:"upstream"`
 	Kind     string `json:"kind"`
 	Seq      uint64 `json:"seq"`
-	Held     int    `json:"held"` // Blocks or objects.
+	Entries  int    `json:"held"` // Blocks or objects.
 	Resyncs  int    `json:"resyncs"`
 	Freed    int    `json:"freed"`
 }
@@ -160,10 +160,10 @@
 	defer w.mu.Unlock()
 	var list []WatchStatus
 	for name, e := range w.engines {
-		list = append(list, WatchStatus{Upstream: name, Kind: "engine", Seq: e.seq, Held: len(e.blocks), Resyncs: e.resync})
+		list = append(list, WatchStatus{Upstream: name, Kind: "engine", Seq: e.seq, Entries: len(e.blocks), Resyncs: e.resync})
 	}
 	for name, s := range w.stores {
-		list = append(list, WatchStatus{Upstream: name, Kind: "store", Seq: s.seq, Held: len(s.objects), Freed: s.freed})
+		list = append(list, WatchStatus{Upstream: name, Kind: "store", Seq: s.seq, Entries: len(s.objects), Freed: s.freed})
 	}
 	return list
 }
--- a/service/node/wiring.go
+++ b/service/node/wiring.go
@@ -68,8 +68,8 @@
 		func(m *control.Members, u *Upstreams, d *Directory) *Watches {
 			return NewWatches(s.Node.Name, m, u, d, log)
 		},
-		func(m *control.Members, u *Upstreams, f *route.Fleet, l *route.Links) *Loads {
-			return NewLoads(s.Node.Name, m, u, f, l, log)
+		func(m *control.Members, u *Upstreams, f *route.Fleet, l *route.Links) *LoadPoller {
+			return NewLoadPoller(s.Node.Name, m, u, f, l, log)
 		},
 		func(m *control.Members, c *peer.Client) *suspects.Suspects {
 			return suspects.New(m.Self(), m, nil, c, log)
@@ -139,13 +139,13 @@
 	Admission *route.Admission
 	Retries   *route.RetryBudget
 	Keep      *route.ExportPolicy
-	Loads     *Loads
+	Loads     *LoadPoller
 	Metrics   *entry.Metrics
 	Suspects  *suspects.Suspects
 }
 
-func newParts(in partsIn) *entry.Parts {
-	return &entry.Parts{
+func newParts(in partsIn) *entry.Dependencies {
+	return &entry.Dependencies{
 		Settings:  in.Settings,
 		Log:       in.Log,
 		State:     in.Config,
--- a/service/operator/explain.go
+++ b/service/operator/explain.go
@@ -33,22 +33,22 @@
 	rule, _ := state.RuleFor(e.Organisation, e.Model)
 	scope.Reuse = rule.Scope(e.Label, "explain")
 	chain := prompt.NewChain(scope, e.Prompt)
-	match := s.Directory.Look(ctx, chain.Marks)
+	match := s.Directory.Lookup(ctx, chain.Marks)
 	t := lang.Table{Columns: []string{"what", "value"}}
 	add := func(what, value string) { t.Rows = append(t.Rows, []string{what, value}) }
 	add("weights", scope.Weights)
 	add("reuse rule", ruleText(rule))
 	add("prompt tokens", strconv.Itoa(chain.Tokens))
-	for _, h := range match.Holdings {
+	for _, h := range match.Locations {
 		kind := "hot on engine "
 		if h.Object != nil {
 			kind = "kept in store "
 		}
 		add(kind+h.Upstream, fmt.Sprintf("%d tokens", h.Tokens()))
 	}
-	for _, sg := range match.Sightings {
+	for _, sg := range match.Occurrences {
 		add(fmt.Sprintf("seen, first %d tokens", sg.Chunks*prompt.ChunkTokens),
-			fmt.Sprintf("%d times, last %s ago, mean gap %s", sg.Times, sg.Since, sg.Gap))
+			fmt.Sprintf("%d times, last %s ago, mean gap %s", sg.Count, sg.Since, sg.Gap))
 	}
 	d, err := s.Policy.Place(&route.Request{
 		Model:    e.Model,
--- a/service/operator/service.go
+++ b/service/operator/service.go
@@ -21,7 +21,7 @@
 
 // directory is what this package needs of the directory of kept state.
 type directory interface {
-	Look(ctx context.Context, marks []prompt.Mark) prompt.Match
+	Lookup(ctx context.Context, marks []prompt.Mark) prompt.Match
 }
 
 // configLog is what this package needs of the configuration log.
--- a/service/peer/messages.go
+++ b/service/peer/messages.go
@@ -11,7 +11,7 @@
 const (
 	MethodHello    = "hello"
 	MethodObserve  = "directory.observe"
-	MethodLook     = "directory.look"
+	MethodLookup   = "directory.look"
 	MethodUpdate   = "directory.update"
 	MethodCommit   = "claim.commit"
 	MethodSince    = "config.since"
--- a/service/peer/probes.go
+++ b/service/peer/probes.go
@@ -53,9 +53,9 @@
 // OnNote has fn called with each note of a method; it is called before Start.
 func (p *Probes) OnNote(method string, fn NoteHandler) { p.notes[method] = fn }
 
-// Note tells several nodes something in a datagram each, which may be lost: for
+// SendNote tells several nodes something in a datagram each, which may be lost: for
 // news that the next note replaces. It returns the bytes sent.
-func (p *Probes) Note(to []netip.AddrPort, method string, params any) (sent int, err error) {
+func (p *Probes) SendNote(to []netip.AddrPort, method string, params any) (sent int, err error) {
 	defer func() { err = eris.Wrapf(err, "note %s", method) }()
 	body, err := p.seal(method, params)
 	if err != nil {
--- a/service/ratelimit/limits.go
+++ b/service/ratelimit/limits.go
@@ -92,7 +92,7 @@
 	ForgetInterval = 2 * time.Second
 )
 
-// New returns what a node knows, which is nothing yet. Attach is to be called before anything
+// New returns what a node knows, which is nothing yet. SetAnnouncer is to be called before anything
 // else.
 func New(self control.Member, m *control.Members, c Caller, met func() bool, log *slog.Logger) *Limits {
 	return &Limits{
@@ -115,12 +115,12 @@
 // ObserveAnswer takes in what an answer says. Only one to a request that ran, and that was sent after
 // the rate was last seen, shows that there is none any more: others may have been under way
 // since before it was named.
-func (l *Limits) ObserveAnswer(u *site.Upstream, a *site.Answer, sent, now time.Time) {
+func (l *Limits) ObserveAnswer(u *site.Upstream, a *site.ResponseInfo, sent, now time.Time) {
 	switch {
-	case a.Limit.Said == site.RateUnreadable:
+	case a.Limit.Presence == site.RateUnreadable:
 		l.counts.unread.Add(1)
 		l.log.Debug("rate of a replica can't be read", "replica", u.ID)
-	case a.Limit.Said == site.RateNamed && a.Limit.PerSecond < mostNamed:
+	case a.Limit.Presence == site.RatePresent && a.Limit.PerSecond < mostNamed:
 		l.named(u, quota.Rate{PerSecond: a.Limit.PerSecond, At: now}, now)
 	case l.ledger.Empty() || a.NotRun:
 	default:
@@ -236,7 +236,7 @@
 	return r, known && !r.Ended
 }
 
-// Forget drops what no longer matters; it is to be called each ForgetEvery.
+// Forget drops what no longer matters; it is to be called each ForgetInterval.
 func (l *Limits) Forget(context.Context) {
 	now := boottime.Now()
 	l.ledger.Forget(now)
--- a/service/ratelimit/ratelimit_test.go
+++ b/service/ratelimit/ratelimit_test.go
@@ -215,9 +215,9 @@
 	named := f.named
 	f.mu.Unlock()
 	time.Sleep(runTime)
-	a := site.Answer{}
+	a := site.ResponseInfo{}
 	if named >= 0 {
-		a.Limit = site.NamedRate(named)
+		a.Limit = site.NewRateLimit(named)
 	}
 	l.ObserveAnswer(u, &a, sent, time.Now())
 }
--- a/service/suspects/grants.go
+++ b/service/suspects/grants.go
@@ -12,13 +12,13 @@
 const (
 	// askTerm bounds a call for a grant to run a watched request: its Caller waits.
 	askTerm = 150 * time.Millisecond
-	// MethodRun asks an owner whether a watched request may be sent now, and MethodOver
+	// MethodRun asks an owner whether a watched request may be sent now, and MethodRunEnded
 	// tells it that nothing came of that.
-	MethodRun  = "suspects.run"
+	MethodRun      = "suspects.run"
 	MethodRunEnded = "suspects.over"
 )
 
-// runRequest are the parameters of MethodRun and MethodOver.
+// runRequest are the parameters of MethodRun and MethodRunEnded.
 type runRequest struct {
 	Content site.Fingerprint `json:"content"`
 	MostMS  int64            `json:"most_ms,omitempty"`
--- a/service/suspects/learn.go
+++ b/service/suspects/learn.go
@@ -107,5 +107,5 @@
 		return
 	}
 	to := []netip.AddrPort{others[rand.IntN(len(others))]}
-	s.notes.Note(to, NoteDigest, digestNote{From: s.self.Peer, Digest: s.register.Digest(), Learning: !s.knows()})
+	s.notes.SendNote(to, NoteDigest, digestNote{From: s.self.Peer, Digest: s.register.Digest(), Learning: !s.knows()})
 }
--- a/service/suspects/news.go
+++ b/service/suspects/news.go
@@ -108,7 +108,7 @@
 				to = append(to, o.Peer)
 			}
 		}
-		s.notes.Note(to, NoteCases, casesNote{Cases: []caseNews{newsOfCase(c, boottime.Now())}, Collect: true})
+		s.notes.SendNote(to, NoteCases, casesNote{Cases: []caseNews{newsOfCase(c, boottime.Now())}, Collect: true})
 	})
 }
 
@@ -127,9 +127,9 @@
 func (s *Suspects) spread(c suspect.Case) {
 	s.twice(func(try int) {
 		news := []caseNews{newsOfCase(c, boottime.Now())}
-		direct, relays := s.notes.Audience(try)
-		s.notes.Note(direct, NoteCases, casesNote{Cases: news})
-		s.notes.Note(relays, NoteCases, casesNote{Cases: news, Pass: true})
+		direct, relays := s.notes.Recipients(try)
+		s.notes.SendNote(direct, NoteCases, casesNote{Cases: news})
+		s.notes.SendNote(relays, NoteCases, casesNote{Cases: news, Pass: true})
 	})
 }
 
@@ -150,7 +150,7 @@
 		return
 	}
 	if w.Pass {
-		s.notes.Note(s.notes.InHall(), NoteCases, casesNote{Cases: w.Cases})
+		s.notes.SendNote(s.notes.HallPeers(), NoteCases, casesNote{Cases: w.Cases})
 	}
 	now := boottime.Now()
 	var missed []caseNews
@@ -165,7 +165,7 @@
 	if len(missed) > 0 {
 		// The others of this hall have likely missed it, too, as those that tell the hall may be
 		// cut off: alone, each would hear of it some seconds later.
-		s.twice(func(int) { s.notes.Note(s.notes.InHall(), NoteCases, casesNote{Cases: missed}) })
+		s.twice(func(int) { s.notes.SendNote(s.notes.HallPeers(), NoteCases, casesNote{Cases: missed}) })
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 	to := []netip.AddrPort{w.From}
 	if !w.Answer && (own != w.Digest || w.Learning) {
-		s.notes.Note(to, NoteDigest, digestNote{From: s.self.Peer, Digest: own, Answer: true, Knows: s.knows()})
+		s.notes.SendNote(to, NoteDigest, digestNote{From: s.self.Peer, Digest: own, Answer: true, Knows: s.knows()})
 	}
 	if own == w.Digest {
 		return
@@ -238,7 +238,7 @@
 		for _, c := range part {
 			note.Cases = append(note.Cases, newsOfCase(c, now))
 		}
-		s.notes.Note(to, NoteCases, note)
+		s.notes.SendNote(to, NoteCases, note)
 	}
 }
 
--- a/service/suspects/suspects.go
+++ b/service/suspects/suspects.go
@@ -64,13 +64,13 @@
 
 // Notifier sends notes, which may be lost, to other nodes.
 type Notifier interface {
-	// Note sends one to some nodes, and returns the bytes sent.
-	Note(to []netip.AddrPort, method string, params any) (sent int)
-	// Audience are the nodes to tell what all are to hear, and those that tell it on in
+	// SendNote sends one to some nodes, and returns the bytes sent.
+	SendNote(to []netip.AddrPort, method string, params any) (sent int)
+	// Recipients are the nodes to tell what all are to hear, and those that tell it on in
 	// their halls, others at each try.
-	Audience(try int) (direct, relays []netip.AddrPort)
-	// InHall are the other nodes of this one's hall.
-	InHall() []netip.AddrPort
+	Recipients(try int) (direct, relays []netip.AddrPort)
+	// HallPeers are the other nodes of this one's hall.
+	HallPeers() []netip.AddrPort
 }
 
 // Caller calls other nodes.
@@ -86,14 +86,14 @@
 
 // LostRun is a request whose replica gave no whole answer, and may have ended.
 type LostRun struct {
-	Content site.Fingerprint
-	QuickHash  uint64
-	Request string // The caller's name of its attempt.
-	Replica string // The replica's ID.
-	StartKey    string // Its start.
-	Addr    netip.AddrPort
-	Begun   time.Time
-	At      time.Time // When the answer was lost.
+	Content   site.Fingerprint
+	QuickHash uint64
+	Request   string // The caller's name of its attempt.
+	Replica   string // The replica's ID.
+	StartKey  string // Its start.
+	Addr      netip.AddrPort
+	Begun     time.Time
+	At        time.Time // When the answer was lost.
 	// Reachable says that the replica took a connection afterwards.
 	Reachable bool
 }
@@ -121,7 +121,7 @@
 )
 
 // New returns what a node knows, which is nothing yet. Without a store nothing outlasts all
-// nodes. Attach is to be called before anything else.
+// nodes. SetNotifier is to be called before anything else.
 func New(self control.Member, m *control.Members, st Store, c Caller, log *slog.Logger) *Suspects {
 	return &Suspects{
 		self:     self,
@@ -275,9 +275,9 @@
 // RecordEnd notes that a replica ended while a request was in flight there.
 func (s *Suspects) RecordEnd(r LostRun, now time.Time) {
 	change := s.register.Merge(suspect.Case{
-		Content: r.Content,
-		QuickHash:  r.QuickHash,
-		Ends:    []suspect.ReplicaEnd{{Replica: r.StartKey, Begun: r.Begun, At: now}},
+		Content:   r.Content,
+		QuickHash: r.QuickHash,
+		Ends:      []suspect.ReplicaEnd{{Replica: r.StartKey, Begun: r.Begun, At: now}},
 	})
 	c := s.register.Case(r.Content)
 	s.metrics.ends.Add(1)
--- a/service/suspects/suspects_test.go
+++ b/service/suspects/suspects_test.go
@@ -108,16 +108,16 @@
 // smallHall is up to how many nodes a hall has for all of them to be told directly.
 const smallHall = 8
 
-// Audience tells large halls through one of their nodes, another one at each try.
-func (l *lateNotes) Audience(try int) (direct, relays []netip.AddrPort) {
+// Recipients tells large halls through one of their nodes, another one at each try.
+func (l *lateNotes) Recipients(try int) (direct, relays []netip.AddrPort) {
 	return l.members.View().Recipients(l.self.Name, smallHall, "news/", try)
 }
 
-func (l *lateNotes) InHall() []netip.AddrPort {
+func (l *lateNotes) HallPeers() []netip.AddrPort {
 	return l.members.View().Others(l.self.Name, l.self.DataHall)
 }
 
-func (l *lateNotes) Note(to []netip.AddrPort, method string, params any) (sent int) {
+func (l *lateNotes) SendNote(to []netip.AddrPort, method string, params any) (sent int) {
 	body, err := json.Marshal(params)
 	if err != nil || len(body) > 16<<10 {
 		panic(fmt.Sprint(len(body), " bytes ", err))
