--- a/pkg/route/keep.go
+++ b/pkg/route/export_policy.go
@@ -22,24 +22,26 @@
 	storePrice = 0.05
 )
 
-// Keep decides which prefixes are worth exporting to a store after a run.
+// ExportPolicy decides which prefixes are worth exporting to a store after a run.
 //
 // A prefix that has been seen before has returned. Of one seen for the first
 // time it is only known how often this organisation's new prompts return whole;
 // where they don't, such as where each has a new application under an old
 // specification, exporting them would fill links and stores with what is never
 // read again.
-type Keep struct {
+type ExportPolicy struct {
 	mu      sync.Mutex
-	weights Weights
+	weights CostWeights
 	returns map[string]float64
 }
 
-// NewKeep returns a decision that knows nothing yet.
-func NewKeep(w Weights) *Keep { return &Keep{weights: w, returns: map[string]float64{}} }
+// NewExportPolicy returns a decision that knows nothing yet.
+func NewExportPolicy(w CostWeights) *ExportPolicy {
+	return &ExportPolicy{weights: w, returns: map[string]float64{}}
+}
 
-// KeepInput is what is known of a prompt that has just run.
-type KeepInput struct {
+// ExportInput is what is known of a prompt that has just run.
+type ExportInput struct {
 	Organisation string
 	Chain        prompt.Chain
 	Match        prompt.Match // As looked up before the run.
@@ -48,15 +50,15 @@
 	LinkRate     float64 // Bytes a second.
 }
 
-// Export returns the mark up to which the prompt is worth exporting.
-func (k *Keep) Export(in KeepInput) (prompt.Mark, bool) {
+// SelectMark returns the mark up to which the prompt is worth exporting.
+func (k *ExportPolicy) SelectMark(in ExportInput) (prompt.Mark, bool) {
 	tail, ok := in.Chain.Tail()
 	if !ok {
 		return prompt.Mark{}, false
 	}
 	returned := k.learn(in, tail)
 	stored := 0
-	for _, h := range in.Match.Holdings {
+	for _, h := range in.Match.Locations {
 		if h.Object != nil {
 			stored = max(stored, h.Chunks)
 		}
@@ -73,7 +75,7 @@
 
 // learn notes whether the prompt was a return and gives the share of the
 // organisation's prompts that are.
-func (k *Keep) learn(in KeepInput, tail prompt.Mark) float64 {
+func (k *ExportPolicy) learn(in ExportInput, tail prompt.Mark) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	p, known := k.returns[in.Organisation]
@@ -81,8 +83,8 @@
 		p = priorReturn
 	}
 	seen := 0
-	if len(in.Match.Sightings) > 0 {
-		seen = in.Match.Sightings[0].Chunks
+	if len(in.Match.Occurrences) > 0 {
+		seen = in.Match.Occurrences[0].Chunks
 	}
 	hit := 0.0
 	if float64(seen) >= nearlyAll*float64(tail.Chunks) {
@@ -94,11 +96,11 @@
 }
 
 // longestSeen is the longest mark that an earlier request had too.
-func longestSeen(in KeepInput) prompt.Mark {
-	if len(in.Match.Sightings) == 0 {
+func longestSeen(in ExportInput) prompt.Mark {
+	if len(in.Match.Occurrences) == 0 {
 		return prompt.Mark{}
 	}
-	chunks := in.Match.Sightings[0].Chunks
+	chunks := in.Match.Occurrences[0].Chunks
 	for _, m := range in.Chain.Marks {
 		if m.Chunks == chunks {
 			return m
@@ -109,7 +111,7 @@
 
 // worth compares the prefill saved at a return with the price of the link and
 // of the store.
-func (k *Keep) worth(in KeepInput, chunks, stored int, returns float64) bool {
+func (k *ExportPolicy) worth(in ExportInput, chunks, stored int, returns float64) bool {
 	if chunks < minExportChunks || float64(stored) >= nearlyAll*float64(chunks) {
 		return false
 	}
@@ -121,9 +123,9 @@
 	return value > price
 }
 
-// StoreValue ranks a kept object for eviction: how overdue its next return is.
+// EvictionPriority ranks a kept object for eviction: how overdue its next return is.
 // The most overdue goes first.
-func StoreValue(s prompt.Sighting, unseenGap time.Duration) float64 {
+func EvictionPriority(s prompt.Occurrence, unseenGap time.Duration) float64 {
 	gap := s.Gap
 	if gap <= 0 {
 		gap = unseenGap
--- a/service/entry/parts.go
+++ b/service/entry/dependencies.go
@@ -38,8 +38,8 @@
 	ReportStore(store string, r upstream.StoreLoad)
 }
 
-// Parts are what requests are run with.
-type Parts struct {
+// Dependencies are what requests are run with.
+type Dependencies struct {
 	Settings  config.Settings
 	Log       *slog.Logger
 	State     configuration
@@ -52,7 +52,7 @@
 	Policy    route.Policy
 	Admission *route.Admission
 	Retries   *route.RetryBudget
-	Keep      *route.Keep
+	Keep      *route.ExportPolicy
 	Loads     loads
 	Metrics   *Metrics
 	Suspects  *suspects.Suspects
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -61,8 +61,8 @@
 	codec      Codec
 	log        *slog.Logger
 	timer      *timer.Service
-	beliefs    *Beliefs
-	kept       *route.Kept
+	beliefs    *SiteState
+	kept       *route.CacheIndex
 	nodes      *nodes
 	peers      *peer.Server
 	client     *peer.Client
@@ -172,7 +172,7 @@
 	if g.figures != nil {
 		g.figures.start(g)
 	}
-	hold := g.conf().Platform.Hold.Std()
+	hold := g.conf().Platform.LongPollTimeout.Std()
 	g.followers = []*follower{
 		{
 			store: g.readers, table: site.TableOperator, name: "operator", hold: hold, log: g.log,
@@ -183,9 +183,9 @@
 		{
 			store: g.readers, table: site.TableUpstreams, name: "upstreams", hold: hold, log: g.log,
 			apply: g.beliefs.ApplyUpstreams, rest: upstreamsRest,
-			away: g.beliefs.StoreAway,
+			away: g.beliefs.MarkStoreUnreachable,
 			heard: func(begun, now time.Time) {
-				g.beliefs.StoreHeard(now)
+				g.beliefs.MarkStoreSynced(now)
 				g.suspension.hear(site.TableUpstreams, begun)
 			},
 		},
@@ -203,12 +203,12 @@
 	g.every(watchEvery, g.stores.refresh)
 	g.every(watchEvery, g.holdings.refresh)
 	g.every(freeEvery, g.stores.free)
-	g.every(rollout.Every, g.rollout.Step)
+	g.every(rollout.StepInterval, g.rollout.Step)
 	g.every(watchEvery, g.shareBudgets)
-	g.every(suspects.Every, g.suspects.Step)
-	g.every(suspects.Every, g.suspects.Keep)
-	g.every(suspects.LearnEvery, g.suspects.Learn)
-	g.every(ratelimit.ForgetEvery, g.rateLimits.Forget)
+	g.every(suspects.StepInterval, g.suspects.Step)
+	g.every(suspects.StepInterval, g.suspects.SaveRow)
+	g.every(suspects.LearnInterval, g.suspects.Learn)
+	g.every(ratelimit.ForgetInterval, g.rateLimits.Forget)
 	g.wg.Go(func() { g.runQueues(g.ctx) })
 	g.wg.Go(func() { g.nodes.meet(g.ctx) })
 	g.wg.Go(func() { g.nodes.runSpeaker(g.ctx) })
@@ -223,7 +223,7 @@
 	if err := boottime.Err(); err != nil {
 		g.log.Warn("machine suspension can't be detected", "node", g.conf().Node.Name, "err", err)
 	}
-	if off := g.conf().Without.Names(); len(off) > 0 {
+	if off := g.conf().Disabled.Names(); len(off) > 0 {
 		g.log.Warn("mechanisms disabled", "node", g.conf().Node.Name, "without", off)
 	}
 }
@@ -243,13 +243,13 @@
 	}
 	kept := s
 	kept.Node, kept.Peer, kept.Platform.Store = old.Node, old.Peer, old.Platform.Store
-	kept.Entry, kept.Without = old.Entry, old.Without
+	kept.Entry, kept.Disabled = old.Entry, old.Disabled
 	kept.Regions, kept.Cold, kept.Evacuation = old.Regions, old.Cold, old.Evacuation
 	kept.Entry.MaxAge = s.Entry.MaxAge
 	if !reflect.DeepEqual(kept, s) {
 		g.log.Warn("changed addresses hold only after a restart", "node", old.Node.Name)
 	}
-	boottime.Skip(max(0, kept.Test.Suspended.Std()-old.Test.Suspended.Std()))
+	boottime.SimulateSuspend(max(0, kept.Test.Suspended.Std()-old.Test.Suspended.Std()))
 	g.settings.Store(&kept)
 	g.budgetMu.Lock()
 	clear(g.budgets)
@@ -260,7 +260,7 @@
 // ready says whether callers are to be sent here.
 func (g *Gateway) ready() bool {
 	g.look()
-	return g.awake() && !g.stopping() && g.beliefs.Snapshot() != nil && g.beliefs.Upstreams() > 0 && !g.apart(boottime.Now())
+	return g.awake() && !g.stopping() && g.beliefs.Snapshot() != nil && g.beliefs.UpstreamCount() > 0 && !g.apart(boottime.Now())
 }
 
 // apart says whether the node can't know any more what operators have changed: it hears no
@@ -288,9 +288,9 @@
 }
 
 // holdMost is the longest that a request may be held.
-func (g *Gateway) holdMost(t *site.Terms) time.Duration {
-	if t.Patience > 0 {
-		return t.Patience
+func (g *Gateway) holdMost(t *site.RequestInfo) time.Duration {
+	if t.ClientTimeout > 0 {
+		return t.ClientTimeout
 	}
 	return longestHold
 }
--- a/service/gateway/holdings_serve.go
+++ b/service/gateway/holdings_serve.go
@@ -18,7 +18,7 @@
 	From  uint64   `json:"from"`
 	Halls []string `json:"halls"`
 	// Most is of how many engines of each hall news are wanted, in the order of
-	// route.Followed; without it of all.
+	// route.SelectTracked; without it of all.
 	Most map[string]int `json:"most,omitempty"`
 	// Fresh are engines of which the node that asks knows nothing yet.
 	Fresh  []string `json:"fresh,omitempty"`
@@ -83,7 +83,7 @@
 	}
 	h.mu.Unlock()
 	for _, id := range ids {
-		if c := h.kept.Held(id); !c.Silent {
+		if c := h.kept.EngineContents(id); !c.Stale {
 			list = append(list, packHeld(c))
 		}
 	}
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -51,8 +51,8 @@
 	members    *control.Members
 	probes     *peer.Probes
 	store      Store
-	beliefs    *Beliefs
-	kept       *route.Kept
+	beliefs    *SiteState
+	kept       *route.CacheIndex
 	log        *slog.Logger
 	due        chan struct{} // Holds one when the state is to be told soon.
 	boot       uint64        // Tells this life of the node from others.
@@ -81,7 +81,7 @@
 }
 
 func (n *nodes) probeLate(context.Context) {
-	n.probes.Send(n.members.Late(time.Now(), 0))
+	n.probes.Send(n.members.IndirectProbes(time.Now(), 0))
 }
 
 // meet writes this node's address to the store and learns those of others, as
@@ -156,8 +156,8 @@
 func (n *nodes) greet(rows []site.Row) {
 	var strangers []netip.AddrPort
 	for _, r := range rows {
-		if r.Key == suspects.RowBlocked {
-			n.suspects.Load(r, boottime.Now())
+		if r.Key == suspects.BlockedRowKey {
+			n.suspects.LoadRow(r, boottime.Now())
 			continue
 		}
 		var row nodeRow
@@ -170,7 +170,7 @@
 			strangers = append(strangers, row.Peer)
 		}
 	}
-	n.suspects.Learned()
+	n.suspects.MarkLearned()
 	rand.Shuffle(len(strangers), func(i, j int) { strangers[i], strangers[j] = strangers[j], strangers[i] })
 	n.mu.Lock()
 	n.strangers, n.greetEach = strangers, (len(strangers)+greetParts-1)/greetParts
@@ -187,7 +187,7 @@
 	n.strangers = n.strangers[len(some):]
 	n.mu.Unlock()
 	if len(some) > 0 {
-		n.probes.Send(n.members.Greet(some))
+		n.probes.Send(n.members.ProbeSeeds(some))
 	}
 }
 
@@ -247,15 +247,15 @@
 // suspectTeller tells other nodes of suspects.
 type suspectTeller struct{ n *nodes }
 
-// Note implements suspects.Teller.
-func (t suspectTeller) Note(to []netip.AddrPort, method string, params any) int {
+// SendNote implements suspects.Notifier.
+func (t suspectTeller) SendNote(to []netip.AddrPort, method string, params any) int {
 	return t.n.note(to, method, params)
 }
 
-// Audience implements suspects.Teller.
-func (t suspectTeller) Audience(try int) (direct, relays []netip.AddrPort) {
+// Recipients implements suspects.Notifier.
+func (t suspectTeller) Recipients(try int) (direct, relays []netip.AddrPort) {
 	return t.n.newsAudience(try)
 }
 
-// InHall implements suspects.Teller.
-func (t suspectTeller) InHall() []netip.AddrPort { return t.n.inHall(t.n.self.DataHall) }
+// HallPeers implements suspects.Notifier.
+func (t suspectTeller) HallPeers() []netip.AddrPort { return t.n.inHall(t.n.self.DataHall) }
--- a/service/gateway/readers.go
+++ b/service/gateway/readers.go
@@ -130,7 +130,7 @@
 // told by nodes of others, as a small hall is. With a reader for each small hall, or none,
 // most of what 18 nodes in 5 halls paid for was calls to the store.
 func (r *readers) readersOf(view *control.View) []control.Member {
-	wide := control.Widest(view.Alive)
+	wide := control.WithWidestLinks(view.Alive)
 	if len(view.Hall(r.self.DataHall).Alive) <= directMost {
 		return wide
 	}
@@ -242,7 +242,7 @@
 
 // own reads the store itself.
 func (r *readers) own(ctx context.Context, q changesRequest, wait time.Duration) (l site.Listing, err error) {
-	before := boottime.Look()
+	before := boottime.Refresh()
 	begun := boottime.Now()
 	if r.missing(q.Table) {
 		wait = 0
@@ -261,7 +261,7 @@
 		return l, err
 	}
 	// An answer may have come before the machine was suspended: it is not new then.
-	r.take(q, l, boottime.Look()-before < leastSuspension)
+	r.take(q, l, boottime.Refresh()-before < leastSuspension)
 	r.logRows(q, l, byStore, begun)
 	return l, nil
 }
--- a/service/node/wiring.go
+++ b/service/node/wiring.go
@@ -22,7 +22,7 @@
 
 // constructors are what the container builds a node from.
 func constructors(s config.Settings, log *slog.Logger, level *slog.LevelVar) []any {
-	weights := route.Weights{
+	weights := route.CostWeights{
 		Latency:   s.Policy.LatencyWeight,
 		Recompute: s.Policy.RecomputeWeight,
 		Link:      s.Policy.LinkWeight,
@@ -39,7 +39,7 @@
 		func() *prompt.Directory { return prompt.NewDirectory(s.Limits.DirectoryKeys, time.Now()) },
 		func() *route.Fleet { return route.NewFleet(newRand()) },
 		func() *entry.Metrics { return new(entry.Metrics) },
-		func() *route.Keep { return route.NewKeep(weights) },
+		func() *route.ExportPolicy { return route.NewExportPolicy(weights) },
 		func() *route.RetryBudget { return route.NewRetryBudget(s.Limits.RetryShare) },
 		func(f *route.Fleet, l *route.Links) route.Policy {
 			return route.NewPolicy(s.Policy.Name, f, l, weights)
@@ -68,8 +68,8 @@
 		func(m *control.Members, u *Upstreams, d *Directory) *Watches {
 			return NewWatches(s.Node.Name, m, u, d, log)
 		},
-		func(m *control.Members, u *Upstreams, f *route.Fleet, l *route.Links) *Loads {
-			return NewLoads(s.Node.Name, m, u, f, l, log)
+		func(m *control.Members, u *Upstreams, f *route.Fleet, l *route.Links) *LoadPoller {
+			return NewLoadPoller(s.Node.Name, m, u, f, l, log)
 		},
 		func(m *control.Members, c *peer.Client) *suspects.Suspects {
 			return suspects.New(m.Self(), m, nil, c, log)
@@ -138,14 +138,14 @@
 	Policy    route.Policy
 	Admission *route.Admission
 	Retries   *route.RetryBudget
-	Keep      *route.Keep
-	Loads     *Loads
+	Keep      *route.ExportPolicy
+	Loads     *LoadPoller
 	Metrics   *entry.Metrics
 	Suspects  *suspects.Suspects
 }
 
-func newParts(in partsIn) *entry.Parts {
-	return &entry.Parts{
+func newParts(in partsIn) *entry.Dependencies {
+	return &entry.Dependencies{
 		Settings:  in.Settings,
 		Log:       in.Log,
 		State:     in.Config,
