--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -205,12 +205,12 @@
 	},
 	{
 		"suspects: ends of one moment are one round", "pkg/suspect/case.go",
-		"		if n == 0 || e.Begun.After(first) {", "		if n == 0 || true || e.Begun.After(first) {",
+		"		if n == 0 || e.StartedAt.After(first) {", "		if n == 0 || true || e.StartedAt.After(first) {",
 		"./pkg/suspect", "TestEndsOfOneMomentDoNotBlock",
 	},
 	{
 		"suspects: a finish speaks for runs near it", "pkg/suspect/case.go",
-		"	return !c.Finished.IsZero() && e.Begun", "	return false && e.Begun",
+		"	return !c.Finished.IsZero() && e.StartedAt", "	return false && e.StartedAt",
 		"./pkg/suspect", "TestFinishSpeaksForRunsNearIt",
 	},
 	{
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -31,9 +31,9 @@
 	Rank(duty string) int
 	// AvoidForSwap has all nodes send requests elsewhere for a while.
 	AvoidForSwap(t Target, d time.Duration)
-	// Swapping is how many replicas requests are sent elsewhere from, at the word of
+	// CountSwapping is how many replicas requests are sent elsewhere from, at the word of
 	// any node.
-	Swapping() int
+	CountSwapping() int
 	// RecordWeights notes what a replica has said that it serves.
 	RecordWeights(t Target, version int64)
 	// RecordDraining notes that a replica has said that it drains.
@@ -290,7 +290,7 @@
 func (r *Rollout) mayBegin(t Target, most int) bool {
 	r.beginMu.Lock()
 	defer r.beginMu.Unlock()
-	if r.fleet.Swapping() >= most {
+	if r.fleet.CountSwapping() >= most {
 		return false
 	}
 	r.fleet.AvoidForSwap(t, steerTime+steerTerm)
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -197,8 +197,8 @@
 	e.steered = append(e.steered, t.ID)
 }
 
-// Swapping counts those that load: nodes hear at once what others begin.
-func (e eyes) Swapping() int {
+// CountSwapping counts those that load: nodes hear at once what others begin.
+func (e eyes) CountSwapping() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
--- a/pkg/route/cold_test.go
+++ b/pkg/route/cold_test.go
@@ -153,7 +153,7 @@
 	assert.Assert(t, !p.Status(testNow)[0].Ejected)
 	p.RecordWeights(old, "m", 5) // Word of the old start comes late.
 	p.AvoidForSwap(old, "m", 5, testNow.Add(time.Second))
-	assert.Equal(t, p.Swapping(testNow), 0)
+	assert.Equal(t, p.CountSwapping(testNow), 0)
 	assert.Equal(t, p.Upstreams()[0].Weights["m"], int64(1))
 	p.SetPeers(map[NameHash]PeerLoad{HashName(list[0].ID + "@0"): {Requests: 9}})
 	assert.Equal(t, p.Status(testNow)[0].Others.Requests, 0)
--- a/pkg/route/pool_test.go
+++ b/pkg/route/pool_test.go
@@ -254,7 +254,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 			b := nodes[rapid.IntRange(0, n-1).Draw(t, "node")]
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(now)
+				b.AddRequest(now)
 				requests = append(requests, now)
 			} else if b.Take(now) {
 				retries = append(retries, now)
@@ -280,16 +280,16 @@
 func TestWordOfASwapThatIsDoneIsVoid(t *testing.T) {
 	p := newTestPool(2, 1)
 	p.AvoidForSwap(ReplicaRef{ID: "r00"}, "m", 2, testNow.Add(time.Second))
-	assert.Equal(t, p.Swapping(testNow), 1)
+	assert.Equal(t, p.CountSwapping(testNow), 1)
 	c, ok := p.Pick(&PickInput{Model: "m", Tokens: 1000}, testNow)
 	assert.Assert(t, ok && c.ID == "r01")
 	p.RecordWeights(ReplicaRef{ID: "r00"}, "m", 2)
 	p.AvoidForSwap(ReplicaRef{ID: "r00"}, "m", 2, testNow.Add(time.Second))
-	assert.Equal(t, p.Swapping(testNow), 0)
+	assert.Equal(t, p.CountSwapping(testNow), 0)
 	c, ok = p.Pick(&PickInput{Model: "m", Tokens: 1000, NewestVersion: 2, StalenessWeight: 1}, testNow)
 	assert.Assert(t, ok && c.ID == "r00")
 	p.AvoidForSwap(ReplicaRef{ID: "r00"}, "m", 3, testNow.Add(time.Second))
-	assert.Equal(t, p.Swapping(testNow), 1, "a newer version's swap is another")
+	assert.Equal(t, p.CountSwapping(testNow), 1, "a newer version's swap is another")
 }
 
 // A replica that answers nothing any more is left while its answers are overdue, long
--- a/pkg/route/pool_updates.go
+++ b/pkg/route/pool_updates.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Swapping is how many replicas are passed over as their weights are replaced.
-func (p *Pool) Swapping(now time.Time) int {
+// CountSwapping is how many replicas are passed over as their weights are replaced.
+func (p *Pool) CountSwapping(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/pkg/route/retry_share.go
+++ b/pkg/route/retry_share.go
@@ -44,8 +44,8 @@
 	b.slack = n
 }
 
-// Request counts a request.
-func (b *RetryShare) Request(now time.Time) {
+// AddRequest counts a request.
+func (b *RetryShare) AddRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slot(now).requests++
--- a/pkg/site/route.go
+++ b/pkg/site/route.go
@@ -19,8 +19,8 @@
 	Anonymous bool
 	// Timeout is the longest that a request may be held.
 	Timeout time.Duration
-	// Target is the time within which an answer is worth most.
-	Target time.Duration
+	// LatencyTarget is the time within which an answer is worth most.
+	LatencyTarget time.Duration
 	// GapTarget is the longest pause between events of an answer in time.
 	GapTarget   time.Duration
 	MaxAttempts int
--- a/pkg/suspect/case.go
+++ b/pkg/suspect/case.go
@@ -56,8 +56,8 @@
 type ReplicaEnd struct {
 	// Replica names the start of the replica.
 	Replica string
-	// Begun is when the request was sent there, At when the replica had ended.
-	Begun, At time.Time
+	// StartedAt is when the request was sent there, EndedAt when the replica had ended.
+	StartedAt, EndedAt time.Time
 }
 
 // Case is what is known of one request.
@@ -76,8 +76,8 @@
 func (c *Case) LastEvent() time.Time {
 	last := c.Finished
 	for _, e := range c.Ends {
-		if e.At.After(last) {
-			last = e.At
+		if e.EndedAt.After(last) {
+			last = e.EndedAt
 		}
 	}
 	return last
@@ -101,9 +101,9 @@
 	n := 0
 	var first time.Time // End of the round.
 	for _, e := range c.Ends {
-		if n == 0 || e.Begun.After(first) {
+		if n == 0 || e.StartedAt.After(first) {
 			n++
-			first = e.At
+			first = e.EndedAt
 		}
 	}
 	return n
@@ -140,13 +140,17 @@
 // round, no later round would ever count, and the request never be blocked. Which stay does
 // not depend on the order in which a node hears of them.
 func (c *Case) keepSome() {
-	byTime := func(a, b ReplicaEnd) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Replica, b.Replica)) }
+	byTime := func(a, b ReplicaEnd) int {
+		return cmp.Or(a.EndedAt.Compare(b.EndedAt), cmp.Compare(a.Replica, b.Replica))
+	}
 	slices.SortFunc(c.Ends, byTime)
 	if len(c.Ends) <= mostEnds {
 		return
 	}
 	first, rest := c.Ends[0], c.Ends[1:]
-	slices.SortFunc(rest, func(a, b ReplicaEnd) int { return cmp.Or(b.Begun.Compare(a.Begun), cmp.Compare(a.Replica, b.Replica)) })
+	slices.SortFunc(rest, func(a, b ReplicaEnd) int {
+		return cmp.Or(b.StartedAt.Compare(a.StartedAt), cmp.Compare(a.Replica, b.Replica))
+	})
 	c.Ends = append([]ReplicaEnd{first}, rest[:mostEnds-1]...)
 	slices.SortFunc(c.Ends, byTime)
 }
@@ -154,7 +158,7 @@
 // outdated says whether an end does not count, as the request was finished about when that
 // run began, or later.
 func (c *Case) outdated(e ReplicaEnd) bool {
-	return !c.Finished.IsZero() && e.Begun.Before(c.Finished.Add(finishTerm))
+	return !c.Finished.IsZero() && e.StartedAt.Before(c.Finished.Add(finishTerm))
 }
 
 // Replicas names the replicas that ended.
--- a/pkg/suspect/register_test.go
+++ b/pkg/suspect/register_test.go
@@ -25,7 +25,7 @@
 
 // end is that a replica ended under a request, after a run of 0.1 s.
 func end(name, replica string, s float64) suspect.Case {
-	return suspect.Case{Content: content(name), QuickHash: sketch(name), Ends: []suspect.ReplicaEnd{{Replica: replica, Begun: at(s - 0.1), At: at(s)}}}
+	return suspect.Case{Content: content(name), QuickHash: sketch(name), Ends: []suspect.ReplicaEnd{{Replica: replica, StartedAt: at(s - 0.1), EndedAt: at(s)}}}
 }
 
 func verdict(r *suspect.Register, name string) suspect.Verdict {
@@ -85,7 +85,7 @@
 	r := suspect.NewRegister()
 	r.Finished(sketch("a"), at(1))
 	told := end("a", "r1", 2)
-	told.Ends = append(told.Ends, suspect.ReplicaEnd{Replica: "r2", Begun: at(2), At: at(3)})
+	told.Ends = append(told.Ends, suspect.ReplicaEnd{Replica: "r2", StartedAt: at(2), EndedAt: at(3)})
 	done := r.Merge(told)
 	assert.Equal(t, done.After, suspect.Allowed)
 	assert.Assert(t, done.OwnFinish, "others are to hear of it")
--- a/service/entry/dependencies.go
+++ b/service/entry/dependencies.go
@@ -40,20 +40,20 @@
 
 // Dependencies are what requests are run with.
 type Dependencies struct {
-	Settings  config.Settings
-	Log       *slog.Logger
-	State     configuration
-	Members   *control.Members
-	Claims    *control.Claims
-	Directory directory
-	Upstreams upstreams
-	Fleet     *route.Fleet
-	Links     *route.Links
-	Policy    route.Policy
-	Admission *route.Admission
-	Retries   *route.RetryBudget
-	Keep      *route.ExportPolicy
-	Loads     loads
-	Metrics   *Metrics
-	Suspects  *suspects.Suspects
+	Settings     config.Settings
+	Log          *slog.Logger
+	State        configuration
+	Members      *control.Members
+	Claims       *control.Claims
+	Directory    directory
+	Upstreams    upstreams
+	Fleet        *route.Fleet
+	Links        *route.Links
+	Policy       route.Policy
+	Admission    *route.Admission
+	Retries      *route.RetryBudget
+	ExportPolicy *route.ExportPolicy
+	Loads        loads
+	Metrics      *Metrics
+	Suspects     *suspects.Suspects
 }
--- a/service/entry/export.go
+++ b/service/entry/export.go
@@ -65,7 +65,7 @@
 	if tokenBytes == 0 {
 		tokenBytes = assumedTokenBytes
 	}
-	mark, ok := e.parts.Keep.SelectMark(route.ExportInput{
+	mark, ok := e.parts.ExportPolicy.SelectMark(route.ExportInput{
 		Organisation: r.call.Organisation.Name,
 		Chain:        r.chain,
 		Match:        r.match,
--- a/service/entry/run_suspects.go
+++ b/service/entry/run_suspects.go
@@ -89,8 +89,8 @@
 		Request:   r.call.RequestID,
 		Replica:   replica,
 		StartKey:  suspects.StartKeyOf(replica, life),
-		Begun:     r.sent,
-		At:        boottime.Now(),
+		StartedAt: r.sent,
+		LostAt:    boottime.Now(),
 	}
 	engine, ok := r.parts.Upstreams.Engine(replica)
 	if !ok || r.ctx.Err() != nil {
@@ -99,7 +99,7 @@
 	ctx, cancel := context.WithTimeout(r.ctx, endLook)
 	defer cancel()
 	if _, err := engine.Load(ctx); suspects.NotListening(err) {
-		r.parts.Suspects.RecordEnd(run, run.At)
+		r.parts.Suspects.RecordEnd(run, run.LostAt)
 		r.watched = false // Whoever let it run hears of that.
 	}
 }
--- a/service/gateway/dispatch.go
+++ b/service/gateway/dispatch.go
@@ -69,14 +69,14 @@
 // a time: a replica that is busy begins it late, and is not to read the prompt
 // for that.
 func (x *exchange) fetchTerm(expected time.Duration) time.Duration {
-	most := time.Duration(fetchMost * float64(x.route.Target))
+	most := time.Duration(fetchMost * float64(x.route.LatencyTarget))
 	return min(fetchTerm, max(expected+fetchGrace, most))
 }
 
 // longestFetch is the longest that a fetch is expected to take: the answer must
 // still come in good time behind it.
 func (x *exchange) longestFetch() time.Duration {
-	return time.Duration(fetchShare * float64(x.route.Target))
+	return time.Duration(fetchShare * float64(x.route.LatencyTarget))
 }
 
 // fetchShare is the part of a route's target that a fetch may take.
--- a/service/gateway/dispatch_test.go
+++ b/service/gateway/dispatch_test.go
@@ -13,7 +13,7 @@
 // was due: the prompt would be read later still.
 func TestLateFetchIsWaitedFor(t *testing.T) {
 	term := func(target, expected time.Duration) time.Duration {
-		x := &exchange{route: &site.Route{Target: target}}
+		x := &exchange{route: &site.Route{LatencyTarget: target}}
 		return x.fetchTerm(expected)
 	}
 	assert.Assert(t, term(500*time.Millisecond, 100*time.Millisecond) >= time.Second)
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -87,7 +87,7 @@
 		x.refuse(f)
 		return
 	}
-	x.g.budget(x.service.Name).Request(x.came)
+	x.g.budget(x.service.Name).AddRequest(x.came)
 	ctx, cancel := context.WithTimeout(ctx, boottime.Until(x.limit))
 	defer cancel()
 	defer func() { x.leaveQueue(boottime.Now()) }()
--- a/service/gateway/exchange_suspects.go
+++ b/service/gateway/exchange_suspects.go
@@ -106,8 +106,8 @@
 		Replica:   u.ID,
 		StartKey:  suspects.StartKeyOf(u.ID, u.Started),
 		Addr:      u.Addr,
-		Begun:     a.begun,
-		At:        now,
+		StartedAt: a.begun,
+		LostAt:    now,
 	}
 	if silent {
 		x.g.suspects.RecordLostRun(run)
--- a/service/gateway/queue.go
+++ b/service/gateway/queue.go
@@ -79,7 +79,7 @@
 	}
 	now := boottime.Now()
 	own := x.ownTime(now)
-	x.lateFrom, x.sendBy = x.came.Add(x.route.Target-own), x.limit.Add(-own)
+	x.lateFrom, x.sendBy = x.came.Add(x.route.LatencyTarget-own), x.limit.Add(-own)
 	ask := route.QueueRequest{
 		Cost:     float64(x.need.Tokens),
 		Priority: x.priority(),
@@ -161,7 +161,7 @@
 		past := float64(now.Sub(x.lateFrom)) / float64(max(1, x.sendBy.Sub(x.lateFrom)))
 		share = lateBeginShare + past*(lateMostShare-lateBeginShare)
 	}
-	return !ok || c.Wait <= time.Duration(share*float64(x.route.Target))
+	return !ok || c.Wait <= time.Duration(share*float64(x.route.LatencyTarget))
 }
 
 func overloaded(err error) refusal {
--- a/service/gateway/swaps.go
+++ b/service/gateway/swaps.go
@@ -51,11 +51,11 @@
 	s.nodes.steer(route.RefOf(&t.Upstream), t.Model, t.Version, d)
 }
 
-// Swapping implements rollout.Fleet.
-func (s *swaps) Swapping() int {
+// CountSwapping implements rollout.Fleet.
+func (s *swaps) CountSwapping() int {
 	n, now := 0, boottime.Now()
 	for _, p := range s.beliefs.Pools() {
-		n += p.Swapping(now)
+		n += p.CountSwapping(now)
 	}
 	return n
 }
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -38,36 +38,36 @@
 type Node struct {
 	dig.In
 
-	Settings   config.Settings
-	Log        *slog.Logger
-	Level      *slog.LevelVar
-	Timer      *timer.Service
-	Members    *control.Members
-	Config     *control.Log
-	Claims     *control.Claims
-	Collector  *control.Collector
-	Leases     *control.Leases
-	Table      *tablestore.Table
-	Objects    *tablestore.Objects
-	Shard      *prompt.Directory
-	Directory  *Directory
-	Upstreams  *Upstreams
-	Fleet      *route.Fleet
-	Links      *route.Links
-	Admission  *route.Admission
-	Keep       *route.ExportPolicy
-	Watches    *Watches
-	Loads      *LoadPoller
-	Spread     *Spread
-	Reconciler *Reconciler
-	Suspects   *suspects.Suspects
-	Client     *peer.Client
-	Peer       *peer.Server
-	Probes     *peer.Probes
-	Entry      *entry.Server
-	Operator   *operator.Service
-	Metrics    *entry.Metrics
-	Platform   *PlatformList
+	Settings     config.Settings
+	Log          *slog.Logger
+	Level        *slog.LevelVar
+	Timer        *timer.Service
+	Members      *control.Members
+	Config       *control.Log
+	Claims       *control.Claims
+	Collector    *control.Collector
+	Leases       *control.Leases
+	Table        *tablestore.Table
+	Objects      *tablestore.Objects
+	Shard        *prompt.Directory
+	Directory    *Directory
+	Upstreams    *Upstreams
+	Fleet        *route.Fleet
+	Links        *route.Links
+	Admission    *route.Admission
+	ExportPolicy *route.ExportPolicy
+	Watches      *Watches
+	Loads        *LoadPoller
+	Spread       *Spread
+	Reconciler   *Reconciler
+	Suspects     *suspects.Suspects
+	Client       *peer.Client
+	Peer         *peer.Server
+	Probes       *peer.Probes
+	Entry        *entry.Server
+	Operator     *operator.Service
+	Metrics      *entry.Metrics
+	Platform     *PlatformList
 }
 
 // New builds a node; it listens but does not serve before Start.
--- a/service/node/wiring.go
+++ b/service/node/wiring.go
@@ -146,22 +146,22 @@
 
 func newParts(in partsIn) *entry.Dependencies {
 	return &entry.Dependencies{
-		Settings:  in.Settings,
-		Log:       in.Log,
-		State:     in.Config,
-		Members:   in.Members,
-		Claims:    in.Claims,
-		Directory: in.Directory,
-		Upstreams: in.Upstreams,
-		Fleet:     in.Fleet,
-		Links:     in.Links,
-		Policy:    in.Policy,
-		Admission: in.Admission,
-		Retries:   in.Retries,
-		Keep:      in.Keep,
-		Loads:     in.Loads,
-		Metrics:   in.Metrics,
-		Suspects:  in.Suspects,
+		Settings:     in.Settings,
+		Log:          in.Log,
+		State:        in.Config,
+		Members:      in.Members,
+		Claims:       in.Claims,
+		Directory:    in.Directory,
+		Upstreams:    in.Upstreams,
+		Fleet:        in.Fleet,
+		Links:        in.Links,
+		Policy:       in.Policy,
+		Admission:    in.Admission,
+		Retries:      in.Retries,
+		ExportPolicy: in.Keep,
+		Loads:        in.Loads,
+		Metrics:      in.Metrics,
+		Suspects:     in.Suspects,
 	}
 }
 
--- a/service/suspects/news.go
+++ b/service/suspects/news.go
@@ -50,7 +50,7 @@
 		news.Finished = max(1, now.Sub(c.Finished).Milliseconds())
 	}
 	for _, e := range c.Ends {
-		news.Ends = append(news.Ends, endNews{e.Replica, now.Sub(e.Begun).Milliseconds(), now.Sub(e.At).Milliseconds()})
+		news.Ends = append(news.Ends, endNews{e.Replica, now.Sub(e.StartedAt).Milliseconds(), now.Sub(e.EndedAt).Milliseconds()})
 	}
 	return news
 }
@@ -63,7 +63,7 @@
 		c.Finished = ago(w.Finished)
 	}
 	for _, e := range w.Ends {
-		c.Ends = append(c.Ends, suspect.ReplicaEnd{Replica: e.Replica, Begun: ago(e.Begun), At: ago(e.At)})
+		c.Ends = append(c.Ends, suspect.ReplicaEnd{Replica: e.Replica, StartedAt: ago(e.Begun), EndedAt: ago(e.At)})
 	}
 	return c
 }
--- a/service/suspects/suspects.go
+++ b/service/suspects/suspects.go
@@ -92,8 +92,8 @@
 	Replica   string // The replica's ID.
 	StartKey  string // Its start.
 	Addr      netip.AddrPort
-	Begun     time.Time
-	At        time.Time // When the answer was lost.
+	StartedAt time.Time
+	LostAt    time.Time // When the answer was lost.
 	// Reachable says that the replica took a connection afterwards.
 	Reachable bool
 }
@@ -177,7 +177,7 @@
 		s.lost = s.lost[1:]
 	}
 	s.lost = append(s.lost, run)
-	left := s.gone[run.Replica].After(run.Begun)
+	left := s.gone[run.Replica].After(run.StartedAt)
 	s.mu.Unlock()
 	if left {
 		s.lookAt(run.Replica, run.Addr)
@@ -224,7 +224,7 @@
 // RecordNotListening notes that the address of a start of a replica takes no connections any more.
 func (s *Suspects) RecordNotListening(life string, now time.Time) {
 	s.confirm(now, func(r *LostRun) bool {
-		return r.StartKey == life && !r.Reachable && now.Sub(r.At) < refusedTerm
+		return r.StartKey == life && !r.Reachable && now.Sub(r.LostAt) < refusedTerm
 	})
 }
 
@@ -257,7 +257,7 @@
 	kept := s.lost[:0]
 	for _, r := range s.lost {
 		switch {
-		case now.Sub(r.At) >= listedTerm: // What happens now has nothing to do with it.
+		case now.Sub(r.LostAt) >= listedTerm: // What happens now has nothing to do with it.
 		case ended(&r):
 			list = append(list, r)
 		default:
@@ -277,7 +277,7 @@
 	change := s.register.Merge(suspect.Case{
 		Content:   r.Content,
 		QuickHash: r.QuickHash,
-		Ends:      []suspect.ReplicaEnd{{Replica: r.StartKey, Begun: r.Begun, At: now}},
+		Ends:      []suspect.ReplicaEnd{{Replica: r.StartKey, StartedAt: r.StartedAt, EndedAt: now}},
 	})
 	c := s.register.Case(r.Content)
 	s.metrics.ends.Add(1)
--- a/service/suspects/suspects_test.go
+++ b/service/suspects/suspects_test.go
@@ -202,7 +202,7 @@
 	f.mu.Lock()
 	f.ended = append(f.ended, now)
 	f.mu.Unlock()
-	s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, Begun: begun, At: now}, now)
+	s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, StartedAt: begun, LostAt: now}, now)
 }
 
 // repeat sends it at any node again and again, several at once, and lets time pass.
@@ -350,7 +350,7 @@
 			for i := range each {
 				c := site.NewFingerprint("", "POST", "h", "/x", fmt.Appendf(nil, "%d %d", r, i))
 				life := fmt.Sprint("replica", r)
-				f.nodes[rand.IntN(len(f.nodes))].RecordEnd(LostRun{Content: c, QuickHash: 1, Replica: life, StartKey: life, Begun: now, At: now}, now)
+				f.nodes[rand.IntN(len(f.nodes))].RecordEnd(LostRun{Content: c, QuickHash: 1, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
 			}
 		}
 		time.Sleep(time.Second)
@@ -380,7 +380,7 @@
 		now := time.Now()
 		for i, s := range f.nodes[:3] {
 			life := fmt.Sprint("replica", i)
-			s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: sketch, Replica: life, StartKey: life, Begun: now, At: now}, now)
+			s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: sketch, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
 		}
 		time.Sleep(contact)
 		cancel()
@@ -413,7 +413,7 @@
 			now := time.Now()
 			for i, s := range f.nodes[:2] {
 				life := fmt.Sprint("replica", i)
-				s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: sketch, Replica: life, StartKey: life, Begun: now, At: now}, now)
+				s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: sketch, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
 			}
 			time.Sleep(contact)
 			c := away.register.Case(deadlyContent)
@@ -441,7 +441,7 @@
 		for i := range 2 {
 			now := time.Now()
 			life := fmt.Sprint("replica", i)
-			f.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, Begun: now, At: now}, now)
+			f.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
 			time.Sleep(time.Second)
 		}
 		owners := f.nodes[0].owners(deadlyContent)
@@ -496,7 +496,7 @@
 		for i := range 3 {
 			now := time.Now()
 			life := fmt.Sprint("replica", i)
-			f.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, Begun: now, At: now}, now)
+			f.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
 			time.Sleep(time.Second)
 		}
 		f.cutOff(false, late)
@@ -532,7 +532,7 @@
 // lostAt is a request whose answer was lost at a replica of the same name.
 func lostAt(name string, begun, at time.Time) LostRun {
 	c := site.NewFingerprint("", "POST", "h", "/x", []byte(name))
-	return LostRun{Content: c, QuickHash: 1, Replica: name, StartKey: name, Addr: addrOf(name), Begun: begun, At: at}
+	return LostRun{Content: c, QuickHash: 1, Replica: name, StartKey: name, Addr: addrOf(name), StartedAt: begun, LostAt: at}
 }
 
 // addrOf is an address for each name.
@@ -620,7 +620,7 @@
 	for i := range 3 {
 		life := fmt.Sprint("replica", i)
 		s.register.Merge(suspect.Case{Content: deadlyContent, QuickHash: 1, Ends: []suspect.ReplicaEnd{
-			{Replica: life, Begun: now.Add(time.Duration(i)*time.Second - time.Minute), At: now.Add(time.Duration(i)*time.Second - 59500*time.Millisecond)},
+			{Replica: life, StartedAt: now.Add(time.Duration(i)*time.Second - time.Minute), EndedAt: now.Add(time.Duration(i)*time.Second - 59500*time.Millisecond)},
 		}})
 	}
 	store.fail = true
