--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -175,7 +175,7 @@
 	},
 	{
 		"no news of a replica is not no load", "pkg/route/fleet.go",
-		"	if near := f.near[model]; len(near) > 0 {", "	if near := f.near[model]; false && len(near) > 0 {",
+		"	if polled := f.polled[model]; len(polled) > 0 {", "	if polled := f.polled[model]; false && len(polled) > 0 {",
 		"./pkg/route", "TestPlaceDoesNotTakeNoNewsForNoLoad",
 	},
 	{
@@ -340,22 +340,22 @@
 	},
 	{
 		"backoff: an exclusion, not a preference", "pkg/route/exclusion.go",
-		"	case now.Before(m.backoff):\n		return ExcludedBackoff\n", "",
-		"./pkg/route", "TestReplicasThatAskForBackoffAreLeftAloneAndComeBackGradually",
+		"	case now.Before(m.backoffUntil):\n		return ExcludedBackoff\n", "",
+		"./pkg/route", "TestBackoffIsHonouredAndLoadReturnsGradually",
 	},
 	{
 		"backoff: it is kept", "pkg/route/exclusion.go",
-		"		m.backoff = until\n", "		_ = m\n",
+		"		m.backoffUntil = until\n", "		_ = m\n",
 		"./internal/standin/onplatform", "TestReplicaThatAsksForBackoffGetsNoMoreOfThatNode",
 	},
 	{
 		"backoff: it outlasts its row", "pkg/route/pool.go",
-		"			m.backoff = p.backoffs[m.start]\n", "",
-		"./pkg/route", "TestBackoffOutlastsTheRowOfItsReplica",
+		"			m.backoffUntil = p.backoffs[m.startKey]\n", "",
+		"./pkg/route", "TestBackoffSurvivesRelisting",
 	},
 	{
 		"backoff: callers come back when it ends", "pkg/route/exclusion.go",
-		"			sooner(m.backoff.Sub(now))\n", "",
+		"			recordWait(m.backoffUntil.Sub(now))\n", "",
 		"./internal/standin/onplatform", "TestRequestIsRefusedAtOnceWhereAllReplicasDrainOrAskForBackoff",
 	},
 	{
--- a/pkg/route/baselines.go
+++ b/pkg/route/baselines.go
@@ -13,8 +13,8 @@
 	defer p.fleet.mu.Unlock()
 	all := p.fleet.byModel[q.Model]
 	for range all {
-		p.fleet.next++
-		if r := all[p.fleet.next%len(all)]; p.fleet.usable(r, q, now) {
+		p.fleet.nextRoundRobin++
+		if r := all[p.fleet.nextRoundRobin%len(all)]; p.fleet.usable(r, q, now) {
 			return plain(q, r, 0, now), nil
 		}
 	}
@@ -44,7 +44,7 @@
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	hot, _ := splitHoldings(q.Match.Locations)
-	var best *replica
+	var best *replicaState
 	for name, tokens := range hot {
 		r, known := p.fleet.replicas[name]
 		if !known || !p.fleet.usable(r, q, now) {
@@ -65,8 +65,8 @@
 
 // quietest finds the usable replica with the shortest wait; the caller holds
 // mu.
-func (f *Fleet) quietest(q *Request, now time.Time) *replica {
-	var best *replica
+func (f *Fleet) quietest(q *Request, now time.Time) *replicaState {
+	var best *replicaState
 	var wait time.Duration
 	for _, r := range f.byModel[q.Model] {
 		if !f.usable(r, q, now) {
@@ -80,7 +80,7 @@
 }
 
 // plain is the decision to run on a replica without an import.
-func plain(q *Request, r *replica, hotTokens int, now time.Time) Decision {
+func plain(q *Request, r *replicaState, hotTokens int, now time.Time) Decision {
 	hotTokens = min(hotTokens, q.Chain.Tokens)
 	d := Decision{
 		Replica:   r.Name,
--- a/pkg/route/cache_index.go
+++ b/pkg/route/cache_index.go
@@ -176,7 +176,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	p := &Plan{
-		kept:    k,
+		index:   k,
 		Sources: make([]netip.AddrPort, len(shared)+1),
 		Saves:   make([]netip.AddrPort, len(shared)+1),
 	}
@@ -188,9 +188,9 @@
 		wait := time.Duration(lacking * float64(s.wait))
 		k.use.note(key, part.Tokens, now)
 		if s.link != nil && p.FetchTime+wait < l.MaxFetchTime {
-			p.take(i, part.Tokens, s.addr, wait)
+			p.addFetch(i, part.Tokens, s.addr, wait)
 			if lacking > mostlyLacking {
-				p.moves = append(p.moves, s.link)
+				p.fetchLinks = append(p.fetchLinks, s.link)
 				s.link.book(bytes, at.DataHall, now)
 			}
 		}
--- a/pkg/route/cache_index_links.go
+++ b/pkg/route/cache_index_links.go
@@ -79,6 +79,6 @@
 
 // lateness is how much later than expected fetches from the link's end come.
 func (l *keptLink) lateness(now time.Time) time.Duration {
-	fade := math.Exp(-max(0, now.Sub(l.lateAt).Seconds()/lateMemory.Seconds()))
+	fade := math.Exp(-max(0, now.Sub(l.lateAt).Seconds()/latencyDecayTime.Seconds()))
 	return time.Duration(fade * float64(l.late))
 }
--- a/pkg/route/cache_index_saves.go
+++ b/pkg/route/cache_index_saves.go
@@ -42,7 +42,7 @@
 	}
 	p.Saves[i] = s.Addr
 	p.Saved += tokens
-	p.saves = append(p.saves, plannedSave{store: s, key: key})
+	p.plannedSaves = append(p.plannedSaves, plannedSave{store: s, key: key})
 	s.saving[key] = saving{tokens: tokens, until: now.Add(saveTerm)}
 	s.book(bytes, hall, now)
 }
--- a/pkg/route/choose.go
+++ b/pkg/route/choose.go
@@ -16,43 +16,43 @@
 // and with news 20 ms late, at 3.5 times the load, 0.090 and 0.0001 of 59 nodes. Four are
 // worse than two (0.018 at 295 nodes), noise on what is weighed helps less (0.06).
 const (
-	// choices is how many replicas are drawn of all that may be used, and how many of
+	// sampleSize is how many replicas are drawn of all that may be used, and how many of
 	// those that would be soonest if nothing waited anywhere: such as hold the prompt, or
 	// stand in the same data hall.
-	choices = 2
-	// nearTime is by how much a replica may be later than the soonest to count with it:
+	sampleSize = 2
+	// nearCostMargin is by how much a replica may be later than the soonest to count with it:
 	// a little over the price of another data hall.
-	nearTime = 5 * time.Millisecond
-	// tieTime is the difference below which replicas count as equal: ties are broken at
+	nearCostMargin = 5 * time.Millisecond
+	// tieMargin is the difference below which replicas count as equal: ties are broken at
 	// random.
-	tieTime = time.Millisecond
+	tieMargin = time.Millisecond
 )
 
 // candidate is a replica that may take a request, and its price with nothing waiting.
 type candidate struct {
-	m    *member
-	idle float64
+	member   *member
+	idleCost float64
 }
 
 // choose picks the replica for a request, nil if none may take it. Those that are passed
 // over are only used if there is no other.
-func (p *Pool) choose(n *PickInput, home *member, now time.Time) *member {
-	for _, passedOver := range []bool{false, true} {
-		list, least := p.candidates[:0], math.Inf(1)
-		for _, m := range p.list {
-			if m.passedOver(now) != passedOver {
+func (p *Pool) choose(in *PickInput, affinity *member, now time.Time) *member {
+	for _, lastResort := range []bool{false, true} {
+		candidates, leastIdle := p.candidates[:0], math.Inf(1)
+		for _, m := range p.members {
+			if m.lastResort(now) != lastResort {
 				continue
 			}
-			why, rate := p.exclusion(m, n, now)
-			if why != NotExcluded {
+			reason, rate := p.exclusion(m, in, now)
+			if reason != NotExcluded {
 				continue
 			}
-			c := candidate{m: m, idle: p.idleCost(m, n, m == home, &rate, now)}
-			list, least = append(list, c), min(least, c.idle)
+			c := candidate{member: m, idleCost: p.idleCost(m, in, m == affinity, &rate, now)}
+			candidates, leastIdle = append(candidates, c), min(leastIdle, c.idleCost)
 		}
-		p.candidates = list
-		if len(list) > 0 {
-			return p.weigh(p.draw(list, least), n, now)
+		p.candidates = candidates
+		if len(candidates) > 0 {
+			return p.cheapest(p.sample(candidates, leastIdle), in, now)
 		}
 	}
 	return nil
@@ -60,27 +60,27 @@
 
 // draw moves the candidates that are to be weighed to the front of a list, and returns
 // them.
-func (p *Pool) draw(list []candidate, least float64) []candidate {
-	if p.without.Choices {
+func (p *Pool) sample(list []candidate, leastIdle float64) []candidate {
+	if p.disabled.Choices {
 		return list
 	}
-	drawn := min(choices, len(list))
-	p.drawInto(list, 0, drawn, len(list))
+	sampled := min(sampleSize, len(list))
+	p.sampleToFront(list, 0, sampled, len(list))
 	// The soonest come next, behind those that are drawn already.
-	near := drawn
-	for i := drawn; i < len(list); i++ {
-		if list[i].idle <= least+nearTime.Seconds() {
+	near := sampled
+	for i := sampled; i < len(list); i++ {
+		if list[i].idleCost <= leastIdle+nearCostMargin.Seconds() {
 			list[i], list[near] = list[near], list[i]
 			near++
 		}
 	}
-	more := min(choices, near-drawn)
-	p.drawInto(list, drawn, more, near)
-	return list[:drawn+more]
+	extra := min(sampleSize, near-sampled)
+	p.sampleToFront(list, sampled, extra, near)
+	return list[:sampled+extra]
 }
 
-// drawInto draws some of list[from:to] to its front.
-func (p *Pool) drawInto(list []candidate, from, count, to int) {
+// sampleToFront draws some of list[from:to] to its front.
+func (p *Pool) sampleToFront(list []candidate, from, count, to int) {
 	for i := from; i < from+count; i++ {
 		j := i + p.rng.IntN(to-i)
 		list[i], list[j] = list[j], list[i]
@@ -88,12 +88,12 @@
 }
 
 // weigh returns the candidate that costs least.
-func (p *Pool) weigh(list []candidate, n *PickInput, now time.Time) (chosen *member) {
+func (p *Pool) cheapest(list []candidate, in *PickInput, now time.Time) (chosen *member) {
 	best := math.Inf(1)
 	for _, c := range list {
-		cost := c.idle + p.busyTime(c.m, n, p.lateness(c.m, now), now) + p.rng.Float64()*tieTime.Seconds()
+		cost := c.idleCost + p.queueSeconds(c.member, in, p.relativeLatency(c.member, now), now) + p.rng.Float64()*tieMargin.Seconds()
 		if cost < best {
-			best, chosen = cost, c.m
+			best, chosen = cost, c.member
 		}
 	}
 	return chosen
--- a/pkg/route/cold.go
+++ b/pkg/route/cold.go
@@ -20,41 +20,41 @@
 const (
 	// coldWindow is the time in which requests are counted.
 	coldWindow = time.Second
-	// presumeTerm is for how long a replica that was not reached is taken to be cold: its
+	// presumedColdTerm is for how long a replica that was not reached is taken to be cold: its
 	// row in the store tells of its return, up to 1.3 s later, and lapses at the latest
 	// three heartbeats of 1.2 s after a crash.
-	presumeTerm = 5 * time.Second
-	// tellAgain is how often others are told of one replica that is not reached.
-	tellAgain = time.Second
-	// ownFault is from how many replicas on, not reached one after the other with no
+	presumedColdTerm = 5 * time.Second
+	// unreachableNoticeInterval is how often others are told of one replica that is not reached.
+	unreachableNoticeInterval = time.Second
+	// localFaultThreshold is from how many replicas on, not reached one after the other with no
 	// answer in between, a node takes its own way to be at fault, and tells nothing.
-	ownFault = 3
-	// warmTime is the price of a replica that has just ceased to be cold, and warmTerm for
+	localFaultThreshold = 3
+	// rampUpMaxCost is the price of a replica that has just ceased to be cold, and warmTerm for
 	// how long it falls to nothing: the replica does not get its whole part of the load at the
 	// one moment that all nodes know of. While it is cold it has no price, as the shares
 	// bound it: with one of 0.1 s, 0.36 to 0.41 of what cold replicas bear was used in a
 	// replay at 71 nodes, without it 0.56 to 0.59.
-	warmTime = 20 * time.Millisecond
-	warmTerm = 2 * time.Second
+	rampUpMaxCost = 20 * time.Millisecond
+	rampUpTerm    = 2 * time.Second
 )
 
 // ColdRequestLimit is how many requests all nodes together may send a cold replica in any second
 // if it bears rate a second: that times overage, or that and the slack where it is less than
 // one. The slack is else left for nodes that have not yet heard that the replica is cold. ok
 // is false if there is no limit, as with a rate of 0.
-func ColdRequestLimit(rate, overage, slack float64) (most int, ok bool) {
+func ColdRequestLimit(rate, overage, slack float64) (limit int, ok bool) {
 	if rate <= 0 {
 		return 0, false
 	}
-	whole := math.Floor(rate * overage)
-	if whole == 0 {
-		whole = math.Floor(rate*overage + slack)
+	requests := math.Floor(rate * overage)
+	if requests == 0 {
+		requests = math.Floor(rate*overage + slack)
 	}
-	return int(min(whole, mostCold)), true
+	return int(min(requests, maxColdLimit)), true
 }
 
-// mostCold is from how many requests a second on a limit is none.
-const mostCold = 1e6
+// maxColdLimit is from how many requests a second on a limit is none.
+const maxColdLimit = 1e6
 
 // ColdShares says what part of a limit is this node's.
 type ColdShares interface {
@@ -65,29 +65,29 @@
 
 // SetColdLimit sets how many requests a replica may get from all nodes in a second while it is
 // cold, and what this node's share of them is; without shares there is no limit.
-func (p *Pool) SetColdLimit(most int, s ColdShares) {
+func (p *Pool) SetColdLimit(limit int, shares ColdShares) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.coldLimited, p.coldMost, p.coldShares = s != nil, most, s
+	p.hasColdLimit, p.coldLimit, p.coldShares = shares != nil, limit, shares
 }
 
-// shareOf is this node's share of what a replica may get while it is cold.
-func (p *Pool) shareOf(m *member) int { return p.coldShares.Share(m.hash, m.DataHall, p.coldMost) }
+// coldShare is this node's share of what a replica may get while it is cold.
+func (p *Pool) coldShare(m *member) int { return p.coldShares.Share(m.idHash, m.DataHall, p.coldLimit) }
 
-// limited says whether a replica is cold, or taken to be.
-func (p *Pool) limited(m *member, now time.Time) bool {
-	return p.coldLimited && (now.Before(m.cold) || now.Before(m.presumed))
+// isCold says whether a replica is cold, or taken to be.
+func (p *Pool) isCold(m *member, now time.Time) bool {
+	return p.hasColdLimit && (now.Before(m.coldUntil) || now.Before(m.presumedColdUntil))
 }
 
-// mayTake says whether this node may send a request to a replica now.
-func (p *Pool) mayTake(m *member, now time.Time) bool {
-	return !p.limited(m, now) || p.untilSend(m, now) == 0
+// coldShareAllows says whether this node may send a request to a replica now.
+func (p *Pool) coldShareAllows(m *member, now time.Time) bool {
+	return !p.isCold(m, now) || p.untilColdSend(m, now) == 0
 }
 
-// untilSend is how long it takes until this node's share of a cold replica lets it send
+// untilColdSend is how long it takes until this node's share of a cold replica lets it send
 // another request.
-func (p *Pool) untilSend(m *member, now time.Time) time.Duration {
-	share := p.shareOf(m)
+func (p *Pool) untilColdSend(m *member, now time.Time) time.Duration {
+	share := p.coldShare(m)
 	switch {
 	case share == 0:
 		return coldWindow
@@ -98,41 +98,41 @@
 	}
 }
 
-// noteSend counts a request; those sent shortly before a replica turned cold count too.
-func (p *Pool) noteSend(m *member, now time.Time) {
-	if !p.coldLimited {
+// recordSend counts a request; those sent shortly before a replica turned cold count too.
+func (p *Pool) recordSend(m *member, now time.Time) {
+	if !p.hasColdLimit {
 		return
 	}
 	recent := m.sends[:0]
-	for _, at := range m.sends {
-		if now.Sub(at) < coldWindow {
-			recent = append(recent, at)
+	for _, sentAt := range m.sends {
+		if now.Sub(sentAt) < coldWindow {
+			recent = append(recent, sentAt)
 		}
 	}
 	m.sends = append(recent, now)
 }
 
-// warmCost is the price of a replica that takes its whole part of the load again: since it is
+// rampUpCost is the price of a replica that takes its whole part of the load again: since it is
 // no longer cold, names no rate any more, or has ceased to back off, whichever came last.
-func warmCost(now time.Time, ends ...time.Time) time.Duration {
-	from := slices.MaxFunc(ends, time.Time.Compare)
-	past := now.Sub(from)
-	if from.IsZero() || past < 0 || past >= warmTerm {
+func rampUpCost(now time.Time, ends ...time.Time) time.Duration {
+	start := slices.MaxFunc(ends, time.Time.Compare)
+	elapsed := now.Sub(start)
+	if start.IsZero() || elapsed < 0 || elapsed >= rampUpTerm {
 		return 0
 	}
-	return time.Duration(float64(warmTime) * (1 - past.Seconds()/warmTerm.Seconds()))
+	return time.Duration(float64(rampUpMaxCost) * (1 - elapsed.Seconds()/rampUpTerm.Seconds()))
 }
 
-// doubt takes a replica to be cold as it was not reached, and says whether the other nodes
+// presumeRestarted takes a replica to be cold as it was not reached, and says whether the other nodes
 // are to hear of it. The caller holds mu.
-func (p *Pool) doubt(m *member, now time.Time) (tell bool) {
-	p.lostInRow++
-	if !p.coldLimited || p.lostInRow >= ownFault {
+func (p *Pool) presumeRestarted(m *member, now time.Time) (notifyPeers bool) {
+	p.consecutiveUnreachable++
+	if !p.hasColdLimit || p.consecutiveUnreachable >= localFaultThreshold {
 		return false
 	}
-	told := m.presumed.Sub(now) > presumeTerm-tellAgain
-	m.presumed = now.Add(presumeTerm)
-	return !told
+	notified := m.presumedColdUntil.Sub(now) > presumedColdTerm-unreachableNoticeInterval
+	m.presumedColdUntil = now.Add(presumedColdTerm)
+	return !notified
 }
 
 // RecordDisconnect records that a replica broke a connection off instead of answering: it may have
@@ -140,25 +140,25 @@
 func (p *Pool) RecordDisconnect(id string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.replicas[id]; ok {
-		p.doubt(m, now)
+	if m, ok := p.byID[id]; ok {
+		p.presumeRestarted(m, now)
 	}
 }
 
 // PresumeCold takes a replica to be cold, at the word of another node that did not reach it.
-func (p *Pool) PresumeCold(w ReplicaRef, now time.Time) {
+func (p *Pool) PresumeCold(ref ReplicaRef, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.find(w); ok && p.coldLimited {
-		m.presumed = now.Add(presumeTerm)
+	if m, ok := p.find(ref); ok && p.hasColdLimit {
+		m.presumedColdUntil = now.Add(presumedColdTerm)
 	}
 }
 
 // coldWait is how long it takes until a replica may be used by this node again.
 func (p *Pool) coldWait(m *member, now time.Time) time.Duration {
-	until := m.cold
-	if m.presumed.After(until) {
-		until = m.presumed
+	until := m.coldUntil
+	if m.presumedColdUntil.After(until) {
+		until = m.presumedColdUntil
 	}
-	return min(until.Sub(now), p.untilSend(m, now))
+	return min(until.Sub(now), p.untilColdSend(m, now))
 }
--- a/pkg/route/cold_test.go
+++ b/pkg/route/cold_test.go
@@ -16,15 +16,15 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// sharesOf divides a limit among some of many nodes by hashing, for one of them.
-type sharesOf struct {
-	node, nodes int
-	users, each int
-	known       map[uint64]int
+// hashedShares divides a limit among some of many nodes by hashing, for one of them.
+type hashedShares struct {
+	node, nodes    int
+	sharers, share int
+	cache          map[uint64]int
 }
 
-func (o *sharesOf) Share(replica uint64, _ string, _ int) int {
-	if share, ok := o.known[replica]; ok {
+func (o *hashedShares) Share(replica uint64, _ string, _ int) int {
+	if share, ok := o.cache[replica]; ok {
 		return share
 	}
 	weight := func(i int) uint64 { return rendezvous.Weight(replica, rendezvous.Hash(fmt.Sprint("node", i))) }
@@ -34,22 +34,24 @@
 			before++
 		}
 	}
-	o.known[replica] = 0
-	if before < o.users {
-		o.known[replica] = o.each
+	o.cache[replica] = 0
+	if before < o.sharers {
+		o.cache[replica] = o.share
 	}
-	return o.known[replica]
+	return o.cache[replica]
 }
 
-// divide gives as many nodes a share as a limit has requests.
-func divide(node, nodes, most int) *sharesOf { return among(node, nodes, min(nodes, most), most) }
+// shareAmongMost gives as many nodes a share as a limit has requests.
+func shareAmongMost(node, nodes, limit int) *hashedShares {
+	return shareAmong(node, nodes, min(nodes, limit), limit)
+}
 
 // among gives some nodes a share of a limit.
-func among(node, nodes, users, most int) *sharesOf {
-	return &sharesOf{node: node, nodes: nodes, users: users, each: most / users, known: map[uint64]int{}}
+func shareAmong(node, nodes, sharers, limit int) *hashedShares {
+	return &hashedShares{node: node, nodes: nodes, sharers: sharers, share: limit / sharers, cache: map[uint64]int{}}
 }
 
-func TestColdLimitIsWhatAReplicaBears(t *testing.T) {
+func TestColdRequestLimitStaysWithinRateAndSlack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 500).Draw(t, "rate")
 		overage := rapid.Float64Range(1, 3).Draw(t, "overage")
@@ -63,11 +65,11 @@
 
 // A node sends a cold replica no more than its share in any second, whatever comes, and
 // nothing if it has none.
-func TestNodeKeepsToItsShareOfAColdReplica(t *testing.T) {
+func TestNodeStaysWithinItsShareOfAColdReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := testNow
 		p := newTestPool(1, 1)
-		shares := divide(0, rapid.IntRange(1, 8).Draw(t, "nodes"), rapid.IntRange(1, 20).Draw(t, "most"))
+		shares := shareAmongMost(0, rapid.IntRange(1, 8).Draw(t, "nodes"), rapid.IntRange(1, 20).Draw(t, "most"))
 		p.SetColdLimit(0, shares)
 		share := shares.Share(rendezvous.Hash("r00"), "", 0)
 		list := testReplicas(1, 1)
@@ -80,7 +82,7 @@
 			if !ok {
 				why := p.Availability(&PickInput{Model: "m", Tokens: 100}, now)
 				assert.Equal(t, why.Excluded[ExcludedCold], 1)
-				assert.Assert(t, why.RetryAfter >= leastReturn)
+				assert.Assert(t, why.RetryAfter >= minRetryAfter)
 				continue
 			}
 			sent = append(sent, now)
@@ -97,9 +99,9 @@
 
 // A replica that was not reached may have started again: it is taken to be cold, the other
 // nodes are told once a second, and a node that reaches nobody tells nothing.
-func TestReplicaThatWasNotReachedIsTakenToBeCold(t *testing.T) {
+func TestUnreachableReplicaIsPresumedCold(t *testing.T) {
 	p := newTestPool(6, 1)
-	p.SetColdLimit(10, divide(0, 1, 10))
+	p.SetColdLimit(10, shareAmongMost(0, 1, 10))
 	assert.Assert(t, p.RecordUnreachable("r00", testNow))
 	assert.Assert(t, !p.RecordUnreachable("r00", testNow.Add(100*time.Millisecond)), "it was told of a moment ago")
 	assert.Equal(t, p.CountCold(testNow), 1)
@@ -109,16 +111,16 @@
 	assert.Assert(t, !p.RecordUnreachable("r02", testNow.Add(2*time.Second)), "this node's own way is at fault")
 	p.PresumeCold(ReplicaRef{ID: "r03"}, testNow.Add(2*time.Second))
 	assert.Equal(t, p.CountCold(testNow.Add(2*time.Second)), 3)
-	assert.Equal(t, p.CountCold(testNow.Add(2*time.Second+presumeTerm)), 0)
+	assert.Equal(t, p.CountCold(testNow.Add(2*time.Second+presumedColdTerm)), 0)
 	p.Begin(pickFrom(t, p), testNow).End(OutcomeOK, testNow)
 	p.RecordDisconnect("r04", testNow.Add(2*time.Second))
 	assert.Equal(t, p.CountCold(testNow.Add(2*time.Second)), 4)
 	p = newTestPool(6, 1)
-	p.SetColdLimit(10, divide(0, 1, 10))
+	p.SetColdLimit(10, shareAmongMost(0, 1, 10))
 	for i := range 6 {
 		p.RecordDisconnect(fmt.Sprintf("r%02d", i), testNow)
 	}
-	assert.Equal(t, p.CountCold(testNow), ownFault-1, "this node's connections are at fault")
+	assert.Equal(t, p.CountCold(testNow), localFaultThreshold-1, "this node's connections are at fault")
 	p.SetColdLimit(0, nil)
 	assert.Equal(t, p.CountCold(testNow), 0, "the configuration has no limit any more")
 	unlimited := newTestPool(6, 1)
@@ -134,7 +136,7 @@
 
 // What is told of one start of a replica does not touch another, and nothing that was known
 // of the last one stays.
-func TestStartUnderTheSameIDBeginsAnew(t *testing.T) {
+func TestRestartedReplicaKeepsNoOldState(t *testing.T) {
 	p := newTestPool(2, 1)
 	list := testReplicas(2, 1)
 	list[0].Started = testNow.Add(-time.Hour)
@@ -148,7 +150,7 @@
 	list[0].Started = testNow
 	p.Configure(list, testNow)
 	c, ok = p.Pick(&PickInput{Model: "m", Tokens: 100, Exclude: []string{"r01"}}, testNow)
-	assert.Assert(t, ok && c.Weights == 1 && c.Ahead == 0)
+	assert.Assert(t, ok && c.Weights == 1 && c.TokensAhead == 0)
 	assert.Equal(t, len(p.AppendLoads(nil)), 0)
 	assert.Assert(t, !p.Status(testNow)[0].Ejected)
 	p.RecordWeights(old, "m", 5) // Word of the old start comes late.
@@ -160,7 +162,7 @@
 }
 
 // Requests run in the regions of their homes only.
-func TestRequestsStayInTheirHomes(t *testing.T) {
+func TestRequestsStayInTheirHomeRegions(t *testing.T) {
 	p := newTestPool(6, 1)
 	list := testReplicas(6, 1)
 	for i := range list {
@@ -172,10 +174,10 @@
 		c, ok := p.Pick(&PickInput{Model: "m", Tokens: 100, HomesOnly: true, Homes: []string{"region1", "region2"}}, testNow)
 		assert.Assert(t, ok && (c.ID == "r01" || c.ID == "r02" || c.ID == "r04"))
 	}
-	need := &PickInput{Model: "m", Tokens: 100, HomesOnly: true}
-	_, ok := p.Pick(need, testNow)
+	input := &PickInput{Model: "m", Tokens: 100, HomesOnly: true}
+	_, ok := p.Pick(input, testNow)
 	assert.Assert(t, !ok, "route and organisation have no region in common")
-	assert.Equal(t, p.Availability(need, testNow).Excluded[ExcludedOutside], 6)
+	assert.Equal(t, p.Availability(input, testNow).Excluded[ExcludedOutside], 6)
 }
 
 // coldReplay is a data hall's outage and return: a third of 60 replicas is down for 1 s while
@@ -191,58 +193,58 @@
 
 // coldOutcome is what came of it, from the return on.
 type coldOutcome struct {
-	worst int     // The most requests that a cold replica got in a second.
-	used  float64 // Of the 11 requests a second that cold replicas bear, what they were sent.
-	none  float64 // The part of the requests that found no replica.
+	maxPerSecond  int     // The most requests that a cold replica got in a second.
+	usedShare     float64 // Of the 11 requests a second that cold replicas bear, what they were sent.
+	unplacedShare float64 // The part of the requests that found no replica.
 }
 
 const (
-	hallReplicas = 60
-	hallCold     = 20
-	hallBefore   = time.Second
-	hallDown     = time.Second
-	hallTerm     = 3 * time.Second // For which they are cold.
-	hallTell     = 100 * time.Millisecond
-	hallNews     = 50 * time.Millisecond
+	coldReplayReplicas     = 60
+	coldReplayReturning    = 20
+	coldReplayLeadTime     = time.Second
+	coldReplayDownTime     = time.Second
+	coldReplayTerm         = 3 * time.Second // For which they are cold.
+	coldReplayLoadInterval = 100 * time.Millisecond
+	coldReplayNoticeDelay  = 50 * time.Millisecond
 )
 
-// hallEnd is a request under way.
-type hallEnd struct {
+// runningRequest is a request under way.
+type runningRequest struct {
 	at     time.Time
 	flight *InFlightRequest
 }
 
-type hallNote struct {
+type unreachableNotice struct {
 	at time.Time
 	id string
 }
 
-// hall is a coldReplay under way.
-type hall struct {
+// hallReplay is a coldReplay under way.
+type hallReplay struct {
 	coldReplay
-	rng   *rand.Rand
-	list  []site.Upstream
-	cold  []site.Upstream // The same, once it is known that they are cold.
-	pools []*Pool
-	hears []time.Time // When each node hears of that; zero once it has.
-	ends  []hallEnd
-	notes []hallNote
-	came  map[string][]time.Time
-	sent  int
-	none  int
+	rng      *rand.Rand
+	list     []site.Upstream
+	cold     []site.Upstream // The same, once it is known that they are cold.
+	pools    []*Pool
+	learnsAt []time.Time // When each node hears of that; zero once it has.
+	running  []runningRequest
+	notices  []unreachableNotice
+	arrivals map[string][]time.Time
+	sent     int
+	unplaced int
 }
 
 func (r coldReplay) run(seed uint64) (o coldOutcome) {
-	h := &hall{coldReplay: r, rng: rand.New(rand.NewPCG(seed, 2)), list: testReplicas(hallReplicas, 1), came: map[string][]time.Time{}}
+	h := &hallReplay{coldReplay: r, rng: rand.New(rand.NewPCG(seed, 2)), list: testReplicas(coldReplayReplicas, 1), arrivals: map[string][]time.Time{}}
 	slices.SortFunc(h.list, func(a, b site.Upstream) int { return cmp.Compare(a.DataHall, b.DataHall) })
-	down := testNow.Add(hallBefore)
-	back := down.Add(hallDown)
+	down := testNow.Add(coldReplayLeadTime)
+	back := down.Add(coldReplayDownTime)
 	for i := range h.list {
 		h.list[i].Slots = 64
 	}
 	h.cold = slices.Clone(h.list)
-	for i := range hallCold {
-		h.cold[i].ColdUntil = back.Add(hallTerm)
+	for i := range coldReplayReturning {
+		h.cold[i].ColdUntil = back.Add(coldReplayTerm)
 	}
 	for i := range r.nodes {
 		p := NewPool(fmt.Sprintf("h%d", i%3), rand.New(rand.NewPCG(seed, uint64(i))))
@@ -251,49 +253,49 @@
 			p.SetColdLimit(0, r.shares(i))
 		}
 		h.pools = append(h.pools, p)
-		h.hears = append(h.hears, back.Add(time.Duration(100+h.rng.IntN(1200))*time.Millisecond))
+		h.learnsAt = append(h.learnsAt, back.Add(time.Duration(100+h.rng.IntN(1200))*time.Millisecond))
 	}
-	tell := testNow
-	for now := testNow; now.Before(back.Add(hallTerm)); now = now.Add(time.Duration(h.rng.ExpFloat64() / r.rate * float64(time.Second))) {
-		h.settle(now)
-		if !now.Before(tell) {
-			tell = now.Add(hallTell)
-			tellAll(h.pools)
+	nextExchange := testNow
+	for now := testNow; now.Before(back.Add(coldReplayTerm)); now = now.Add(time.Duration(h.rng.ExpFloat64() / r.rate * float64(time.Second))) {
+		h.advance(now)
+		if !now.Before(nextExchange) {
+			nextExchange = now.Add(coldReplayLoadInterval)
+			exchangeLoads(h.pools)
 		}
 		h.request(h.rng.IntN(r.nodes), now, down, back)
 	}
 	return h.outcome()
 }
 
-// settle ends what is over by now, and tells what is due.
-func (h *hall) settle(now time.Time) {
-	for len(h.ends) > 0 && !h.ends[0].at.After(now) {
-		h.ends[0].flight.FirstByte(h.ends[0].at)
-		h.ends[0].flight.End(OutcomeOK, h.ends[0].at)
-		h.ends = h.ends[1:]
+// advance ends what is over by now, and tells what is due.
+func (h *hallReplay) advance(now time.Time) {
+	for len(h.running) > 0 && !h.running[0].at.After(now) {
+		h.running[0].flight.FirstByte(h.running[0].at)
+		h.running[0].flight.End(OutcomeOK, h.running[0].at)
+		h.running = h.running[1:]
 	}
-	for len(h.notes) > 0 && !h.notes[0].at.After(now) {
+	for len(h.notices) > 0 && !h.notices[0].at.After(now) {
 		for _, p := range h.pools {
-			p.PresumeCold(ReplicaRef{ID: h.notes[0].id}, now)
+			p.PresumeCold(ReplicaRef{ID: h.notices[0].id}, now)
 		}
-		h.notes = h.notes[1:]
+		h.notices = h.notices[1:]
 	}
 }
 
 // request sends one request from a node, to up to three replicas.
-func (h *hall) request(node int, now, down, back time.Time) {
+func (h *hallReplay) request(node int, now, down, back time.Time) {
 	p := h.pools[node]
-	if at := h.hears[node]; !at.IsZero() && !now.Before(at) {
-		h.hears[node] = time.Time{}
+	if at := h.learnsAt[node]; !at.IsZero() && !now.Before(at) {
+		h.learnsAt[node] = time.Time{}
 		p.Configure(h.cold, now)
 	}
-	need := &PickInput{Model: "m", Tokens: 3000, Memory: 3000, Capacity: 40_000, Send: true}
+	input := &PickInput{Model: "m", Tokens: 3000, Memory: 3000, Capacity: 40_000, Send: true}
 	after := !now.Before(back)
 	if after {
 		h.sent++
 	}
 	for range 3 {
-		c, ok := p.Pick(need, now)
+		c, ok := p.Pick(input, now)
 		if !ok {
 			break
 		}
@@ -301,37 +303,37 @@
 		if c.DataHall == h.list[0].DataHall && !now.Before(down) && !after {
 			f.End(OutcomeFailed, now)
 			if p.RecordUnreachable(c.ID, now) {
-				h.notes = append(h.notes, hallNote{now.Add(hallNews), c.ID})
+				h.notices = append(h.notices, unreachableNotice{now.Add(coldReplayNoticeDelay), c.ID})
 			}
-			need.Exclude = append(need.Exclude, c.ID)
+			input.Exclude = append(input.Exclude, c.ID)
 			continue
 		}
 		if after {
-			h.came[c.ID] = append(h.came[c.ID], now)
+			h.arrivals[c.ID] = append(h.arrivals[c.ID], now)
 		}
-		e := hallEnd{at: now.Add(c.Expected), flight: f}
-		at, _ := slices.BinarySearchFunc(h.ends, e, func(a, b hallEnd) int { return a.at.Compare(b.at) })
-		h.ends = slices.Insert(h.ends, at, e)
+		e := runningRequest{at: now.Add(c.Expected), flight: f}
+		at, _ := slices.BinarySearchFunc(h.running, e, func(a, b runningRequest) int { return a.at.Compare(b.at) })
+		h.running = slices.Insert(h.running, at, e)
 		return
 	}
 	if after {
-		h.none++
+		h.unplaced++
 	}
 }
 
-func (h *hall) outcome() (o coldOutcome) {
+func (h *hallReplay) outcome() (o coldOutcome) {
 	got := 0
-	for i := range hallCold {
-		times := h.came[h.list[i].ID]
+	for i := range coldReplayReturning {
+		times := h.arrivals[h.list[i].ID]
 		got += len(times)
-		o.worst = max(o.worst, mostInASecond(times))
+		o.maxPerSecond = max(o.maxPerSecond, maxInOneSecond(times))
 	}
-	o.used = float64(got) / (hallCold * 11 * hallTerm.Seconds())
-	o.none = float64(h.none) / float64(h.sent)
+	o.usedShare = float64(got) / (coldReplayReturning * 11 * coldReplayTerm.Seconds())
+	o.unplacedShare = float64(h.unplaced) / float64(h.sent)
 	return o
 }
 
-func mostInASecond(times []time.Time) (most int) {
+func maxInOneSecond(times []time.Time) (most int) {
 	first := 0
 	for i := range times {
 		for times[i].Sub(times[first]) >= time.Second {
@@ -342,8 +344,8 @@
 	return most
 }
 
-// tellAll has each node know what the others have in flight.
-func tellAll(pools []*Pool) {
+// exchangeLoads has each node know what the others have in flight.
+func exchangeLoads(pools []*Pool) {
 	sum := map[NameHash]PeerLoad{}
 	own := make([][]ReplicaLoad, len(pools))
 	for i, p := range pools {
@@ -362,29 +364,29 @@
 }
 
 const (
-	hallRate = 900 // Requests a second: some 2.7 times the mean of 337.
-	hallMost = 16  // Requests that a cold replica may get in a second: 1.5 times 11.
+	coldReplayRate  = 900 // Requests a second: some 2.7 times the mean of 337.
+	coldReplayLimit = 16  // Requests that a cold replica may get in a second: 1.5 times 11.
 )
 
 // A data hall goes and comes back cold under the worst load. Without a limit a replica gets
 // more than the 21 requests in a second that are allowed; with shares none does, and a good
 // part of what cold replicas bear is used.
-func TestHallThatComesBackColdIsNotOverrun(t *testing.T) {
+func TestReturningColdHallIsNotOverloaded(t *testing.T) {
 	for _, nodes := range []int{7, 71, 295} {
 		for seed := range uint64(2) {
-			shares := func(node int) ColdShares { return divide(node, nodes, hallMost) }
-			o := coldReplay{nodes: nodes, rate: hallRate, shares: shares}.run(seed)
+			shares := func(node int) ColdShares { return shareAmongMost(node, nodes, coldReplayLimit) }
+			o := coldReplay{nodes: nodes, rate: coldReplayRate, shares: shares}.run(seed)
 			t.Logf("%d nodes: %+v", nodes, o)
-			assert.Assert(t, o.worst <= 21)
-			assert.Equal(t, o.none, 0.0)
-			assert.Assert(t, o.used > 0.15)
+			assert.Assert(t, o.maxPerSecond <= 21)
+			assert.Equal(t, o.unplacedShare, 0.0)
+			assert.Assert(t, o.usedShare > 0.15)
 		}
 	}
 	worst := 0
 	for seed := range uint64(2) {
-		o := coldReplay{nodes: 71, rate: hallRate}.run(seed)
+		o := coldReplay{nodes: 71, rate: coldReplayRate}.run(seed)
 		t.Logf("no limit: %+v", o)
-		worst = max(worst, o.worst)
+		worst = max(worst, o.maxPerSecond)
 	}
 	assert.Assert(t, worst > 21, "the replay is too mild: %d in a second without a limit", worst)
 }
@@ -394,17 +396,17 @@
 func BenchmarkColdShares(b *testing.B) {
 	for _, nodes := range []int{7, 71, 295, 900} {
 		for _, users := range []int{0, 1, 2, 4, 8, 16} {
-			r := coldReplay{nodes: nodes, rate: hallRate}
+			r := coldReplay{nodes: nodes, rate: coldReplayRate}
 			if users > 0 {
-				r.shares = func(node int) ColdShares { return among(node, nodes, min(users, nodes), hallMost) }
+				r.shares = func(node int) ColdShares { return shareAmong(node, nodes, min(users, nodes), coldReplayLimit) }
 			}
 			b.Run(fmt.Sprintf("%d nodes/%d share", nodes, users), func(b *testing.B) {
 				var o coldOutcome
 				for b.Loop() {
 					o = r.run(1)
 				}
-				b.ReportMetric(float64(o.worst), "worst/s")
-				b.ReportMetric(o.used, "used")
+				b.ReportMetric(float64(o.maxPerSecond), "worst/s")
+				b.ReportMetric(o.usedShare, "used")
 			})
 		}
 	}
--- a/pkg/route/estimator.go
+++ b/pkg/route/estimator.go
@@ -93,9 +93,9 @@
 }
 
 // candidates picks the replicas to weigh; the caller holds the fleet's lock.
-func (p *estimator) candidates(q *Request, hot map[string]int, now time.Time) []*replica {
-	var list []*replica
-	add := func(r *replica) {
+func (p *estimator) candidates(q *Request, hot map[string]int, now time.Time) []*replicaState {
+	var list []*replicaState
+	add := func(r *replicaState) {
 		if r != nil && p.fleet.usable(r, q, now) && !slices.Contains(list, r) {
 			list = append(list, r)
 		}
@@ -110,7 +110,7 @@
 	for _, name := range holders[:min(len(holders), hotCandidates)] {
 		add(p.fleet.replicas[name])
 	}
-	all := p.fleet.pool(q.Model)
+	all := p.fleet.uncachedCandidates(q.Model)
 	if len(all) <= sampled {
 		for _, r := range all {
 			add(r)
@@ -138,13 +138,13 @@
 func (p *estimator) options(
 	list []Decision,
 	q *Request,
-	r *replica,
+	r *replicaState,
 	hotTokens int,
 	stored []prompt.CacheLocation,
 	now time.Time,
 ) []Decision {
 	hotTokens = min(hotTokens, q.Chain.Tokens)
-	wait := p.fleet.waitAt(r, now)
+	wait := p.fleet.estimatedWait(r, now)
 	if r.DataHall != q.DataHall {
 		wait += otherHall
 	}
@@ -188,7 +188,7 @@
 // recomputing would have been the better choice; but an import that takes much
 // longer than it was expected to shows that the estimate was wrong, and says
 // nothing of when it will end, so it is given up sooner.
-func (p *estimator) giveUp(r *replica, gain int, wait, fetch time.Duration) time.Duration {
+func (p *estimator) giveUp(r *replicaState, gain int, wait, fetch time.Duration) time.Duration {
 	worth := wait + time.Duration(float64(r.prefill(gain))*(1+p.weights.Recompute/p.weights.Latency))
 	late := time.Duration(float64(fetch)*lateFactor) + max(lateGrace, p.weights.Patience)
 	return min(worth, late)
@@ -196,7 +196,7 @@
 
 // score prices a decision in weighted seconds; link is for how long it occupies
 // a link.
-func (p *estimator) score(d Decision, r *replica, link float64) Decision {
+func (p *estimator) score(d Decision, r *replicaState, link float64) Decision {
 	d.Score = p.weights.Latency*d.FirstToken().Seconds() +
 		p.weights.Recompute*r.prefill(d.Recompute).Seconds() +
 		p.weights.Link*link
--- a/pkg/route/estimator_test.go
+++ b/pkg/route/estimator_test.go
@@ -172,7 +172,7 @@
 	f := testFleet(10)
 	now := testNow
 	for i := range 10 {
-		for range ejectFailures {
+		for range ejectAfterFailures {
 			f.Begin(fmt.Sprint("e", i), 1, now).End(OutcomeFailed, now)
 		}
 	}
@@ -182,8 +182,8 @@
 			n++
 		}
 	}
-	assert.Equal(t, n, int(10*ejectShare))
-	for _, s := range f.Status(now.Add(ejectFirst)) {
+	assert.Equal(t, n, int(10*maxEjectedShare))
+	for _, s := range f.Status(now.Add(firstEjection)) {
 		assert.Assert(t, !s.Ejected)
 	}
 }
--- a/pkg/route/exclusion.go
+++ b/pkg/route/exclusion.go
@@ -38,36 +38,36 @@
 
 // exclusion says why a replica may not be sent a request, and what is known of the rate that
 // it names if it may be. The caller holds mu.
-func (p *Pool) exclusion(m *member, n *PickInput, now time.Time) (why Exclusion, rate RateState) {
-	if !n.mayRunIn(m.Region) {
+func (p *Pool) exclusion(m *member, in *PickInput, now time.Time) (reason Exclusion, rate RateState) {
+	if !in.mayRunIn(m.Region) {
 		return ExcludedOutside, rate
 	}
-	if why = m.forAll(now); why != NotExcluded {
-		return why, rate
+	if reason = m.memberExclusion(now); reason != NotExcluded {
+		return reason, rate
 	}
 	switch {
-	case slices.Contains(n.Exclude, m.ID):
+	case slices.Contains(in.Exclude, m.ID):
 		return ExcludedTried, rate
-	case !m.serves(n):
+	case !m.serves(in):
 		return ExcludedWeights, rate
-	case !p.mayTake(m, now):
+	case !p.coldShareAllows(m, now):
 		return ExcludedCold, rate
 	}
 	rate = p.rateState(m, now)
-	if !rate.allows(n) {
+	if !rate.allows(in) {
 		return ExcludedLimited, rate
 	}
 	return NotExcluded, rate
 }
 
-// forAll says why a replica takes no request at all, if so; the caller holds mu.
-func (m *member) forAll(now time.Time) Exclusion {
+// memberExclusion says why a replica takes no request at all, if so; the caller holds mu.
+func (m *member) memberExclusion(now time.Time) Exclusion {
 	switch {
 	case m.Evacuated:
 		return ExcludedEvacuated
 	case m.Draining:
 		return ExcludedDraining
-	case now.Before(m.backoff):
+	case now.Before(m.backoffUntil):
 		return ExcludedBackoff
 	default:
 		return NotExcluded
@@ -78,24 +78,24 @@
 func (p *Pool) Excluded(now time.Time) (list map[Exclusion]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.list {
-		if why := m.forAll(now); why != NotExcluded {
+	for _, m := range p.members {
+		if reason := m.memberExclusion(now); reason != NotExcluded {
 			if list == nil {
 				list = map[Exclusion]int{}
 			}
-			list[why]++
+			list[reason]++
 		}
 	}
 	return list
 }
 
 // serves says whether a replica has weights that a request may run on, as far as is known.
-func (m *member) serves(n *PickInput) bool {
-	if n.Model == "" || len(m.Weights) == 0 {
+func (m *member) serves(in *PickInput) bool {
+	if in.Model == "" || len(m.Weights) == 0 {
 		return true
 	}
-	version, serves := m.Weights[n.Model]
-	return serves && version >= n.MinVersion
+	version, serves := m.Weights[in.Model]
+	return serves && version >= in.MinVersion
 }
 
 // BackOff has nothing sent to a start of a replica for a while, as it asked this node. Of several
@@ -114,8 +114,8 @@
 	}
 	until = until.Add(time.Duration(p.rng.Int64N(int64(backoffSpread))))
 	p.backoffs[start] = until
-	if m, ok := p.replicas[u.ID]; ok && m.start == start {
-		m.backoff = until
+	if m, ok := p.byID[u.ID]; ok && m.startKey == start {
+		m.backoffUntil = until
 	}
 }
 
@@ -123,8 +123,8 @@
 func (p *Pool) InBackoff(id string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.replicas[id]
-	return ok && now.Before(m.backoff)
+	m, ok := p.byID[id]
+	return ok && now.Before(m.backoffUntil)
 }
 
 // Accepts says whether a replica that was picked may still be sent its request: while a
@@ -132,8 +132,8 @@
 func (p *Pool) Accepts(u *site.Upstream, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.replicas[u.ID]
-	return ok && m.Started.Equal(u.Started) && m.forAll(now) == NotExcluded
+	m, ok := p.byID[u.ID]
+	return ok && m.Started.Equal(u.Started) && m.memberExclusion(now) == NotExcluded
 }
 
 // Availability is why no replica may take a request.
@@ -147,41 +147,41 @@
 }
 
 // Availability finds out why no replica may take a request.
-func (p *Pool) Availability(n *PickInput, now time.Time) (a Availability) {
+func (p *Pool) Availability(in *PickInput, now time.Time) (a Availability) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a.Excluded = map[Exclusion]int{}
 	wait, known := time.Duration(0), false
-	sooner := func(d time.Duration) {
+	recordWait := func(d time.Duration) {
 		if !known || d < wait {
 			wait, known = d, true
 		}
 	}
-	for _, m := range p.list {
-		why, rate := p.exclusion(m, n, now)
-		if why == NotExcluded {
+	for _, m := range p.members {
+		reason, rate := p.exclusion(m, in, now)
+		if reason == NotExcluded {
 			a.Eligible++
 			continue
 		}
-		a.Excluded[why]++
-		switch why {
+		a.Excluded[reason]++
+		switch reason {
 		case ExcludedBackoff:
-			sooner(m.backoff.Sub(now))
+			recordWait(m.backoffUntil.Sub(now))
 		case ExcludedCold:
-			sooner(min(coldWindow, p.coldWait(m, now)))
+			recordWait(min(coldWindow, p.coldWait(m, now)))
 		case ExcludedLimited:
-			sooner(min(coldWindow, rate.Wait))
+			recordWait(min(coldWindow, rate.Wait))
 		}
 	}
 	if known {
-		a.RetryAfter = max(leastReturn, wait) + rand.N(returnSpread)
+		a.RetryAfter = max(minRetryAfter, wait) + rand.N(retryAfterSpread)
 	}
 	return a
 }
 
 const (
-	// leastReturn and returnSpread bound when a request that no replica takes at the moment is
+	// minRetryAfter and returnSpread bound when a request that no replica takes at the moment is
 	// to come back, each at a time of its own.
-	leastReturn  = 250 * time.Millisecond
-	returnSpread = 500 * time.Millisecond
+	minRetryAfter    = 250 * time.Millisecond
+	retryAfterSpread = 500 * time.Millisecond
 )
--- a/pkg/route/exclusion_test.go
+++ b/pkg/route/exclusion_test.go
@@ -12,21 +12,21 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// startsOf lists replicas a and b, with a as it started at a time.
-func startsOf(started time.Time) []site.Upstream {
+// replicasWithStart lists replicas a and b, with a as it started at a time.
+func replicasWithStart(started time.Time) []site.Upstream {
 	return []site.Upstream{{ID: "a", DataHall: "h0", Slots: 4, Started: started}, {ID: "b", DataHall: "h0", Slots: 4}}
 }
 
-func TestBackoffOutlastsTheRowOfItsReplica(t *testing.T) {
+func TestBackoffSurvivesRelisting(t *testing.T) {
 	p := newTestPool(0, 1)
-	list := startsOf(time.UnixMilli(5))
+	list := replicasWithStart(time.UnixMilli(5))
 	p.Configure(list, testNow)
 	p.BackOff(&list[0], 3*time.Second, testNow)
 	p.Configure(list[1:], testNow.Add(time.Second))
 	p.Configure(list, testNow.Add(2*time.Second))
 	assert.Assert(t, p.InBackoff("a", testNow.Add(2900*time.Millisecond)))
 	assert.Assert(t, !p.InBackoff("a", testNow.Add(3*time.Second+backoffSpread)))
-	assert.Equal(t, picks(p, &PickInput{}, "a"), 0)
+	assert.Equal(t, countPicks(p, &PickInput{}, "a"), 0)
 
 	// It may ask while it isn't listed.
 	p.Configure(list[1:], testNow)
@@ -35,21 +35,21 @@
 	assert.Assert(t, p.InBackoff("a", testNow.Add(5*time.Second)))
 }
 
-func TestBackoffIsOfOneStartOfAReplica(t *testing.T) {
+func TestRestartedReplicaDoesNotInheritBackoff(t *testing.T) {
 	p := newTestPool(0, 1)
-	old := startsOf(time.UnixMilli(5))
+	old := replicasWithStart(time.UnixMilli(5))
 	p.Configure(old, testNow)
 	p.BackOff(&old[0], 3*time.Second, testNow)
-	p.Configure(startsOf(time.UnixMilli(6)), testNow)
+	p.Configure(replicasWithStart(time.UnixMilli(6)), testNow)
 	assert.Assert(t, !p.InBackoff("a", testNow))
 	p.BackOff(&old[0], 9*time.Second, testNow) // An answer of the start before comes late.
 	assert.Assert(t, !p.InBackoff("a", testNow))
 }
 
-func TestStartThatIsToldWithItsTimeLaterIsTheSame(t *testing.T) {
+func TestLearningTheStartTimeIsNotARestart(t *testing.T) {
 	p := newTestPool(0, 1)
-	p.Configure(startsOf(time.Time{}), testNow)
-	told := startsOf(time.UnixMilli(5))
+	p.Configure(replicasWithStart(time.Time{}), testNow)
+	told := replicasWithStart(time.UnixMilli(5))
 	p.Configure(told, testNow)
 	assert.Assert(t, p.Accepts(&told[0], testNow))
 	p.BackOff(&told[0], time.Second, testNow)
@@ -57,10 +57,10 @@
 }
 
 // Of several backoffs the last end counts, and an answer that is served ends none.
-func TestLastEndOfSeveralBackoffsCounts(t *testing.T) {
+func TestLatestBackoffEndApplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestPool(0, 1)
-		list := startsOf(time.Time{})
+		list := replicasWithStart(time.Time{})
 		p.Configure(list, testNow)
 		now, end := testNow, testNow
 		for range rapid.IntRange(1, 8).Draw(t, "answers") {
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestBackoffsThatAreOverTakeNoMemory(t *testing.T) {
+func TestExpiredBackoffsAreForgotten(t *testing.T) {
 	p := newTestPool(0, 1)
 	for i := range 10_000 {
 		u := site.Upstream{ID: fmt.Sprint(i)}
@@ -92,20 +92,24 @@
 }
 
 // A request that had been placed was sent on though its replica took none any more.
-func TestReplicaThatWasPickedIsLookedAtOnceMore(t *testing.T) {
+func TestPickedReplicaIsRecheckedBeforeSending(t *testing.T) {
 	p := newTestPool(0, 1)
-	list := startsOf(time.UnixMilli(5))
+	list := replicasWithStart(time.UnixMilli(5))
 	a := &list[0]
 	for name, withdraw := range map[string]func(){
 		"dropped":   func() { p.Configure(list[1:], testNow) },
 		"backs off": func() { p.BackOff(a, time.Second, testNow) },
 		"drains": func() {
-			draining := startsOf(time.UnixMilli(5))
+			draining := replicasWithStart(time.UnixMilli(5))
 			draining[0].Draining = true
 			p.Configure(draining, testNow)
 		},
-		"evacuated":   func() { away := startsOf(time.UnixMilli(5)); away[0].Evacuated = true; p.Configure(away, testNow) },
-		"new start":   func() { p.Configure(startsOf(time.UnixMilli(6)), testNow) },
+		"evacuated": func() {
+			away := replicasWithStart(time.UnixMilli(5))
+			away[0].Evacuated = true
+			p.Configure(away, testNow)
+		},
+		"new start":   func() { p.Configure(replicasWithStart(time.UnixMilli(6)), testNow) },
 		"not at all ": func() {},
 	} {
 		p = newTestPool(0, 1)
@@ -116,9 +120,9 @@
 	}
 }
 
-func TestWhyNoReplicaTakesARequest(t *testing.T) {
+func TestAvailabilityCountsExclusionsAndRetryAfter(t *testing.T) {
 	p := newTestPool(0, 1)
-	list := startsOf(time.Time{})
+	list := replicasWithStart(time.Time{})
 	list[1].Draining = true
 	p.Configure(list, testNow)
 	p.BackOff(&list[0], 3*time.Second, testNow)
@@ -127,7 +131,7 @@
 	why := p.Availability(&PickInput{Exclude: []string{"a"}}, testNow)
 	assert.DeepEqual(t, why.Excluded, map[Exclusion]int{ExcludedBackoff: 1, ExcludedDraining: 1})
 	assert.Equal(t, why.Eligible, 0)
-	assert.Assert(t, why.RetryAfter >= 3*time.Second && why.RetryAfter <= 3*time.Second+backoffSpread+returnSpread, "%v", why.RetryAfter)
+	assert.Assert(t, why.RetryAfter >= 3*time.Second && why.RetryAfter <= 3*time.Second+backoffSpread+retryAfterSpread, "%v", why.RetryAfter)
 	assert.DeepEqual(t, p.Excluded(testNow), why.Excluded)
 	_, usable := p.Count(testNow)
 	assert.Equal(t, usable, 0)
@@ -135,7 +139,7 @@
 
 // The load is a usual one, in which a replica that turns everything away looks idle: it got two to
 // three times its part of the requests, and all nodes came back to it in the same moment.
-func TestReplicasThatAskForBackoffAreLeftAloneAndComeBackGradually(t *testing.T) {
+func TestBackoffIsHonouredAndLoadReturnsGradually(t *testing.T) {
 	const (
 		each    = 5.2 // Requests a second for each replica.
 		backoff = 3 * time.Second
@@ -164,9 +168,9 @@
 			for at := time.Duration(0); at < whole; at += step {
 				now := testNow.Add(at)
 				i := rng.IntN(c.nodes)
-				need := PickInput{Send: true}
+				input := PickInput{Send: true}
 				for {
-					choice, ok := pools[i].Pick(&need, now)
+					choice, ok := pools[i].Pick(&input, now)
 					assert.Assert(t, ok)
 					flight := pools[i].Begin(choice, now)
 					key := [2]string{fmt.Sprint(i), choice.ID}
@@ -183,7 +187,7 @@
 					flight.End(OutcomeNeutral, now)
 					pools[i].BackOff(&choice.Upstream, backoff, now)
 					asked[key] = now.Add(backoff)
-					need.Exclude = append(need.Exclude, choice.ID)
+					input.Exclude = append(input.Exclude, choice.ID)
 				}
 			}
 			most, last := 0, 0
--- a/pkg/route/fleet.go
+++ b/pkg/route/fleet.go
@@ -9,21 +9,21 @@
 
 // Fleet is this node's view of the model engines.
 type Fleet struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	replicas map[string]*replica
-	byModel  map[string][]*replica
-	next     int // For round robin.
-	leaving  map[string]bool
-	// near are, by model, the replicas whose load this node asks for.
-	near map[string][]*replica
-	// median is the last result of MedianWait.
-	median time.Duration
+	mu             sync.Mutex
+	rng            *rand.Rand
+	replicas       map[string]*replicaState
+	byModel        map[string][]*replicaState
+	nextRoundRobin int // For round robin.
+	leaving        map[string]bool
+	// polled are, by model, the replicas whose load this node asks for.
+	polled map[string][]*replicaState
+	// medianWait is the last result of MedianWait.
+	medianWait time.Duration
 }
 
 // NewFleet returns an empty view.
 func NewFleet(rng *rand.Rand) *Fleet {
-	return &Fleet{rng: rng, replicas: map[string]*replica{}, byModel: map[string][]*replica{}}
+	return &Fleet{rng: rng, replicas: map[string]*replicaState{}, byModel: map[string][]*replicaState{}}
 }
 
 // Configure sets which replicas there are; what is known of those that stay is
@@ -32,15 +32,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.replicas
-	f.replicas = make(map[string]*replica, len(list))
-	f.byModel = map[string][]*replica{}
+	f.replicas = make(map[string]*replicaState, len(list))
+	f.byModel = map[string][]*replicaState{}
 	for _, r := range list {
-		known, ok := old[r.Name]
-		if !ok || known.Replica != r {
-			known = newReplica(r, now)
+		state, ok := old[r.Name]
+		if !ok || state.Replica != r {
+			state = newReplicaState(r, now)
 		}
-		f.replicas[r.Name] = known
-		f.byModel[r.Model] = append(f.byModel[r.Model], known)
+		f.replicas[r.Name] = state
+		f.byModel[r.Model] = append(f.byModel[r.Model], state)
 	}
 }
 
@@ -48,8 +48,8 @@
 func (f *Fleet) Report(name string, r Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if known, ok := f.replicas[name]; ok && r.Taken.After(known.report.Taken) {
-		known.report = r
+	if state, ok := f.replicas[name]; ok && r.Taken.After(state.report.Taken) {
+		state.report = r
 	}
 }
 
@@ -59,32 +59,32 @@
 func (f *Fleet) SetPolled(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.near = map[string][]*replica{}
+	f.polled = map[string][]*replicaState{}
 	for _, name := range names {
 		if r, ok := f.replicas[name]; ok {
-			f.near[r.Model] = append(f.near[r.Model], r)
+			f.polled[r.Model] = append(f.polled[r.Model], r)
 		}
 	}
 }
 
-// pool is where a request goes that no replica holds anything for; the caller
+// uncachedCandidates is where a request goes that no replica holds anything for; the caller
 // holds mu.
-func (f *Fleet) pool(model string) []*replica {
-	if near := f.near[model]; len(near) > 0 {
-		return near
+func (f *Fleet) uncachedCandidates(model string) []*replicaState {
+	if polled := f.polled[model]; len(polled) > 0 {
+		return polled
 	}
 	return f.byModel[model]
 }
 
-// staleTerm is how old a report may be before the median of others is believed
+// reportMaxAge is how old a report may be before the median of others is believed
 // rather than it.
-const staleTerm = 10 * time.Second
+const reportMaxAge = 10 * time.Second
 
-// waitAt estimates what a new request waits at a replica; the caller holds mu.
-func (f *Fleet) waitAt(r *replica, now time.Time) time.Duration {
+// estimatedWait estimates what a new request waits at a replica; the caller holds mu.
+func (f *Fleet) estimatedWait(r *replicaState, now time.Time) time.Duration {
 	w := r.wait(now)
-	if now.Sub(r.report.Taken) > staleTerm {
-		return max(w, f.median)
+	if now.Sub(r.report.Taken) > reportMaxAge {
+		return max(w, f.medianWait)
 	}
 	return w
 }
@@ -110,8 +110,8 @@
 	return sum
 }
 
-// waitSample bounds the replicas that MedianWait looks at.
-const waitSample = 256
+// medianWaitSample bounds the replicas that MedianWait looks at.
+const medianWaitSample = 256
 
 // MedianWait is the median of what a new request would wait for a prefill, over
 // replicas that have reported, or a random part of them in a large fleet. The
@@ -119,21 +119,21 @@
 func (f *Fleet) MedianWait(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	waits := make([]time.Duration, 0, min(len(f.replicas), waitSample))
+	waits := make([]time.Duration, 0, min(len(f.replicas), medianWaitSample))
 	for _, r := range f.replicas {
-		if r.report.Weights != "" && !r.ejected(now) && now.Sub(r.report.Taken) <= staleTerm {
+		if r.report.Weights != "" && !r.ejected(now) && now.Sub(r.report.Taken) <= reportMaxAge {
 			waits = append(waits, r.wait(now))
 		}
-		if len(waits) == waitSample {
+		if len(waits) == medianWaitSample {
 			break
 		}
 	}
-	f.median = 0
+	f.medianWait = 0
 	if len(waits) > 0 {
 		slices.Sort(waits)
-		f.median = waits[len(waits)/2]
+		f.medianWait = waits[len(waits)/2]
 	}
-	return f.median
+	return f.medianWait
 }
 
 // ReplicaStatus is what a dump shows of one replica.
@@ -158,7 +158,7 @@
 			DataHall: r.DataHall,
 			Model:    r.Model,
 			Report:   r.report,
-			InFlight: len(r.tickets),
+			InFlight: len(r.inFlight),
 			Wait:     r.wait(now),
 			Ejected:  r.ejected(now),
 		})
@@ -173,7 +173,7 @@
 }
 
 // usable says whether a request may go to a replica now; the caller holds mu.
-func (f *Fleet) usable(r *replica, q *Request, now time.Time) bool {
+func (f *Fleet) usable(r *replicaState, q *Request, now time.Time) bool {
 	if r.Model != q.Model || r.report.Leaving || f.leaving[r.Name] || r.ejected(now) || slices.Contains(q.Exclude, r.Name) {
 		return false
 	}
@@ -181,16 +181,16 @@
 	return r.report.Weights == "" || r.report.Weights == q.Weights
 }
 
-// ejectable says whether one more replica of a model may be ejected.
-func (f *Fleet) ejectable(model string, now time.Time) bool {
+// mayEject says whether one more replica of a model may be ejected.
+func (f *Fleet) mayEject(model string, now time.Time) bool {
 	all := f.byModel[model]
-	out := 1
+	ejected := 1
 	for _, r := range all {
 		if r.ejected(now) {
-			out++
+			ejected++
 		}
 	}
-	return float64(out) <= ejectShare*float64(len(all))
+	return float64(ejected) <= maxEjectedShare*float64(len(all))
 }
 
 // Begin records that a request was sent to a replica; tokens are those it has
@@ -198,11 +198,11 @@
 func (f *Fleet) Begin(name string, tokens int, now time.Time) *InFlightRun {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := &InFlightRun{fleet: f, name: name, begun: now, tokens: tokens}
+	run := &InFlightRun{fleet: f, replica: name, startedAt: now, tokens: tokens}
 	if r, ok := f.replicas[name]; ok {
-		r.tickets[t] = struct{}{}
+		r.inFlight[run] = struct{}{}
 	}
-	return t
+	return run
 }
 
 // ReportOf returns the last load report of a replica.
--- a/pkg/route/in_flight_request.go
+++ b/pkg/route/in_flight_request.go
@@ -4,112 +4,112 @@
 
 // InFlightRequest is one of this node's own requests in flight at a replica.
 type InFlightRequest struct {
-	pool     *Pool
-	member   *member
-	tokens   int
-	band     int
-	memory   int     // Tokens held of an engine's memory.
-	read     int     // Tokens expected to be read, with those before it.
-	fetch    float64 // Expected time of its fetch, in seconds.
-	begun    time.Time
-	expected time.Duration
-	plain    time.Duration // As in Choice.
-	first    bool
-	ended    bool
+	pool                  *Pool
+	member                *member
+	tokens                int
+	priorityBand          int
+	memory                int     // Tokens held of an engine's memory.
+	tokensWithAhead       int     // Tokens expected to be read, with those before it.
+	fetchSeconds          float64 // Expected time of its fetch, in seconds.
+	startedAt             time.Time
+	expected              time.Duration
+	expectedAtMeanLatency time.Duration // As in Choice.
+	firstByteSeen         bool
+	ended                 bool
 }
 
 // Begin records that a request is sent to a chosen replica.
 func (p *Pool) Begin(c Choice, now time.Time) *InFlightRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.replicas[c.ID]
+	m, ok := p.byID[c.ID]
 	if !ok {
 		// It has just left; the request goes there all the same.
-		m = &member{Upstream: c.Upstream, flights: map[*InFlightRequest]struct{}{}, late: 1}
+		m = &member{Upstream: c.Upstream, inFlight: map[*InFlightRequest]struct{}{}, latencyRatio: 1}
 	}
-	k := &InFlightRequest{
-		pool:     p,
-		member:   m,
-		tokens:   c.Read,
-		memory:   c.Memory,
-		band:     c.Band,
-		read:     c.Read + c.Ahead,
-		fetch:    c.Fetch.Seconds(),
-		begun:    now,
-		expected: c.Expected,
-		plain:    c.Plain,
+	request := &InFlightRequest{
+		pool:                  p,
+		member:                m,
+		tokens:                c.Read,
+		memory:                c.Memory,
+		priorityBand:          c.Band,
+		tokensWithAhead:       c.Read + c.TokensAhead,
+		fetchSeconds:          c.Fetch.Seconds(),
+		startedAt:             now,
+		expected:              c.Expected,
+		expectedAtMeanLatency: c.ExpectedAtMeanLatency,
 	}
-	m.flights[k] = struct{}{}
-	m.pending[k.band] += c.Read
-	m.memory += c.Memory
-	return k
+	m.inFlight[request] = struct{}{}
+	m.pendingTokens[request.priorityBand] += c.Read
+	m.heldMemory += c.Memory
+	return request
 }
 
 // FirstByte records that the first byte of the answer has come. It returns by how
 // much later than expected.
-func (k *InFlightRequest) FirstByte(now time.Time) (excess time.Duration) {
-	k.pool.mu.Lock()
-	defer k.pool.mu.Unlock()
-	k.noteFirst(now)
-	return now.Sub(k.begun) - k.expected
+func (r *InFlightRequest) FirstByte(now time.Time) (excess time.Duration) {
+	r.pool.mu.Lock()
+	defer r.pool.mu.Unlock()
+	r.recordFirstByte(now)
+	return now.Sub(r.startedAt) - r.expected
 }
 
-func (k *InFlightRequest) noteFirst(now time.Time) {
-	if k.first {
+func (r *InFlightRequest) recordFirstByte(now time.Time) {
+	if r.firstByteSeen {
 		return
 	}
-	k.first = true
-	k.member.pending[k.band] -= k.tokens
-	took := now.Sub(k.begun)
-	ratio := min(mostLateness, max(took, leastExpected).Seconds()/max(k.plain, leastExpected).Seconds())
-	k.member.late = k.pool.ownLate(k.member, now)
-	k.member.late += lateShare * (ratio - k.member.late)
-	k.member.lateAt = now
-	k.pool.late += learnShare * (ratio - k.pool.late)
-	k.pool.learn(k, took.Seconds())
+	r.firstByteSeen = true
+	r.member.pendingTokens[r.priorityBand] -= r.tokens
+	took := now.Sub(r.startedAt)
+	ratio := min(maxLatencyRatio, max(took, minExpectedTime).Seconds()/max(r.expectedAtMeanLatency, minExpectedTime).Seconds())
+	r.member.latencyRatio = r.pool.latencyRatio(r.member, now)
+	r.member.latencyRatio += latencyRatioWeight * (ratio - r.member.latencyRatio)
+	r.member.latencyRatioAt = now
+	r.pool.meanLatencyRatio += learnWeight * (ratio - r.pool.meanLatencyRatio)
+	r.pool.learnPrefillTime(r, took.Seconds())
 }
 
-// minSample is the least prompt from which the time to read a token is learnt;
+// minPrefillSample is the least prompt from which the time to read a token is learnt;
 // from less, the time that any answer takes is.
-const minSample = 1024
+const minPrefillSample = 1024
 
-// learn fits the time to the first byte as a base and a time for each token.
-func (p *Pool) learn(k *InFlightRequest, took float64) {
-	if k.tokens == 0 {
+// learnPrefillTime fits the time to the first byte as a base and a time for each token.
+func (p *Pool) learnPrefillTime(request *InFlightRequest, took float64) {
+	if request.tokens == 0 {
 		return
 	}
-	took -= k.fetch
-	if k.read < minSample {
-		p.base += learnShare * (max(0, took-p.perToken*float64(k.read)) - p.base)
+	took -= request.fetchSeconds
+	if request.tokensWithAhead < minPrefillSample {
+		p.baseSeconds += learnWeight * (max(0, took-p.secondsPerToken*float64(request.tokensWithAhead)) - p.baseSeconds)
 		return
 	}
-	p.perToken += learnShare * (max(0, took-p.base)/float64(k.read) - p.perToken)
+	p.secondsPerToken += learnWeight * (max(0, took-p.baseSeconds)/float64(request.tokensWithAhead) - p.secondsPerToken)
 }
 
 // End records how the request ended; later calls do nothing.
-func (k *InFlightRequest) End(o Outcome, now time.Time) {
-	p := k.pool
+func (r *InFlightRequest) End(o Outcome, now time.Time) {
+	p := r.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k.ended {
+	if r.ended {
 		return
 	}
-	k.ended = true
-	m := k.member
-	delete(m.flights, k)
-	m.memory -= k.memory
+	r.ended = true
+	m := r.member
+	delete(m.inFlight, r)
+	m.heldMemory -= r.memory
 	switch {
-	case k.first:
+	case r.firstByteSeen:
 	case o == OutcomeOK:
-		k.noteFirst(now)
+		r.recordFirstByte(now)
 	default:
-		m.pending[k.band] -= k.tokens
+		m.pendingTokens[r.priorityBand] -= r.tokens
 	}
-	if o == OutcomeOK && k.memory > 0 {
-		p.memory.note(k.memory, now.Sub(k.begun))
+	if o == OutcomeOK && r.memory > 0 {
+		p.memory.note(r.memory, now.Sub(r.startedAt))
 	}
-	if o == OutcomeOK && k.tokens == 0 {
-		p.meanRun += time.Duration(learnShare * float64(now.Sub(k.begun)-p.meanRun))
+	if o == OutcomeOK && r.tokens == 0 {
+		p.meanRequestTime += time.Duration(learnWeight * float64(now.Sub(r.startedAt)-p.meanRequestTime))
 	}
-	p.note(m, o, now)
+	p.recordOutcome(m, o, now)
 }
--- a/pkg/route/in_flight_run.go
+++ b/pkg/route/in_flight_run.go
@@ -16,43 +16,43 @@
 
 // InFlightRun is one of this node's own runs in flight.
 type InFlightRun struct {
-	fleet  *Fleet
-	name   string
-	begun  time.Time
-	tokens int
-	first  bool
+	fleet          *Fleet
+	replica        string
+	startedAt      time.Time
+	tokens         int
+	firstTokenSeen bool
 }
 
 // FirstToken records that the first token has come.
-func (t *InFlightRun) FirstToken() {
-	t.fleet.mu.Lock()
-	defer t.fleet.mu.Unlock()
-	t.first = true
+func (run *InFlightRun) FirstToken() {
+	run.fleet.mu.Lock()
+	defer run.fleet.mu.Unlock()
+	run.firstTokenSeen = true
 }
 
 // End records how the run ended; a replica that fails several times in a row is
 // passed over for a growing time, unless too many of its model are already.
-func (t *InFlightRun) End(o Outcome, now time.Time) {
-	t.fleet.mu.Lock()
-	defer t.fleet.mu.Unlock()
-	r, ok := t.fleet.replicas[t.name]
+func (run *InFlightRun) End(o Outcome, now time.Time) {
+	run.fleet.mu.Lock()
+	defer run.fleet.mu.Unlock()
+	r, ok := run.fleet.replicas[run.replica]
 	if !ok {
 		return
 	}
-	delete(r.tickets, t)
+	delete(r.inFlight, run)
 	switch o {
 	case OutcomeOK:
-		r.failures = 0
-		r.ejection = 0
-		took := now.Sub(t.begun)
-		r.meanRun += time.Duration(runWeight * float64(took-r.meanRun))
+		r.consecutiveFailures = 0
+		r.ejectionTime = 0
+		took := now.Sub(run.startedAt)
+		r.meanRunTime += time.Duration(runTimeWeight * float64(took-r.meanRunTime))
 	case OutcomeFailed:
-		r.failures++
-		if r.failures >= ejectFailures && t.fleet.ejectable(r.Model, now) {
-			r.ejection = min(ejectMost, max(ejectFirst, 2*r.ejection))
-			r.until = now.Add(r.ejection)
-			r.slowFrom = r.until
-			r.failures = 0
+		r.consecutiveFailures++
+		if r.consecutiveFailures >= ejectAfterFailures && run.fleet.mayEject(r.Model, now) {
+			r.ejectionTime = min(maxEjection, max(firstEjection, 2*r.ejectionTime))
+			r.ejectedUntil = now.Add(r.ejectionTime)
+			r.slowStartFrom = r.ejectedUntil
+			r.consecutiveFailures = 0
 		}
 	case OutcomeNeutral:
 	}
--- a/pkg/route/limited.go
+++ b/pkg/route/limited.go
@@ -10,11 +10,11 @@
 // each moment: one that is left alone is sent nothing, and so nobody hears that it takes more
 // again. Its owner therefore prefers it, the more the longer what it takes was left unused.
 const (
-	// unusedTime is by how much a replica is preferred for each request that was left unused,
+	// unusedRequestGain is by how much a replica is preferred for each request that was left unused,
 	// and unusedMost for how many at most: together they are less than a long prompt's reading, so
 	// that what is kept elsewhere goes before.
-	unusedTime = 40 * time.Millisecond
-	unusedMost = 2.5
+	unusedRequestGain = 40 * time.Millisecond
+	maxUnusedRequests = 2.5
 )
 
 // RateLimits says which replicas have named how many requests a second they take, and what
@@ -40,20 +40,22 @@
 
 // SetRateLimits has the pool go by the rates that replicas name; it is to be called before the
 // pool is used.
-func (p *Pool) SetRateLimits(l RateLimits) { p.rates = l }
+func (p *Pool) SetRateLimits(l RateLimits) { p.rateLimits = l }
 
 // rateState is what is known of the rate that a replica names.
 func (p *Pool) rateState(m *member, now time.Time) (s RateState) {
-	if p.rates != nil {
-		s = p.rates.State(m.start, now)
+	if p.rateLimits != nil {
+		s = p.rateLimits.State(m.startKey, now)
 	}
 	return s
 }
 
 // allows says whether a replica may be picked for a request.
-func (s *RateState) allows(n *PickInput) bool { return s.Wait == 0 && (!s.Limited || !n.UnlimitedOnly) }
+func (s *RateState) allows(in *PickInput) bool {
+	return s.Wait == 0 && (!s.Limited || !in.UnlimitedOnly)
+}
 
 // unusedGain is by how much a replica is preferred that takes more than it is sent.
 func (s *RateState) unusedGain() time.Duration {
-	return time.Duration(min(unusedMost, s.Unused) * float64(unusedTime))
+	return time.Duration(min(maxUnusedRequests, s.Unused) * float64(unusedRequestGain))
 }
--- a/pkg/route/links.go
+++ b/pkg/route/links.go
@@ -116,9 +116,9 @@
 func (s *linkState) overdue(now time.Time) float64 {
 	worst := 0.0
 	for k := range s.open {
-		worst = max(worst, now.Sub(k.begun).Seconds()/max(k.expected.Seconds(), minExpected)-1)
+		worst = max(worst, now.Sub(k.startedAt).Seconds()/max(k.expected.Seconds(), minExpected)-1)
 	}
-	return min(worst, mostLate)
+	return min(worst, maxLateness)
 }
 
 // minExpected keeps short transfers from looking late for the time that any
@@ -141,8 +141,8 @@
 func (l *Links) Book(a, b string, bytes int64, now time.Time) *Booking {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := &Booking{links: l, names: [2]string{a, b}, bytes: bytes, begun: now}
-	for i, name := range k.names {
+	k := &Booking{links: l, linkNames: [2]string{a, b}, bytes: bytes, startedAt: now}
+	for i, name := range k.linkNames {
 		s := l.get(name)
 		k.expected = max(k.expected, s.estimate(bytes, now))
 		k.reserved[i] = seconds(float64(bytes) / s.rate(now))
--- a/pkg/route/memory.go
+++ b/pkg/route/memory.go
@@ -26,12 +26,12 @@
 // note takes in a prompt that held tokens for a time. Larger prompts weigh more, as
 // it is they that fill the memory.
 func (u *memoryUse) note(tokens int, held time.Duration) {
-	u.tokens = (1-learnShare)*u.tokens + float64(tokens)
-	u.seconds = (1-learnShare)*u.seconds + float64(tokens)*min(held, mostHold).Seconds()
+	u.tokens = (1-learnWeight)*u.tokens + float64(tokens)
+	u.seconds = (1-learnWeight)*u.seconds + float64(tokens)*min(held, mostHold).Seconds()
 }
 
 // mean is the mean of what a prompt holds, in tokens.
-func (u *memoryUse) mean() int { return int(learnShare * u.tokens) }
+func (u *memoryUse) mean() int { return int(learnWeight * u.tokens) }
 
 // hold is the mean time for which a token is held, in seconds.
 func (u *memoryUse) hold() float64 {
@@ -45,9 +45,9 @@
 // memory that it needs, in seconds. What is let in past an engine's memory has
 // another prompt preempted, and that one is read again.
 func (p *Pool) memoryWait(m *member, tokens int) float64 {
-	if p.capacity <= 0 || p.without.Memory {
+	if p.engineMemory <= 0 || p.disabled.Memory {
 		return 0
 	}
-	over := float64(m.memory+m.others.Memory+tokens) - memoryShare*float64(p.capacity)
-	return max(0, over) / float64(p.capacity) * p.memory.hold()
+	over := float64(m.heldMemory+m.peerLoad.Memory+tokens) - memoryShare*float64(p.engineMemory)
+	return max(0, over) / float64(p.engineMemory) * p.memory.hold()
 }
--- a/pkg/route/name_hash.go
+++ b/pkg/route/name_hash.go
@@ -8,6 +8,6 @@
 type NameHash uint32
 
 // HashName returns the key of an ID or a name.
-func HashName(name string) NameHash { return keyOfHash(rendezvous.Hash(name)) }
+func HashName(name string) NameHash { return nameHashOf(rendezvous.Hash(name)) }
 
-func keyOfHash(hash uint64) NameHash { return NameHash(hash) }
+func nameHashOf(hash uint64) NameHash { return NameHash(hash) }
--- a/pkg/route/pick_input.go
+++ b/pkg/route/pick_input.go
@@ -52,17 +52,17 @@
 
 // toRead is how many tokens a replica has to read. Where it does not tell what it
 // holds, a prompt's home is likely to have some of what can't be fetched.
-func (n *PickInput) toRead(o CacheCoverage, home bool) float64 {
-	read := float64(n.Tokens - o.Held - o.Fetched)
-	if home && !o.Known {
-		read -= homeShare * float64(n.Shared-o.Fetched)
+func (in *PickInput) tokensToPrefill(coverage CacheCoverage, affinity bool) float64 {
+	tokens := float64(in.Tokens - coverage.Held - coverage.Fetched)
+	if affinity && !coverage.Known {
+		tokens -= affinityCachedShare * float64(in.Shared-coverage.Fetched)
 	}
-	return read
+	return tokens
 }
 
 // mayRunIn says whether the request may run in a region.
-func (n *PickInput) mayRunIn(region string) bool {
-	return !n.HomesOnly || slices.Contains(n.Homes, region)
+func (in *PickInput) mayRunIn(region string) bool {
+	return !in.HomesOnly || slices.Contains(in.Homes, region)
 }
 
 // Choice is the replica for a request.
@@ -72,15 +72,15 @@
 	Weights int64
 	// Expected is the expected time to the first byte of the answer.
 	Expected time.Duration
-	// Plain is what Expected would be if the replica were as late as the others.
-	Plain time.Duration
+	// ExpectedAtMeanLatency is what Expected would be if the replica were as late as the others.
+	ExpectedAtMeanLatency time.Duration
 	// Fetch is the part of Expected that is for a fetch.
 	Fetch time.Duration
 	// Read are the tokens that the replica should have to read.
 	Read int
-	// Ahead are those that it reads before, and Band how urgent the request is.
-	Ahead int
-	Band  int
+	// TokensAhead are those that it reads before, and Band how urgent the request is.
+	TokensAhead int
+	Band        int
 	// Wait is the part of Expected until the replica begins the request.
 	Wait time.Duration
 	// Memory are the tokens of the replica's memory that it will hold.
--- a/pkg/route/plan.go
+++ b/pkg/route/plan.go
@@ -17,9 +17,9 @@
 	// FetchTime is how long the fetch should take.
 	FetchTime time.Duration
 
-	kept  *CacheIndex
-	moves []*keptLink // Over which something is fetched.
-	saves []plannedSave
+	index        *CacheIndex
+	fetchLinks   []*keptLink // Over which something is fetched.
+	plannedSaves []plannedSave
 }
 
 // plannedSave is a part that is to be saved at a store.
@@ -28,8 +28,8 @@
 	key   partKey
 }
 
-// take has a part fetched.
-func (p *Plan) take(i, tokens int, addr netip.AddrPort, wait time.Duration) {
+// addFetch has a part fetched.
+func (p *Plan) addFetch(i, tokens int, addr netip.AddrPort, wait time.Duration) {
 	p.Sources[i] = addr
 	p.Fetched += tokens
 	p.FetchTime += wait
@@ -40,12 +40,12 @@
 // saveTerm, and on a day on which a third of the engines crash three times a sixth of
 // the shared tokens were read again for that.
 func (p *Plan) Cancel() {
-	if p.kept == nil {
+	if p.index == nil {
 		return
 	}
-	p.kept.mu.Lock()
-	defer p.kept.mu.Unlock()
-	for _, s := range p.saves {
+	p.index.mu.Lock()
+	defer p.index.mu.Unlock()
+	for _, s := range p.plannedSaves {
 		delete(s.store.saving, s.key)
 	}
 }
@@ -53,12 +53,12 @@
 // FirstByte records that the first byte of the answer has come, by how much later
 // than expected.
 func (p *Plan) FirstByte(excess time.Duration, now time.Time) {
-	if p.kept == nil {
+	if p.index == nil {
 		return
 	}
-	p.kept.mu.Lock()
-	defer p.kept.mu.Unlock()
-	for _, l := range p.moves {
+	p.index.mu.Lock()
+	defer p.index.mu.Unlock()
+	for _, l := range p.fetchLinks {
 		if excess < 0 {
 			l.own.Early++
 			l.shift(-1, now)
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -21,31 +21,31 @@
 type Pool struct {
 	mu       sync.Mutex
 	rng      *rand.Rand
-	hall     string // Of this node.
-	replicas map[string]*member
-	list     []*member
-	// perToken is the learnt time to read one token, and base that of an answer
+	dataHall string // Of this node.
+	byID     map[string]*member
+	members  []*member
+	// secondsPerToken is the learnt time to read one token, and base that of an answer
 	// with little to read, in seconds.
-	perToken float64
-	base     float64
-	meanRun  time.Duration // Of requests without a prompt.
-	failing  float64       // Mean share of failures over all replicas.
-	// late is the mean over all replicas of the time taken over the time expected.
-	late     float64
-	memory   memoryUse
-	capacity int // Of an engine's memory, in tokens; 0 if not known.
+	secondsPerToken float64
+	baseSeconds     float64
+	meanRequestTime time.Duration // Of requests without a prompt.
+	meanFailureRate float64       // Mean share of failures over all replicas.
+	// meanLatencyRatio is the mean over all replicas of the time taken over the time expected.
+	meanLatencyRatio float64
+	memory           memoryUse
+	engineMemory     int // Of an engine's memory, in tokens; 0 if not known.
 	// coldMost is how many requests a cold replica may get from all nodes in a second, if
 	// coldLimited, and coldShares tells this node's share.
-	coldLimited bool
-	coldMost    int
-	coldShares  ColdShares
-	rates       RateLimits // Nil for none.
-	// lostInRow counts replicas that were not reached since one last answered.
-	lostInRow int
+	hasColdLimit bool
+	coldLimit    int
+	coldShares   ColdShares
+	rateLimits   RateLimits // Nil for none.
+	// consecutiveUnreachable counts replicas that were not reached since one last answered.
+	consecutiveUnreachable int
 	// backoffs are until when starts of replicas are sent nothing, as they asked; also of those
 	// whose rows have gone, and may come again.
 	backoffs map[string]time.Time
-	without  config.DisabledMechanisms
+	disabled config.DisabledMechanisms
 	// candidates is kept for choose.
 	candidates []candidate
 }
@@ -53,27 +53,27 @@
 // member is one replica of a pool.
 type member struct {
 	site.Upstream
-	hash uint64 // Of the ID.
-	// key is of this start of the replica: what was told of an earlier one is not its.
-	key NameHash
-	// start names this start of it.
-	start   string
-	flights map[*InFlightRequest]struct{} // Own requests in flight.
-	pending BandTokens                    // Tokens of those without a first answer byte.
-	memory  int                           // Tokens that they hold of an engine's memory.
-	others  PeerLoad                      // In flight at other nodes.
-	late    float64                       // Mean of the time taken over the time expected.
-	lateAt  time.Time
-	failing float64 // Mean share of failures.
-	outcome outlier
-	avoid   time.Time // Until when it is passed over if others can take over.
-	backoff time.Time // Until when it is sent nothing, as it asked.
-	steered time.Time // Until when its weights are expected to be being replaced.
-	cold    time.Time // Bears little until.
-	// presumed is until when the replica is taken to be cold though it has not said so:
+	idHash uint64 // Of the ID.
+	// startHash is of this start of the replica: what was told of an earlier one is not its.
+	startHash NameHash
+	// startKey names this start of it.
+	startKey       string
+	inFlight       map[*InFlightRequest]struct{} // Own requests in flight.
+	pendingTokens  BandTokens                    // Tokens of those without a first answer byte.
+	heldMemory     int                           // Tokens that they hold of an engine's memory.
+	peerLoad       PeerLoad                      // In flight at other nodes.
+	latencyRatio   float64                       // Mean of the time taken over the time expected.
+	latencyRatioAt time.Time
+	failureRate    float64 // Mean share of failures.
+	outlier        outlierState
+	avoidUntil     time.Time // Until when it is passed over if others can take over.
+	backoffUntil   time.Time // Until when it is sent nothing, as it asked.
+	swapUntil      time.Time // Until when its weights are expected to be being replaced.
+	coldUntil      time.Time // Bears little until.
+	// presumedColdUntil is until when the replica is taken to be cold though it has not said so:
 	// it was not reached, and may have started again.
-	presumed time.Time
-	sends    []time.Time // Of requests within coldWindow, if there is a limit.
+	presumedColdUntil time.Time
+	sends             []time.Time // Of requests within coldWindow, if there is a limit.
 }
 
 // PeerLoad is what other nodes have in flight at a replica.
@@ -98,63 +98,63 @@
 }
 
 const (
-	// startPerToken is the time to read a token that is assumed before any was
+	// initialSecondsPerToken is the time to read a token that is assumed before any was
 	// measured: some 20,000 tokens a second.
-	startPerToken = 50e-6
-	// startBase is the time to the first byte of a prompt with little to read
+	initialSecondsPerToken = 50e-6
+	// initialBaseSeconds is the time to the first byte of a prompt with little to read
 	// that is assumed before any was measured.
-	startBase = 0.03
-	// startRun is how long a request without a prompt is assumed to take.
-	startRun = 50 * time.Millisecond
-	// learnShare is the weight of the newest sample in learnt means.
-	learnShare = 0.05
-	// lateShare is the weight of the newest sample in a replica's lateness.
-	lateShare = 0.2
-	// lateMemory is how fast an unused replica's lateness is forgotten.
-	lateMemory = 5 * time.Second
-	// leastExpected keeps short requests from looking late for the time that
+	initialBaseSeconds = 0.03
+	// initialRequestTime is how long a request without a prompt is assumed to take.
+	initialRequestTime = 50 * time.Millisecond
+	// learnWeight is the weight of the newest sample in learnt means.
+	learnWeight = 0.05
+	// latencyRatioWeight is the weight of the newest sample in a replica's lateness.
+	latencyRatioWeight = 0.2
+	// latencyDecayTime is how fast an unused replica's lateness is forgotten.
+	latencyDecayTime = 5 * time.Second
+	// minExpectedTime keeps short requests from looking late for the time that
 	// any takes.
-	leastExpected = 20 * time.Millisecond
-	mostLateness  = 20.0
-	// hallTime is the price of another data hall: the way there and back, and
+	minExpectedTime = 20 * time.Millisecond
+	maxLatencyRatio = 20.0
+	// otherHallCost is the price of another data hall: the way there and back, and
 	// what the bytes between halls cost, in the time that is worth the same.
-	hallTime = 4 * time.Millisecond
-	// oldWeightsTime is the price of weights that are to be replaced.
-	oldWeightsTime = 100 * time.Millisecond
-	// runTime is the price of each request that runs at a replica: the others'
+	otherHallCost = 4 * time.Millisecond
+	// staleWeightsCost is the price of weights that are to be replaced.
+	staleWeightsCost = 100 * time.Millisecond
+	// runningRequestCost is the price of each request that runs at a replica: the others'
 	// tokens come more slowly for it.
-	runTime = 500 * time.Microsecond
-	// homeShare is the share of a prompt's shared tokens that its home replica
+	runningRequestCost = 500 * time.Microsecond
+	// affinityCachedShare is the share of a prompt's shared tokens that its home replica
 	// is assumed to still have.
-	homeShare = 0.1
+	affinityCachedShare = 0.1
 )
 
 // NewPool returns a pool without replicas for a node in the given data hall.
 func NewPool(hall string, rng *rand.Rand) *Pool {
-	return &Pool{hall: hall, rng: rng, replicas: map[string]*member{}, perToken: startPerToken, base: startBase, meanRun: startRun, late: 1, backoffs: map[string]time.Time{}}
+	return &Pool{dataHall: hall, rng: rng, byID: map[string]*member{}, secondsPerToken: initialSecondsPerToken, baseSeconds: initialBaseSeconds, meanRequestTime: initialRequestTime, meanLatencyRatio: 1, backoffs: map[string]time.Time{}}
 }
 
 // Disable switches mechanisms off; it is to be called before the pool is used.
-func (p *Pool) Disable(w config.DisabledMechanisms) { p.without = w }
+func (p *Pool) Disable(mechanisms config.DisabledMechanisms) { p.disabled = mechanisms }
 
 // Configure sets which replicas there are; what is known of those that stay is
 // kept.
 func (p *Pool) Configure(list []site.Upstream, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.replicas
-	p.replicas = make(map[string]*member, len(list))
-	p.list = p.list[:0]
+	old := p.byID
+	p.byID = make(map[string]*member, len(list))
+	p.members = p.members[:0]
 	for _, u := range list {
 		m, ok := old[u.ID]
 		if !ok || m.StartedBefore(&u) {
 			// What is known of an earlier start goes with it: its weights, its lateness,
 			// its failures and what was in flight there.
-			m = &member{hash: rendezvous.Hash(u.ID), key: HashName(u.StartKey()), start: u.StartKey(), flights: map[*InFlightRequest]struct{}{}, late: 1}
-			m.backoff = p.backoffs[m.start]
+			m = &member{idHash: rendezvous.Hash(u.ID), startHash: HashName(u.StartKey()), startKey: u.StartKey(), inFlight: map[*InFlightRequest]struct{}{}, latencyRatio: 1}
+			m.backoffUntil = p.backoffs[m.startKey]
 		}
 		if !m.Started.Equal(u.Started) { // The same start, told with its time or without.
-			m.key, m.start = HashName(u.StartKey()), u.StartKey()
+			m.startHash, m.startKey = HashName(u.StartKey()), u.StartKey()
 		}
 		weights := m.Weights
 		m.Upstream = u
@@ -165,12 +165,12 @@
 			}
 		}
 		if u.ColdUntil.After(now) {
-			m.cold = u.ColdUntil
+			m.coldUntil = u.ColdUntil
 		}
-		p.replicas[u.ID] = m
-		p.list = append(p.list, m)
+		p.byID[u.ID] = m
+		p.members = append(p.members, m)
 	}
-	slices.SortFunc(p.list, func(a, b *member) int {
+	slices.SortFunc(p.members, func(a, b *member) int {
 		if a.ID < b.ID {
 			return -1
 		}
@@ -188,44 +188,44 @@
 func (p *Pool) AppendLoads(list []ReplicaLoad) []ReplicaLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.list {
-		if len(m.flights) > 0 {
-			load := PeerLoad{Requests: len(m.flights), Tokens: m.pending, Memory: m.memory}
-			list = append(list, ReplicaLoad{Key: m.key, Load: load})
+	for _, m := range p.members {
+		if len(m.inFlight) > 0 {
+			load := PeerLoad{Requests: len(m.inFlight), Tokens: m.pendingTokens, Memory: m.heldMemory}
+			list = append(list, ReplicaLoad{Key: m.startHash, Load: load})
 		}
 	}
 	return list
 }
 
 // Pick chooses a replica; ok is false if none may take the request.
-func (p *Pool) Pick(n *PickInput, now time.Time) (c Choice, ok bool) {
+func (p *Pool) Pick(in *PickInput, now time.Time) (c Choice, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.capacity = max(p.capacity, n.Capacity)
-	home := p.home(n)
-	chosen := p.choose(n, home, now)
+	p.engineMemory = max(p.engineMemory, in.Capacity)
+	affinity := p.affinityMember(in)
+	chosen := p.choose(in, affinity, now)
 	if chosen == nil {
 		return Choice{}, false
 	}
-	if n.Send {
-		p.noteSend(chosen, now)
+	if in.Send {
+		p.recordSend(chosen, now)
 	}
-	offer := n.Coverage[chosen.ID]
+	coverage := in.Coverage[chosen.ID]
 	return Choice{
-		Upstream: chosen.Upstream,
-		Weights:  chosen.Weights[n.Model],
-		Expected: seconds(p.firstByte(chosen, n, chosen == home, p.lateness(chosen, now), now)),
-		Plain:    seconds(p.firstByte(chosen, n, chosen == home, 1, now)),
-		Fetch:    offer.Wait,
-		Read:     int(n.toRead(offer, chosen == home)),
-		Memory:   n.Memory,
-		Ahead:    chosen.ahead(n),
-		Band:     bandOf(n.Priority),
-		Wait:     seconds(p.promptWait(chosen, n, now)),
+		Upstream:              chosen.Upstream,
+		Weights:               chosen.Weights[in.Model],
+		Expected:              seconds(p.firstByteSeconds(chosen, in, chosen == affinity, p.relativeLatency(chosen, now), now)),
+		ExpectedAtMeanLatency: seconds(p.firstByteSeconds(chosen, in, chosen == affinity, 1, now)),
+		Fetch:                 coverage.Wait,
+		Read:                  int(in.tokensToPrefill(coverage, chosen == affinity)),
+		Memory:                in.Memory,
+		TokensAhead:           chosen.tokensAhead(in),
+		Band:                  bandOf(in.Priority),
+		Wait:                  seconds(p.promptQueueSeconds(chosen, in, now)),
 	}, true
 }
 
-// passedOver says whether a replica is left out as long as others are there.
-func (m *member) passedOver(now time.Time) bool {
-	return now.Before(m.avoid) || m.outcome.ejected(now)
+// lastResort says whether a replica is left out as long as others are there.
+func (m *member) lastResort(now time.Time) bool {
+	return now.Before(m.avoidUntil) || m.outlier.ejected(now)
 }
--- a/pkg/route/pool_bench_test.go
+++ b/pkg/route/pool_bench_test.go
@@ -13,10 +13,10 @@
 	for _, n := range []int{18, 60, 600, 2300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := newTestPool(n, 1)
-			need := &PickInput{Model: "m", Tokens: 9000, Shared: 7500, Affinity: 7}
+			input := &PickInput{Model: "m", Tokens: 9000, Shared: 7500, Affinity: 7}
 			b.ReportAllocs()
 			for b.Loop() {
-				c, ok := p.Pick(need, testNow)
+				c, ok := p.Pick(input, testNow)
 				if !ok {
 					b.Fatal("nothing picked")
 				}
@@ -29,7 +29,7 @@
 }
 
 // The cost of one plan by the number of stores, each with 1,000 parts.
-func BenchmarkKeptPlan(b *testing.B) {
+func BenchmarkCacheIndexPlan(b *testing.B) {
 	for _, n := range []int{5, 14, 140} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var stores []*site.Service
@@ -54,7 +54,7 @@
 }
 
 // The cost of one look-up by the number of engines, each of which holds 20 parts.
-func BenchmarkKeptLook(b *testing.B) {
+func BenchmarkCacheIndexCoverage(b *testing.B) {
 	for _, n := range []int{9, 60, 256} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			engines := testReplicas(n, 1)
--- a/pkg/route/pool_test.go
+++ b/pkg/route/pool_test.go
@@ -31,7 +31,7 @@
 
 // Whatever happens to replicas, a pick names one that is there, does not leave,
 // was not excluded, and has weights that may still be used.
-func TestPickKeepsToWhatMayBeUsed(t *testing.T) {
+func TestPickReturnsOnlyEligibleReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestPool(6, 1)
 		list := testReplicas(6, 1)
@@ -56,8 +56,8 @@
 				oldest = newest
 			default:
 			}
-			need := &PickInput{Model: "m", Tokens: 1000, NewestVersion: newest, MinVersion: oldest, StalenessWeight: 1, Exclude: []string{"r00"}}
-			c, ok := p.Pick(need, now)
+			input := &PickInput{Model: "m", Tokens: 1000, NewestVersion: newest, MinVersion: oldest, StalenessWeight: 1, Exclude: []string{"r00"}}
+			c, ok := p.Pick(input, now)
 			usable := 0
 			for _, u := range list {
 				if !u.Draining && u.ID != "r00" && u.Weights["m"] >= oldest {
@@ -83,18 +83,18 @@
 		for _, l := range p.AppendLoads(nil) {
 			assert.Equal(t, l.Load.Requests, 0)
 		}
-		for _, m := range p.list {
-			assert.Equal(t, m.pending, BandTokens{})
+		for _, m := range p.members {
+			assert.Equal(t, m.pendingTokens, BandTokens{})
 		}
 	})
 }
 
-func TestPromptsGoWhereLeastIsToBeRead(t *testing.T) {
+func TestSimultaneousPromptsSpreadOverReplicas(t *testing.T) {
 	p := newTestPool(3, 1)
-	need := &PickInput{Model: "m", Tokens: 5000}
+	input := &PickInput{Model: "m", Tokens: 5000}
 	seen := map[string]bool{}
 	for range 3 {
-		c, ok := p.Pick(need, testNow)
+		c, ok := p.Pick(input, testNow)
 		assert.Assert(t, ok)
 		p.Begin(c, testNow)
 		seen[c.ID] = true
@@ -104,16 +104,16 @@
 
 // One prompt that draws most of the traffic does not drown the replica that it
 // belongs to: its requests spread, and others are placed as before.
-func TestHotPromptIsSpread(t *testing.T) {
+func TestHotPromptDoesNotOverloadItsAffinityReplica(t *testing.T) {
 	const replicas, requests = 10, 200
 	p := newTestPool(replicas, 1)
 	count := map[string]int{}
 	for i := range requests {
-		need := &PickInput{Model: "m", Tokens: 5000, Shared: 4000, Affinity: 42}
+		input := &PickInput{Model: "m", Tokens: 5000, Shared: 4000, Affinity: 42}
 		if i%4 == 0 {
-			need.Affinity = uint64(1000 + i)
+			input.Affinity = uint64(1000 + i)
 		}
-		c, ok := p.Pick(need, testNow)
+		c, ok := p.Pick(input, testNow)
 		assert.Assert(t, ok)
 		p.Begin(c, testNow)
 		count[c.ID]++
@@ -125,21 +125,21 @@
 }
 
 // A replica that goes down and up by turns is left out longer each time.
-func TestFlappingReplicaIsLeftOutLonger(t *testing.T) {
+func TestFlappingReplicaIsEjectedLongerEachTime(t *testing.T) {
 	p := newTestPool(4, 1)
 	now, last := testNow, time.Duration(0)
 	for range 3 {
 		p.RecordUnreachable("r00", now)
-		m := p.replicas["r00"]
-		assert.Assert(t, m.outcome.ejected(now))
-		out := m.outcome.until.Sub(now)
+		m := p.byID["r00"]
+		assert.Assert(t, m.outlier.ejected(now))
+		out := m.outlier.ejectedUntil.Sub(now)
 		assert.Assert(t, out > last, "%s after %s", out, last)
-		now, last = m.outcome.until, out
-		assert.Assert(t, !m.outcome.ejected(now), "it is tried again")
+		now, last = m.outlier.ejectedUntil, out
+		assert.Assert(t, !m.outlier.ejected(now), "it is tried again")
 	}
 }
 
-func TestWhatOtherNodesHaveThereCounts(t *testing.T) {
+func TestPickCountsLoadFromOtherNodes(t *testing.T) {
 	p := newTestPool(3, 1)
 	p.SetPeers(map[NameHash]PeerLoad{HashName("r00"): {Requests: 2, Tokens: BandTokens{9000}}, HashName("r01"): {Requests: 2, Tokens: BandTokens{9000}}})
 	for range 5 {
@@ -149,14 +149,14 @@
 	}
 }
 
-func TestEjectionIsBounded(t *testing.T) {
+func TestEjectionLeavesMostReplicasInUse(t *testing.T) {
 	p := newTestPool(10, 1)
 	for i := range 10 {
 		p.RecordUnreachable(fmt.Sprintf("r%02d", i), testNow)
 	}
 	out := 0
-	for _, m := range p.list {
-		if m.outcome.ejected(testNow) {
+	for _, m := range p.members {
+		if m.outlier.ejected(testNow) {
 			out++
 		}
 	}
@@ -169,7 +169,7 @@
 }
 
 // A service that fails some of its requests everywhere has no outliers.
-func TestFailuresThatAllHaveEjectNobody(t *testing.T) {
+func TestUniformFailuresDoNotEjectReplicas(t *testing.T) {
 	p := newTestPool(3, 1)
 	rng := rand.New(rand.NewPCG(3, 4))
 	now := testNow
@@ -186,20 +186,20 @@
 		k.End(o, now)
 	}
 	ejections := 0
-	for _, m := range p.list {
-		if m.outcome.ejection > 2*ejectFirst {
+	for _, m := range p.members {
+		if m.outlier.ejectionTime > 2*firstEjection {
 			ejections++
 		}
 	}
 	assert.Equal(t, ejections, 0)
 }
 
-func TestReplicaThatFailsAShareIsEjected(t *testing.T) {
+func TestReplicaWithHighFailureRateIsEjected(t *testing.T) {
 	p := newTestPool(5, 1)
 	now := testNow
 	for i := range 40 {
 		now = now.Add(10 * time.Millisecond)
-		for _, m := range p.list {
+		for _, m := range p.members {
 			k := p.Begin(Choice{Upstream: m.Upstream}, now)
 			o := OutcomeOK
 			if m.ID == "r02" && i%2 == 0 {
@@ -209,15 +209,15 @@
 			k.End(o, now)
 		}
 	}
-	assert.Assert(t, p.replicas["r02"].outcome.ejection > 0)
-	assert.Assert(t, p.replicas["r01"].outcome.ejection == 0)
+	assert.Assert(t, p.byID["r02"].outlier.ejectionTime > 0)
+	assert.Assert(t, p.byID["r01"].outlier.ejectionTime == 0)
 }
 
 func TestSlowReplicaIsChosenLessOften(t *testing.T) {
 	p := newTestPool(2, 1)
 	now := testNow
 	for range 20 {
-		for _, m := range p.list {
+		for _, m := range p.members {
 			c := Choice{Upstream: m.Upstream, Expected: 50 * time.Millisecond, Read: 2000}
 			k := p.Begin(c, now)
 			took := 50 * time.Millisecond
@@ -238,7 +238,7 @@
 
 // What all nodes spend together stays within the budget, in any window and with
 // any number of nodes.
-func TestRetryShareHoldsWithoutTalking(t *testing.T) {
+func TestRetryShareHoldsWithoutCoordination(t *testing.T) {
 	const ratio, slack, window = 0.2, 54.0, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "nodes")
@@ -277,7 +277,7 @@
 
 // Word of a swap may come again after word that it is done: the replica is not passed
 // over for that.
-func TestWordOfASwapThatIsDoneIsVoid(t *testing.T) {
+func TestLateSwapNoticeDoesNotAvoidSwappedReplica(t *testing.T) {
 	p := newTestPool(2, 1)
 	p.AvoidForSwap(ReplicaRef{ID: "r00"}, "m", 2, testNow.Add(time.Second))
 	assert.Equal(t, p.Swapping(testNow), 1)
@@ -294,15 +294,15 @@
 
 // A replica that answers nothing any more is left while its answers are overdue, long
 // before their time is up.
-func TestReplicaWhoseAnswersAreOverdueIsLeft(t *testing.T) {
+func TestReplicaWithOverdueAnswersIsAvoided(t *testing.T) {
 	p := newTestPool(3, 1)
-	need := &PickInput{Model: "m", Tokens: 1000, Memory: 1000, Capacity: 40_000}
-	c, ok := p.Pick(need, testNow)
+	input := &PickInput{Model: "m", Tokens: 1000, Memory: 1000, Capacity: 40_000}
+	c, ok := p.Pick(input, testNow)
 	assert.Assert(t, ok)
 	k := p.Begin(c, testNow)
 	now := testNow.Add(time.Second)
 	for range 20 {
-		next, ok := p.Pick(need, now)
+		next, ok := p.Pick(input, now)
 		assert.Assert(t, ok)
 		assert.Assert(t, next.ID != c.ID)
 		other := p.Begin(next, now)
@@ -313,14 +313,14 @@
 	k.End(OutcomeOK, now)
 	used := false
 	for range 20 {
-		next, _ := p.Pick(need, now.Add(time.Minute))
+		next, _ := p.Pick(input, now.Add(time.Minute))
 		used = used || next.ID == c.ID
 	}
 	assert.Assert(t, used, "once it answers it is used again")
 }
 
 // A prompt waits behind those as urgent as it is, and not behind others.
-func TestUrgentPromptsDoNotWaitForOthers(t *testing.T) {
+func TestUrgentPromptsDoNotWaitForLowerPriority(t *testing.T) {
 	p := newTestPool(1, 1)
 	p.SetPeers(map[NameHash]PeerLoad{HashName("r00"): {Requests: 3, Tokens: BandTokens{0, 20_000}}})
 	urgent, ok := p.Pick(&PickInput{Model: "m", Tokens: 1000}, testNow)
@@ -335,14 +335,14 @@
 
 // Under a burst all replicas answer late, some requests very late. That is no reason to hold any
 // of them for slow, and a replica that is slow among them still shows.
-func TestLatenessIsAgainstThatOfAllReplicas(t *testing.T) {
+func TestBurstDoesNotMakeEveryReplicaLookSlow(t *testing.T) {
 	p := newTestPool(10, 1)
 	rng := rand.New(rand.NewPCG(5, 6))
 	now := testNow
 	answer := func(u site.Upstream, times float64) {
-		f := p.Begin(Choice{Upstream: u, Plain: 100 * time.Millisecond, Expected: 100 * time.Millisecond}, now)
+		f := p.Begin(Choice{Upstream: u, ExpectedAtMeanLatency: 100 * time.Millisecond, Expected: 100 * time.Millisecond}, now)
 		now = now.Add(20 * time.Millisecond)
-		end := f.begun.Add(time.Duration(times * float64(100*time.Millisecond)))
+		end := f.startedAt.Add(time.Duration(times * float64(100*time.Millisecond)))
 		f.FirstByte(end)
 		f.End(OutcomeOK, end)
 	}
--- a/pkg/route/pool_updates.go
+++ b/pkg/route/pool_updates.go
@@ -7,12 +7,12 @@
 )
 
 // setWeights notes a version; the map is replaced, as the old one is shared.
-func (m *member) setWeights(model string, v int64) {
+func (m *member) setWeights(model string, version int64) {
 	next := make(map[string]int64, len(m.Weights)+1)
 	for k, old := range m.Weights {
 		next[k] = old
 	}
-	next[model] = v
+	next[model] = version
 	m.Weights = next
 }
 
@@ -20,8 +20,8 @@
 func (p *Pool) SetPeers(loads map[NameHash]PeerLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.list {
-		m.others = loads[m.key]
+	for _, m := range p.members {
+		m.peerLoad = loads[m.startHash]
 	}
 }
 
@@ -29,8 +29,8 @@
 func (p *Pool) Avoid(id string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.replicas[id]; ok && until.After(m.avoid) && !p.without.Avoidance {
-		m.avoid = until
+	if m, ok := p.byID[id]; ok && until.After(m.avoidUntil) && !p.disabled.Avoidance {
+		m.avoidUntil = until
 	}
 }
 
@@ -46,9 +46,9 @@
 func RefOf(u *site.Upstream) ReplicaRef { return ReplicaRef{ID: u.ID, Started: u.Started} }
 
 // find returns the replica that is meant, if this node knows that start of it.
-func (p *Pool) find(w ReplicaRef) (m *member, ok bool) {
-	m, ok = p.replicas[w.ID]
-	if ok && !w.Started.IsZero() && !m.Started.IsZero() && !w.Started.Equal(m.Started) {
+func (p *Pool) find(ref ReplicaRef) (m *member, ok bool) {
+	m, ok = p.byID[ref.ID]
+	if ok && !ref.Started.IsZero() && !m.Started.IsZero() && !ref.Started.Equal(m.Started) {
 		return nil, false
 	}
 	return m, ok
@@ -56,18 +56,18 @@
 
 // AvoidForSwap has a replica passed over while it gets weights of a version. Word of that
 // may come after word that it has them, and is void then.
-func (p *Pool) AvoidForSwap(w ReplicaRef, model string, version int64, until time.Time) {
+func (p *Pool) AvoidForSwap(ref ReplicaRef, model string, version int64, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.find(w)
+	m, ok := p.find(ref)
 	if !ok || m.Weights[model] >= version {
 		return
 	}
-	if until.After(m.avoid) && !p.without.Steering {
-		m.avoid = until
+	if until.After(m.avoidUntil) && !p.disabled.Steering {
+		m.avoidUntil = until
 	}
-	if until.After(m.steered) {
-		m.steered = until
+	if until.After(m.swapUntil) {
+		m.swapUntil = until
 	}
 }
 
@@ -76,8 +76,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, m := range p.list {
-		if now.Before(m.steered) {
+	for _, m := range p.members {
+		if now.Before(m.swapUntil) {
 			n++
 		}
 	}
@@ -86,12 +86,12 @@
 
 // RecordWeights notes the version of a model's weights that a replica has, as it was
 // just seen.
-func (p *Pool) RecordWeights(w ReplicaRef, model string, version int64) {
+func (p *Pool) RecordWeights(ref ReplicaRef, model string, version int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.find(w)
+	m, ok := p.find(ref)
 	if ok && version > 0 && m.Weights[model] != version {
 		m.setWeights(model, version)
-		m.avoid, m.steered = time.Time{}, time.Time{}
+		m.avoidUntil, m.swapUntil = time.Time{}, time.Time{}
 	}
 }
--- a/pkg/route/pool_views.go
+++ b/pkg/route/pool_views.go
@@ -11,8 +11,8 @@
 func (p *Pool) Upstreams() []site.Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := make([]site.Upstream, 0, len(p.list))
-	for _, m := range p.list {
+	list := make([]site.Upstream, 0, len(p.members))
+	for _, m := range p.members {
 		list = append(list, m.Upstream)
 	}
 	return list
@@ -22,7 +22,7 @@
 func (p *Pool) Upstream(id string) (u site.Upstream, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.replicas[id]
+	m, ok := p.byID[id]
 	if !ok {
 		return u, false
 	}
@@ -34,11 +34,11 @@
 func (p *Pool) MedianWait(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := &PickInput{Priority: bands - 1, Memory: p.memory.mean()}
+	in := &PickInput{Priority: bands - 1, Memory: p.memory.mean()}
 	var waits []float64
-	for _, m := range p.list {
-		if m.forAll(now) == NotExcluded && !m.passedOver(now) {
-			waits = append(waits, p.wait(m, n, p.lateness(m, now), now))
+	for _, m := range p.members {
+		if m.memberExclusion(now) == NotExcluded && !m.lastResort(now) {
+			waits = append(waits, p.prefillQueueSeconds(m, in, p.relativeLatency(m, now), now))
 		}
 	}
 	if len(waits) == 0 {
@@ -53,20 +53,20 @@
 func (p *Pool) Count(now time.Time) (all, usable int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.list {
-		if m.forAll(now) == NotExcluded && !m.passedOver(now) && !p.limited(m, now) {
+	for _, m := range p.members {
+		if m.memberExclusion(now) == NotExcluded && !m.lastResort(now) && !p.isCold(m, now) {
 			usable++
 		}
 	}
-	return len(p.list), usable
+	return len(p.members), usable
 }
 
 // CountCold is how many replicas are cold, or taken to be.
 func (p *Pool) CountCold(now time.Time) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.list {
-		if p.limited(m, now) {
+	for _, m := range p.members {
+		if p.isCold(m, now) {
 			n++
 		}
 	}
@@ -77,7 +77,7 @@
 func (p *Pool) IsActive(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.replicas[id]
+	m, ok := p.byID[id]
 	return ok && !m.Draining
 }
 
@@ -101,20 +101,20 @@
 func (p *Pool) Status(now time.Time) []PoolReplicaStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := make([]PoolReplicaStatus, 0, len(p.list))
-	for _, m := range p.list {
+	list := make([]PoolReplicaStatus, 0, len(p.members))
+	for _, m := range p.members {
 		rate := p.rateState(m, now)
 		list = append(list, PoolReplicaStatus{
 			Upstream: m.Upstream,
-			Requests: len(m.flights),
-			Tokens:   m.pending,
-			Others:   m.others,
-			Lateness: p.lateness(m, now),
-			Failing:  m.failing,
-			Ejected:  m.outcome.ejected(now),
-			Avoided:  now.Before(m.avoid),
-			Cold:     p.limited(m, now),
-			Backoff:  now.Before(m.backoff),
+			Requests: len(m.inFlight),
+			Tokens:   m.pendingTokens,
+			Others:   m.peerLoad,
+			Lateness: p.relativeLatency(m, now),
+			Failing:  m.failureRate,
+			Ejected:  m.outlier.ejected(now),
+			Avoided:  now.Before(m.avoidUntil),
+			Cold:     p.isCold(m, now),
+			Backoff:  now.Before(m.backoffUntil),
 			Limited:  rate.Limited,
 		})
 	}
--- a/pkg/route/replay_test.go
+++ b/pkg/route/replay_test.go
@@ -75,7 +75,7 @@
 	}
 	for i := range nodes {
 		p := NewPool(fmt.Sprint("h", i%5), rand.New(rand.NewPCG(seed, uint64(i+2))))
-		p.perToken, p.base = replayPerToken, replayStep.Seconds()
+		p.secondsPerToken, p.baseSeconds = replayPerToken, replayStep.Seconds()
 		p.Configure(list, testNow)
 		r.pools = append(r.pools, p)
 	}
--- a/pkg/route/replica.go
+++ b/pkg/route/replica.go
@@ -5,18 +5,18 @@
 const (
 	defaultPrefillRate = 10_000
 	defaultSlots       = 8
-	defaultRun         = 500 * time.Millisecond
-	runWeight          = 0.1 // Of the newest run in the mean run time.
+	defaultRunTime     = 500 * time.Millisecond
+	runTimeWeight      = 0.1 // Of the newest run in the mean run time.
 
-	ejectFailures = 3
-	ejectFirst    = 2 * time.Second
-	ejectMost     = 30 * time.Second
-	// ejectShare is the most of a model's replicas that may be ejected at once;
+	ejectAfterFailures = 3
+	firstEjection      = 2 * time.Second
+	maxEjection        = 30 * time.Second
+	// maxEjectedShare is the most of a model's replicas that may be ejected at once;
 	// beyond it the fault is likely not theirs.
-	ejectShare = 0.3
+	maxEjectedShare = 0.3
 
-	slowStart        = 10 * time.Second
-	slowStartPenalty = 500 * time.Millisecond
+	slowStartTerm    = 10 * time.Second
+	slowStartMaxCost = 500 * time.Millisecond
 )
 
 // Replica names an engine that may take requests.
@@ -26,35 +26,35 @@
 	Model    string
 }
 
-// replica is what this node knows of one engine.
-type replica struct {
+// replicaState is what this node knows of one engine.
+type replicaState struct {
 	Replica
-	report   Report
-	tickets  map[*InFlightRun]struct{} // Own runs in flight.
-	meanRun  time.Duration
-	failures int // In a row.
-	ejection time.Duration
-	until    time.Time // Ejected until.
-	slowFrom time.Time // Back in service since.
+	report              Report
+	inFlight            map[*InFlightRun]struct{} // Own runs in flight.
+	meanRunTime         time.Duration
+	consecutiveFailures int // In a row.
+	ejectionTime        time.Duration
+	ejectedUntil        time.Time // Ejected until.
+	slowStartFrom       time.Time // Back in service since.
 }
 
-func newReplica(r Replica, now time.Time) *replica {
-	return &replica{
-		Replica: r,
-		tickets: map[*InFlightRun]struct{}{},
-		meanRun: defaultRun,
-		report:  Report{Taken: now},
+func newReplicaState(r Replica, now time.Time) *replicaState {
+	return &replicaState{
+		Replica:     r,
+		inFlight:    map[*InFlightRun]struct{}{},
+		meanRunTime: defaultRunTime,
+		report:      Report{Taken: now},
 	}
 }
 
-func (r *replica) rate() float64 {
+func (r *replicaState) rate() float64 {
 	if r.report.PrefillRate <= 0 {
 		return defaultPrefillRate
 	}
 	return r.report.PrefillRate
 }
 
-func (r *replica) slots() int {
+func (r *replicaState) slots() int {
 	if r.report.Slots <= 0 {
 		return defaultSlots
 	}
@@ -62,37 +62,37 @@
 }
 
 // ejected says whether the replica is passed over.
-func (r *replica) ejected(now time.Time) bool { return now.Before(r.until) }
+func (r *replicaState) ejected(now time.Time) bool { return now.Before(r.ejectedUntil) }
 
 // wait estimates how long a new request waits before its own prefill starts.
 //
 // A report is old when it comes, so its prefill queue is worked off at the
 // replica's rate since it was taken, and this node's own runs begun since then
 // are added; those begun before are in the report.
-func (r *replica) wait(now time.Time) time.Duration {
+func (r *replicaState) wait(now time.Time) time.Duration {
 	elapsed := now.Sub(r.report.Taken)
 	pending := max(0, float64(r.report.PrefillQueue)-elapsed.Seconds()*r.rate())
 	occupied := r.report.Running + r.report.Queued
-	for t := range r.tickets {
-		if t.begun.Before(r.report.Taken) {
+	for run := range r.inFlight {
+		if run.startedAt.Before(r.report.Taken) {
 			continue
 		}
 		occupied++
-		if !t.first {
-			pending += float64(t.tokens)
+		if !run.firstTokenSeen {
+			pending += float64(run.tokens)
 		}
 	}
 	w := seconds(pending / r.rate())
 	if excess := occupied + 1 - r.slots(); excess > 0 {
-		w += time.Duration(excess) * r.meanRun / time.Duration(r.slots())
+		w += time.Duration(excess) * r.meanRunTime / time.Duration(r.slots())
 	}
-	if back := now.Sub(r.slowFrom); back < slowStart {
-		w += time.Duration(float64(slowStartPenalty) * (1 - back.Seconds()/slowStart.Seconds()))
+	if back := now.Sub(r.slowStartFrom); back < slowStartTerm {
+		w += time.Duration(float64(slowStartMaxCost) * (1 - back.Seconds()/slowStartTerm.Seconds()))
 	}
 	return w
 }
 
 // prefill is how long so many tokens take to compute.
-func (r *replica) prefill(tokens int) time.Duration { return seconds(float64(tokens) / r.rate()) }
+func (r *replicaState) prefill(tokens int) time.Duration { return seconds(float64(tokens) / r.rate()) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/pkg/route/tracked.go
+++ b/pkg/route/tracked.go
@@ -17,38 +17,38 @@
 // holds some 40 times a second, and all nodes heard of all. One engine more now takes the
 // place of at most one other, or adds itself. Prompts at engines that are not followed are
 // placed by their homes and by what stores have.
-func SelectTracked(hall string, engines []site.Upstream, most int) map[string][]site.Upstream {
+func SelectTracked(hall string, engines []site.Upstream, limit int) map[string][]site.Upstream {
 	halls := map[string][]site.Upstream{}
 	for _, u := range engines {
 		halls[u.DataHall] = append(halls[u.DataHall], u)
 	}
-	var far []string
+	var otherHalls []string
 	for name, list := range halls {
 		slices.SortFunc(list, func(a, b site.Upstream) int {
 			return cmp.Or(cmp.Compare(rendezvous.Hash(a.ID), rendezvous.Hash(b.ID)), cmp.Compare(a.ID, b.ID))
 		})
 		if name != hall {
-			far = append(far, name)
+			otherHalls = append(otherHalls, name)
 		}
 	}
-	slices.Sort(far)
-	near := halls[hall][:min(most, len(halls[hall]))]
-	followed := map[string][]site.Upstream{}
-	if len(near) > 0 {
-		followed[hall] = near
+	slices.Sort(otherHalls)
+	own := halls[hall][:min(limit, len(halls[hall]))]
+	tracked := map[string][]site.Upstream{}
+	if len(own) > 0 {
+		tracked[hall] = own
 	}
-	room := most - len(near)
-	for rank := 0; room > 0; rank++ {
-		taken := room
-		for _, name := range far {
-			if list := halls[name]; rank < len(list) && room > 0 {
-				followed[name] = list[:rank+1]
-				room--
+	remaining := limit - len(own)
+	for rank := 0; remaining > 0; rank++ {
+		before := remaining
+		for _, name := range otherHalls {
+			if list := halls[name]; rank < len(list) && remaining > 0 {
+				tracked[name] = list[:rank+1]
+				remaining--
 			}
 		}
-		if taken == room {
+		if before == remaining {
 			break // There are no more.
 		}
 	}
-	return followed
+	return tracked
 }
--- a/pkg/route/tracked_test.go
+++ b/pkg/route/tracked_test.go
@@ -9,16 +9,16 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-func enginesIn(halls, each int) (list []site.Upstream) {
-	for i := range halls * each {
+func enginesInHalls(halls, perHall int) (list []site.Upstream) {
+	for i := range halls * perHall {
 		list = append(list, site.Upstream{ID: fmt.Sprintf("i-%06d", i*7919), DataHall: fmt.Sprint("h", i%halls)})
 	}
 	return list
 }
 
-func followedIDs(f map[string][]site.Upstream) map[string]bool {
+func trackedIDs(tracked map[string][]site.Upstream) map[string]bool {
 	ids := map[string]bool{}
-	for _, list := range f {
+	for _, list := range tracked {
 		for _, u := range list {
 			ids[u.ID] = true
 		}
@@ -28,12 +28,12 @@
 
 // A fleet that grows by an engine at a time never loses sight of more than that: following
 // ended for a whole service at one engine more than a limit.
-func TestFollowingBendsAsAFleetGrows(t *testing.T) {
+func TestGrowingFleetReplacesAtMostOneTrackedEngine(t *testing.T) {
 	const most = 64
-	all := enginesIn(5, 120)
-	before := followedIDs(SelectTracked("h0", all[:1], most))
+	all := enginesInHalls(5, 120)
+	before := trackedIDs(SelectTracked("h0", all[:1], most))
 	for n := 2; n <= len(all); n++ {
-		now := followedIDs(SelectTracked("h0", all[:n], most))
+		now := trackedIDs(SelectTracked("h0", all[:n], most))
 		assert.Equal(t, len(now), min(n, most))
 		lost := 0
 		for id := range before {
@@ -47,14 +47,14 @@
 }
 
 // What a hall wants to know of another's engines, that one's own nodes follow.
-func TestEnginesWantedElsewhereAreFollowedAtHome(t *testing.T) {
+func TestEnginesTrackedElsewhereAreTrackedInTheirOwnHall(t *testing.T) {
 	const most = 64
 	for _, each := range []int{1, 3, 12, 51, 330} {
-		all := enginesIn(5, each)
+		all := enginesInHalls(5, each)
 		home := map[string]map[string]bool{}
 		for h := range 5 {
 			hall := fmt.Sprint("h", h)
-			home[hall] = followedIDs(map[string][]site.Upstream{hall: SelectTracked(hall, all, most)[hall]})
+			home[hall] = trackedIDs(map[string][]site.Upstream{hall: SelectTracked(hall, all, most)[hall]})
 		}
 		for h := range 5 {
 			for hall, list := range SelectTracked(fmt.Sprint("h", h), all, most) {
