--- a/pkg/route/booking.go
+++ b/pkg/route/booking.go
@@ -8,11 +8,11 @@
 const (
 	// latenessWeight is the weight of the newest transfer in the mean lateness.
 	latenessWeight = 0.25
-	// maxLateness bounds what one transfer adds to it.
+	// maxLateness bounds the lateness of one transfer.
 	maxLateness = 4
 )
 
-// Booking is a transfer's reservation of two links.
+// Booking is a transfer's reservation of time on two links.
 type Booking struct {
 	links     *Links
 	linkNames [2]string
@@ -23,11 +23,11 @@
 	ended     bool
 }
 
-// Expected is how long the transfer was expected to take.
+// Expected returns the expected duration of the transfer.
 func (b *Booking) Expected() time.Duration { return b.expected }
 
-// End gives the reservation back and learns from how long the transfer took;
-// moved is 0 for one that was refused, which says nothing of the links.
+// End releases the reservation and updates the links' rates from the time that the
+// transfer took. moved is 0 for one that was refused, which says nothing about the links.
 func (b *Booking) End(moved int64, now time.Time) {
 	b.links.mu.Lock()
 	defer b.links.mu.Unlock()
@@ -39,7 +39,7 @@
 	for i, name := range b.linkNames {
 		link := b.links.get(name)
 		delete(link.open, b)
-		// What is left of the reservation beyond now falls free.
+		// Release what is left of the reservation.
 		if unused := b.reserved[i] - elapsed; unused > 0 {
 			link.busy = link.busy.Add(-unused)
 		}
@@ -54,8 +54,8 @@
 	}
 }
 
-// GiveUp ends a transfer that was too slow. How slow is not known, only that it
-// took longer than this, so the belief falls all the way to that bound.
+// GiveUp ends a transfer that was abandoned as too slow. Its real duration is unknown but
+// longer than the elapsed time, so the estimated rate drops all the way to that bound.
 func (b *Booking) GiveUp(now time.Time) {
 	b.links.mu.Lock()
 	for _, name := range b.linkNames {
@@ -65,8 +65,8 @@
 	b.End(0, now)
 }
 
-// learn moves the believed share of the nominal rate towards what was seen, by
-// a weight from 0 to 1; the caller holds the lock.
+// learn moves the estimated share of the nominal rate towards an observed ratio, by a
+// weight from 0 to 1; the caller holds the lock.
 func (s *linkState) learn(ratio, weight float64, now time.Time) {
 	lateness := min(maxLateness, max(0, 1/ratio-1))
 	s.late = s.late*s.memory(now)*(1-latenessWeight) + lateness*latenessWeight
--- a/pkg/route/choose.go
+++ b/pkg/route/choose.go
@@ -5,37 +5,36 @@
 	"time"
 )
 
-// A replica is chosen by what waits there, as far as that is known: from other nodes it is
-// known some 20 ms late in a fleet of 9 nodes and up to 0.4 s late in one of 295.
+// A replica is chosen by its estimated queue. What this node knows of the requests of
+// other nodes is some 20 ms old in a fleet of 9 nodes and up to 0.4 s old in one of 295.
 //
-// The load pattern that this answers is a burst: when all nodes weigh all replicas, the one
-// that looks least busy is sent what comes to all of them until they hear of it, and
-// another one after that. So only a few are weighed, drawn at random at each choice. In a
-// replay of 2 s of 2.5 times the usual load, with news 0.2 to 0.3 s late, 0.12 of the prompts
-// of 295 nodes came late with all weighed and 0.003 with two; of 59 nodes 0.094 and 0.001;
-// and with news 20 ms late, at 3.5 times the load, 0.090 and 0.0001 of 59 nodes. Four are
-// worse than two (0.018 at 295 nodes), noise on what is weighed helps less (0.06).
+// Under a burst that age matters: if every node compared all replicas, all would send to
+// the one that looks least busy until they hear of its new load, and then to the next one.
+// So each pick compares only a few, drawn at random. In a replay of 2 s of 2.5 times the
+// usual load, with reports 0.2 to 0.3 s old, 0.12 of the prompts of 295 nodes were late
+// when all replicas were compared and 0.003 when two were; with 59 nodes 0.094 and 0.001;
+// and with reports 20 ms old, 3.5 times the load and 59 nodes, 0.090 and 0.0001. Four are
+// worse than two (0.018 at 295 nodes), and random noise on the costs helps less (0.06).
 const (
-	// sampleSize is how many replicas are drawn of all that may be used, and how many of
-	// those that would be soonest if nothing waited anywhere: such as hold the prompt, or
-	// stand in the same data hall.
+	// sampleSize is how many replicas are drawn from all eligible ones, and how many more
+	// from those with the least cost when idle, such as those that have the prompt cached
+	// or are in the same data hall.
 	sampleSize = 2
-	// nearCostMargin is by how much a replica may be later than the soonest to count with it:
-	// a little over the price of another data hall.
+	// nearCostMargin is how far a replica's idle cost may be above the least one for it to
+	// be drawn as one of the cheapest: a little over otherHallCost.
 	nearCostMargin = 5 * time.Millisecond
-	// tieMargin is the difference below which replicas count as equal: ties are broken at
-	// random.
+	// tieMargin is the random amount that is added to a cost to break ties.
 	tieMargin = time.Millisecond
 )
 
-// candidate is a replica that may take a request, and its price with nothing waiting.
+// candidate is a replica that is eligible for a request, with its cost when idle.
 type candidate struct {
 	member   *member
 	idleCost float64
 }
 
-// choose picks the replica for a request, nil if none may take it. Those that are passed
-// over are only used if there is no other.
+// choose returns the replica for a request, nil if none is eligible. Replicas of last
+// resort are considered only if there is no other.
 func (p *Pool) choose(in *PickInput, affinity *member, now time.Time) *member {
 	for _, lastResort := range []bool{false, true} {
 		candidates, leastIdle := p.candidates[:0], math.Inf(1)
@@ -58,7 +57,7 @@
 	return nil
 }
 
-// draw moves the candidates that are to be weighed to the front of a list, and returns
+// sample moves the candidates that are to be compared to the front of a list, and returns
 // them.
 func (p *Pool) sample(list []candidate, leastIdle float64) []candidate {
 	if p.disabled.Choices {
@@ -66,7 +65,7 @@
 	}
 	sampled := min(sampleSize, len(list))
 	p.sampleToFront(list, 0, sampled, len(list))
-	// The soonest come next, behind those that are drawn already.
+	// Draw from the cheapest ones next, excluding those already drawn.
 	near := sampled
 	for i := sampled; i < len(list); i++ {
 		if list[i].idleCost <= leastIdle+nearCostMargin.Seconds() {
@@ -79,7 +78,7 @@
 	return list[:sampled+extra]
 }
 
-// sampleToFront draws some of list[from:to] to its front.
+// sampleToFront moves count random elements of list[from:to] to its front.
 func (p *Pool) sampleToFront(list []candidate, from, count, to int) {
 	for i := from; i < from+count; i++ {
 		j := i + p.rng.IntN(to-i)
@@ -87,7 +86,7 @@
 	}
 }
 
-// weigh returns the candidate that costs least.
+// cheapest returns the candidate with the least cost.
 func (p *Pool) cheapest(list []candidate, in *PickInput, now time.Time) (chosen *member) {
 	best := math.Inf(1)
 	for _, c := range list {
--- a/pkg/route/cold_test.go
+++ b/pkg/route/cold_test.go
@@ -41,12 +41,12 @@
 	return o.cache[replica]
 }
 
-// shareAmongMost gives as many nodes a share as a limit has requests.
+// shareAmongMost gives as many nodes a share as the limit has requests.
 func shareAmongMost(node, nodes, limit int) *hashedShares {
 	return shareAmong(node, nodes, min(nodes, limit), limit)
 }
 
-// among gives some nodes a share of a limit.
+// shareAmong gives a number of nodes a share of a limit.
 func shareAmong(node, nodes, sharers, limit int) *hashedShares {
 	return &hashedShares{node: node, nodes: nodes, sharers: sharers, share: limit / sharers, cache: map[uint64]int{}}
 }
@@ -63,8 +63,8 @@
 	})
 }
 
-// A node sends a cold replica no more than its share in any second, whatever comes, and
-// nothing if it has none.
+// A node sends a cold replica no more than its share in any second, and nothing if it has
+// none.
 func TestNodeStaysWithinItsShareOfAColdReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := testNow
@@ -80,9 +80,9 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			c, ok := p.Pick(&PickInput{Model: "m", Tokens: 100, Send: true}, now)
 			if !ok {
-				why := p.Availability(&PickInput{Model: "m", Tokens: 100}, now)
-				assert.Equal(t, why.Excluded[ExcludedCold], 1)
-				assert.Assert(t, why.RetryAfter >= minRetryAfter)
+				availability := p.Availability(&PickInput{Model: "m", Tokens: 100}, now)
+				assert.Equal(t, availability.Excluded[ExcludedCold], 1)
+				assert.Assert(t, availability.RetryAfter >= minRetryAfter)
 				continue
 			}
 			sent = append(sent, now)
@@ -97,18 +97,18 @@
 	})
 }
 
-// A replica that was not reached may have started again: it is taken to be cold, the other
-// nodes are told once a second, and a node that reaches nobody tells nothing.
+// An unreachable replica may have restarted: it is presumed cold, and other nodes are
+// notified once a second. A node that can't reach any replica notifies nobody.
 func TestUnreachableReplicaIsPresumedCold(t *testing.T) {
 	p := newTestPool(6, 1)
 	p.SetColdLimit(10, shareAmongMost(0, 1, 10))
 	assert.Assert(t, p.RecordUnreachable("r00", testNow))
-	assert.Assert(t, !p.RecordUnreachable("r00", testNow.Add(100*time.Millisecond)), "it was told of a moment ago")
+	assert.Assert(t, !p.RecordUnreachable("r00", testNow.Add(100*time.Millisecond)), "notified twice within a second")
 	assert.Equal(t, p.CountCold(testNow), 1)
 	p.Begin(pickFrom(t, p), testNow).End(OutcomeOK, testNow)
 	assert.Assert(t, p.RecordUnreachable("r00", testNow.Add(2*time.Second)))
 	assert.Assert(t, p.RecordUnreachable("r01", testNow.Add(2*time.Second)))
-	assert.Assert(t, !p.RecordUnreachable("r02", testNow.Add(2*time.Second)), "this node's own way is at fault")
+	assert.Assert(t, !p.RecordUnreachable("r02", testNow.Add(2*time.Second)), "notified though this node's network is at fault")
 	p.PresumeCold(ReplicaRef{ID: "r03"}, testNow.Add(2*time.Second))
 	assert.Equal(t, p.CountCold(testNow.Add(2*time.Second)), 3)
 	assert.Equal(t, p.CountCold(testNow.Add(2*time.Second+presumedColdTerm)), 0)
@@ -120,11 +120,11 @@
 	for i := range 6 {
 		p.RecordDisconnect(fmt.Sprintf("r%02d", i), testNow)
 	}
-	assert.Equal(t, p.CountCold(testNow), localFaultThreshold-1, "this node's connections are at fault")
+	assert.Equal(t, p.CountCold(testNow), localFaultThreshold-1, "presumed cold though this node's network is at fault")
 	p.SetColdLimit(0, nil)
-	assert.Equal(t, p.CountCold(testNow), 0, "the configuration has no limit any more")
+	assert.Equal(t, p.CountCold(testNow), 0, "cold though the limit was removed")
 	unlimited := newTestPool(6, 1)
-	assert.Assert(t, !unlimited.RecordUnreachable("r00", testNow), "its replicas are never cold")
+	assert.Assert(t, !unlimited.RecordUnreachable("r00", testNow), "cold without a limit")
 	assert.Equal(t, unlimited.CountCold(testNow), 0)
 }
 
@@ -134,8 +134,8 @@
 	return c
 }
 
-// What is told of one start of a replica does not touch another, and nothing that was known
-// of the last one stays.
+// Reports about one start of a replica don't change another one, and a restart keeps no
+// state of the last start.
 func TestRestartedReplicaKeepsNoOldState(t *testing.T) {
 	p := newTestPool(2, 1)
 	list := testReplicas(2, 1)
@@ -153,7 +153,7 @@
 	assert.Assert(t, ok && c.Weights == 1 && c.TokensAhead == 0)
 	assert.Equal(t, len(p.AppendLoads(nil)), 0)
 	assert.Assert(t, !p.Status(testNow)[0].Ejected)
-	p.RecordWeights(old, "m", 5) // Word of the old start comes late.
+	p.RecordWeights(old, "m", 5) // A late report about the old start.
 	p.AvoidForSwap(old, "m", 5, testNow.Add(time.Second))
 	assert.Equal(t, p.Swapping(testNow), 0)
 	assert.Equal(t, p.Upstreams()[0].Weights["m"], int64(1))
@@ -161,14 +161,14 @@
 	assert.Equal(t, p.Status(testNow)[0].Others.Requests, 0)
 }
 
-// Requests run in the regions of their homes only.
+// Requests run in their home regions only.
 func TestRequestsStayInTheirHomeRegions(t *testing.T) {
 	p := newTestPool(6, 1)
 	list := testReplicas(6, 1)
 	for i := range list {
 		list[i].Region = fmt.Sprintf("region%d", i%3)
 	}
-	list[5].Region = "" // Not known.
+	list[5].Region = "" // Unknown.
 	p.Configure(list, testNow)
 	for range 50 {
 		c, ok := p.Pick(&PickInput{Model: "m", Tokens: 100, HomesOnly: true, Homes: []string{"region1", "region2"}}, testNow)
@@ -176,26 +176,26 @@
 	}
 	input := &PickInput{Model: "m", Tokens: 100, HomesOnly: true}
 	_, ok := p.Pick(input, testNow)
-	assert.Assert(t, !ok, "route and organisation have no region in common")
+	assert.Assert(t, !ok, "picked without any home region")
 	assert.Equal(t, p.Availability(input, testNow).Excluded[ExcludedOutside], 6)
 }
 
-// coldReplay is a data hall's outage and return: a third of 60 replicas is down for 1 s while
-// the nodes' lists still have them, and comes back cold and empty at one moment, which no
-// list tells: each node hears of it 0.1 to 1.3 s later. What was not reached the nodes tell
-// each other 50 ms late, and what they have in flight 0.1 s late.
+// coldReplay simulates the outage and return of a data hall. A third of 60 replicas is
+// down for 1 s while still listed, and comes back cold and empty at one moment; each
+// node's list shows that 0.1 to 1.3 s later. Notices of unreachable replicas take 50 ms
+// between nodes, and load reports are exchanged every 0.1 s.
 type coldReplay struct {
 	nodes int
-	rate  float64 // Requests a second, of all clients.
-	// shares tells what each node may send to cold replicas, nil for no limit.
+	rate  float64 // Requests a second from all clients.
+	// shares returns the shares of a node, nil for no limit.
 	shares func(node int) ColdShares
 }
 
-// coldOutcome is what came of it, from the return on.
+// coldOutcome is the result of a coldReplay, counted from the return on.
 type coldOutcome struct {
 	maxPerSecond  int     // The most requests that a cold replica got in a second.
-	usedShare     float64 // Of the 11 requests a second that cold replicas bear, what they were sent.
-	unplacedShare float64 // The part of the requests that found no replica.
+	usedShare     float64 // Sent requests as a share of the 11 a second that each cold replica can take.
+	unplacedShare float64 // Share of the requests for which no replica was found.
 }
 
 const (
@@ -203,15 +203,15 @@
 	coldReplayReturning    = 20
 	coldReplayLeadTime     = time.Second
 	coldReplayDownTime     = time.Second
-	coldReplayTerm         = 3 * time.Second // For which they are cold.
+	coldReplayTerm         = 3 * time.Second // How long they are cold.
 	coldReplayLoadInterval = 100 * time.Millisecond
 	coldReplayNoticeDelay  = 50 * time.Millisecond
 )
 
-// runningRequest is a request under way.
+// runningRequest is a request in flight and the time of its end.
 type runningRequest struct {
-	at     time.Time
-	flight *InFlightRequest
+	at      time.Time
+	request *InFlightRequest
 }
 
 type unreachableNotice struct {
@@ -219,14 +219,14 @@
 	id string
 }
 
-// hallReplay is a coldReplay under way.
+// hallReplay is the state of a coldReplay.
 type hallReplay struct {
 	coldReplay
 	rng      *rand.Rand
 	list     []site.Upstream
-	cold     []site.Upstream // The same, once it is known that they are cold.
+	coldList []site.Upstream // The same list, with the returned replicas marked cold.
 	pools    []*Pool
-	learnsAt []time.Time // When each node hears of that; zero once it has.
+	learnsAt []time.Time // When each node receives coldList; zero once it has.
 	running  []runningRequest
 	notices  []unreachableNotice
 	arrivals map[string][]time.Time
@@ -242,9 +242,9 @@
 	for i := range h.list {
 		h.list[i].Slots = 64
 	}
-	h.cold = slices.Clone(h.list)
+	h.coldList = slices.Clone(h.list)
 	for i := range coldReplayReturning {
-		h.cold[i].ColdUntil = back.Add(coldReplayTerm)
+		h.coldList[i].ColdUntil = back.Add(coldReplayTerm)
 	}
 	for i := range r.nodes {
 		p := NewPool(fmt.Sprintf("h%d", i%3), rand.New(rand.NewPCG(seed, uint64(i))))
@@ -267,11 +267,11 @@
 	return h.outcome()
 }
 
-// advance ends what is over by now, and tells what is due.
+// advance ends the requests that are done by now, and delivers the notices that are due.
 func (h *hallReplay) advance(now time.Time) {
 	for len(h.running) > 0 && !h.running[0].at.After(now) {
-		h.running[0].flight.FirstByte(h.running[0].at)
-		h.running[0].flight.End(OutcomeOK, h.running[0].at)
+		h.running[0].request.FirstByte(h.running[0].at)
+		h.running[0].request.End(OutcomeOK, h.running[0].at)
 		h.running = h.running[1:]
 	}
 	for len(h.notices) > 0 && !h.notices[0].at.After(now) {
@@ -282,12 +282,12 @@
 	}
 }
 
-// request sends one request from a node, to up to three replicas.
+// request sends one request from a node, trying up to three replicas.
 func (h *hallReplay) request(node int, now, down, back time.Time) {
 	p := h.pools[node]
 	if at := h.learnsAt[node]; !at.IsZero() && !now.Before(at) {
 		h.learnsAt[node] = time.Time{}
-		p.Configure(h.cold, now)
+		p.Configure(h.coldList, now)
 	}
 	input := &PickInput{Model: "m", Tokens: 3000, Memory: 3000, Capacity: 40_000, Send: true}
 	after := !now.Before(back)
@@ -311,7 +311,7 @@
 		if after {
 			h.arrivals[c.ID] = append(h.arrivals[c.ID], now)
 		}
-		e := runningRequest{at: now.Add(c.Expected), flight: f}
+		e := runningRequest{at: now.Add(c.Expected), request: f}
 		at, _ := slices.BinarySearchFunc(h.running, e, func(a, b runningRequest) int { return a.at.Compare(b.at) })
 		h.running = slices.Insert(h.running, at, e)
 		return
@@ -344,7 +344,7 @@
 	return most
 }
 
-// exchangeLoads has each node know what the others have in flight.
+// exchangeLoads gives each node the load that the others have in flight.
 func exchangeLoads(pools []*Pool) {
 	sum := map[NameHash]PeerLoad{}
 	own := make([][]ReplicaLoad, len(pools))
@@ -368,9 +368,9 @@
 	coldReplayLimit = 16  // Requests that a cold replica may get in a second: 1.5 times 11.
 )
 
-// A data hall goes and comes back cold under the worst load. Without a limit a replica gets
-// more than the 21 requests in a second that are allowed; with shares none does, and a good
-// part of what cold replicas bear is used.
+// A data hall returns cold under the worst load. Without a limit a replica gets more than
+// the 21 requests in a second that are allowed. With shares none does, and a good part of
+// the cold replicas' capacity is used.
 func TestReturningColdHallIsNotOverloaded(t *testing.T) {
 	for _, nodes := range []int{7, 71, 295} {
 		for seed := range uint64(2) {
@@ -388,11 +388,11 @@
 		t.Logf("no limit: %+v", o)
 		worst = max(worst, o.maxPerSecond)
 	}
-	assert.Assert(t, worst > 21, "the replay is too mild: %d in a second without a limit", worst)
+	assert.Assert(t, worst > 21, "replay load too low: %d in a second without a limit", worst)
 }
 
-// The shares of more or fewer nodes, by the most that a cold replica gets in a second and the
-// part of what they bear that is used.
+// Compares shares for different numbers of nodes, by the most requests that a cold replica
+// gets in a second and the used part of the cold replicas' capacity.
 func BenchmarkColdShares(b *testing.B) {
 	for _, nodes := range []int{7, 71, 295, 900} {
 		for _, users := range []int{0, 1, 2, 4, 8, 16} {
--- a/pkg/route/doc.go
+++ b/pkg/route/doc.go
@@ -1,5 +1,6 @@
-// Package route decides where a request runs and what kept state is moved,
-// kept or recomputed for it. It does no I/O: time and randomness are passed in.
+// Package route decides which replica runs a request, and for a prompt which of its cached
+// KV state is fetched, saved or recomputed. It does no I/O: time and randomness are passed
+// in.
 //
 // Lock order: Admission.mu, Fleet.mu, Links.mu; none is held over a callback.
 package route
--- a/pkg/route/exclusion.go
+++ b/pkg/route/exclusion.go
@@ -8,36 +8,36 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Exclusion is why a replica may not be sent a request, whatever else is free.
+// Exclusion is the reason why a replica must not be sent a request.
 type Exclusion string
 
-// Exclusions, in the order in which they are looked at.
+// Exclusions, in the order in which they are checked.
 const (
 	NotExcluded Exclusion = ""
 	// ExcludedOutside: it is outside the regions in which the request may run.
 	ExcludedOutside Exclusion = "outside_homes"
 	// ExcludedEvacuated: its data hall is evacuated.
 	ExcludedEvacuated Exclusion = "evacuated"
-	// ExcludedDraining: it is about to end.
+	// ExcludedDraining: it is draining.
 	ExcludedDraining Exclusion = "draining"
-	// ExcludedBackoff: it has asked this node to send it nothing for a while.
+	// ExcludedBackoff: it has asked this node to send nothing for a while.
 	ExcludedBackoff Exclusion = "backoff"
-	// ExcludedTried: it has failed the request already.
+	// ExcludedTried: the request has already failed there.
 	ExcludedTried Exclusion = "tried"
 	// ExcludedWeights: its weights are too old, or it serves another model.
 	ExcludedWeights Exclusion = "weights"
-	// ExcludedCold: it is cold, or taken to be, and this node's share of it is used up.
+	// ExcludedCold: it is cold or presumed to be, and this node's share of it is used up.
 	ExcludedCold Exclusion = "cold"
-	// ExcludedLimited: it has named a rate, and that is used up.
+	// ExcludedLimited: it has set a rate limit, which is used up.
 	ExcludedLimited Exclusion = "limited"
 )
 
-// backoffSpread is how much later than it asked a replica is sent requests again at most:
-// many nodes may have been told the same time.
+// backoffSpread is the largest random delay that is added to a backoff, as many nodes may
+// have been given the same one.
 const backoffSpread = 250 * time.Millisecond
 
-// exclusion says why a replica may not be sent a request, and what is known of the rate that
-// it names if it may be. The caller holds mu.
+// exclusion returns why a replica must not be sent a request, if so, and otherwise what is
+// known of its rate limit. The caller holds mu.
 func (p *Pool) exclusion(m *member, in *PickInput, now time.Time) (reason Exclusion, rate RateState) {
 	if !in.mayRunIn(m.Region) {
 		return ExcludedOutside, rate
@@ -60,7 +60,8 @@
 	return NotExcluded, rate
 }
 
-// memberExclusion says why a replica takes no request at all, if so; the caller holds mu.
+// memberExclusion returns the reason for which a replica accepts no request at all, if
+// any; the caller holds mu.
 func (m *member) memberExclusion(now time.Time) Exclusion {
 	switch {
 	case m.Evacuated:
@@ -74,7 +75,8 @@
 	}
 }
 
-// Excluded counts the replicas that take no request at all, by reason; nil if all do.
+// Excluded counts the replicas that accept no request at all, by reason; nil if there are
+// none.
 func (p *Pool) Excluded(now time.Time) (list map[Exclusion]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,7 +91,8 @@
 	return list
 }
 
-// serves says whether a replica has weights that a request may run on, as far as is known.
+// serves reports whether a replica has weights that a request may run on. It is true if
+// the replica's weights are unknown.
 func (m *member) serves(in *PickInput) bool {
 	if in.Model == "" || len(m.Weights) == 0 {
 		return true
@@ -98,12 +101,12 @@
 	return serves && version >= in.MinVersion
 }
 
-// BackOff has nothing sent to a start of a replica for a while, as it asked this node. Of several
-// such times the last end counts, also where requests are served meanwhile.
-func (p *Pool) BackOff(u *site.Upstream, d time.Duration, now time.Time) {
+// BackOff stops requests to a start of a replica for a while, as it asked this node. If it
+// asks several times the latest end applies, even if it has served requests in between.
+func (p *Pool) BackOff(u *site.Upstream, duration time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	start, until := u.StartKey(), now.Add(d)
+	start, until := u.StartKey(), now.Add(duration)
 	for old, end := range p.backoffs {
 		if !now.Before(end) {
 			delete(p.backoffs, old)
@@ -119,7 +122,7 @@
 	}
 }
 
-// InBackoff says whether a replica has asked this node to send it nothing now.
+// InBackoff reports whether a replica has asked this node to send it nothing now.
 func (p *Pool) InBackoff(id string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,8 +130,8 @@
 	return ok && now.Before(m.backoffUntil)
 }
 
-// Accepts says whether a replica that was picked may still be sent its request: while a
-// connection was made it may have been dropped, or have said that it drains.
+// Accepts reports whether a picked replica may still be sent its request. It may have been
+// removed or have begun to drain while the connection was made.
 func (p *Pool) Accepts(u *site.Upstream, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,17 +139,18 @@
 	return ok && m.Started.Equal(u.Started) && m.memberExclusion(now) == NotExcluded
 }
 
-// Availability is why no replica may take a request.
+// Availability tells why no replica may take a request.
 type Availability struct {
-	// Excluded is how many replicas are left out, by reason.
+	// Excluded is the number of excluded replicas, by reason.
 	Excluded map[Exclusion]int
-	// Eligible is how many may take it.
+	// Eligible is the number of replicas that may take it.
 	Eligible int
-	// RetryAfter is when to come back where some will take it after a known time, 0 where none will.
+	// RetryAfter is the delay after which some replica will take the request, 0 if none is
+	// known to.
 	RetryAfter time.Duration
 }
 
-// Availability finds out why no replica may take a request.
+// Availability determines why no replica may take a request.
 func (p *Pool) Availability(in *PickInput, now time.Time) (a Availability) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,8 +184,8 @@
 }
 
 const (
-	// minRetryAfter and returnSpread bound when a request that no replica takes at the moment is
-	// to come back, each at a time of its own.
+	// minRetryAfter is the least delay, and retryAfterSpread the random addition to it,
+	// after which a request that no replica takes now is to be retried.
 	minRetryAfter    = 250 * time.Millisecond
 	retryAfterSpread = 500 * time.Millisecond
 )
--- a/pkg/route/exclusion_test.go
+++ b/pkg/route/exclusion_test.go
@@ -12,7 +12,7 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// replicasWithStart lists replicas a and b, with a as it started at a time.
+// replicasWithStart returns replicas a and b, with the given start time for a.
 func replicasWithStart(started time.Time) []site.Upstream {
 	return []site.Upstream{{ID: "a", DataHall: "h0", Slots: 4, Started: started}, {ID: "b", DataHall: "h0", Slots: 4}}
 }
@@ -28,7 +28,7 @@
 	assert.Assert(t, !p.InBackoff("a", testNow.Add(3*time.Second+backoffSpread)))
 	assert.Equal(t, countPicks(p, &PickInput{}, "a"), 0)
 
-	// It may ask while it isn't listed.
+	// It may ask for a backoff while it isn't listed.
 	p.Configure(list[1:], testNow)
 	p.BackOff(&list[0], 6*time.Second, testNow)
 	p.Configure(list, testNow)
@@ -42,7 +42,7 @@
 	p.BackOff(&old[0], 3*time.Second, testNow)
 	p.Configure(replicasWithStart(time.UnixMilli(6)), testNow)
 	assert.Assert(t, !p.InBackoff("a", testNow))
-	p.BackOff(&old[0], 9*time.Second, testNow) // An answer of the start before comes late.
+	p.BackOff(&old[0], 9*time.Second, testNow) // A late answer of the earlier start.
 	assert.Assert(t, !p.InBackoff("a", testNow))
 }
 
@@ -56,7 +56,8 @@
 	assert.Assert(t, p.InBackoff("a", testNow))
 }
 
-// Of several backoffs the last end counts, and an answer that is served ends none.
+// If a replica asks for several backoffs the latest end applies, and a served request ends
+// none.
 func TestLatestBackoffEndApplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestPool(0, 1)
@@ -91,7 +92,8 @@
 	assert.Assert(t, len(p.backoffs) <= 2, "%d", len(p.backoffs))
 }
 
-// A request that had been placed was sent on though its replica took none any more.
+// A request was sent to the replica picked for it though that had stopped accepting
+// requests since.
 func TestPickedReplicaIsRecheckedBeforeSending(t *testing.T) {
 	p := newTestPool(0, 1)
 	list := replicasWithStart(time.UnixMilli(5))
@@ -128,23 +130,23 @@
 	p.BackOff(&list[0], 3*time.Second, testNow)
 	_, ok := p.Pick(&PickInput{}, testNow)
 	assert.Assert(t, !ok)
-	why := p.Availability(&PickInput{Exclude: []string{"a"}}, testNow)
-	assert.DeepEqual(t, why.Excluded, map[Exclusion]int{ExcludedBackoff: 1, ExcludedDraining: 1})
-	assert.Equal(t, why.Eligible, 0)
-	assert.Assert(t, why.RetryAfter >= 3*time.Second && why.RetryAfter <= 3*time.Second+backoffSpread+retryAfterSpread, "%v", why.RetryAfter)
-	assert.DeepEqual(t, p.Excluded(testNow), why.Excluded)
+	availability := p.Availability(&PickInput{Exclude: []string{"a"}}, testNow)
+	assert.DeepEqual(t, availability.Excluded, map[Exclusion]int{ExcludedBackoff: 1, ExcludedDraining: 1})
+	assert.Equal(t, availability.Eligible, 0)
+	assert.Assert(t, availability.RetryAfter >= 3*time.Second && availability.RetryAfter <= 3*time.Second+backoffSpread+retryAfterSpread, "%v", availability.RetryAfter)
+	assert.DeepEqual(t, p.Excluded(testNow), availability.Excluded)
 	_, usable := p.Count(testNow)
 	assert.Equal(t, usable, 0)
 }
 
-// The load is a usual one, in which a replica that turns everything away looks idle: it got two to
-// three times its part of the requests, and all nodes came back to it in the same moment.
+// Under usual load a replica that turns everything away looks idle: it used to get two to
+// three times its part of the requests, and all nodes came back to it at the same moment.
 func TestBackoffIsHonouredAndLoadReturnsGradually(t *testing.T) {
 	const (
-		each    = 5.2 // Requests a second for each replica.
-		backoff = 3 * time.Second
-		asks    = 5 * time.Second // For so long a replica turns everything away.
-		whole   = 12 * time.Second
+		ratePerReplica = 5.2 // Requests a second per replica.
+		backoff        = 3 * time.Second
+		busyTerm       = 5 * time.Second // How long a busy replica turns everything away.
+		duration       = 12 * time.Second
 	)
 	for _, c := range []struct{ nodes, replicas int }{{7, 18}, {71, 60}, {295, 256}, {900, 100}} {
 		t.Run(fmt.Sprint(c.nodes, " nodes"), func(t *testing.T) {
@@ -162,46 +164,46 @@
 				pools[i] = NewPool(fmt.Sprint("h", i%3), rand.New(rand.NewPCG(2, uint64(i))))
 				pools[i].Configure(list, testNow)
 			}
-			asked := map[[2]string]time.Time{} // By node and replica, until when.
-			inBackoff, back := 0, map[time.Duration]int{}
-			step := time.Duration(float64(time.Second) / (each * float64(c.replicas)))
-			for at := time.Duration(0); at < whole; at += step {
+			asked := map[[2]string]time.Time{} // End of the backoff, by node and replica.
+			inBackoff, returned := 0, map[time.Duration]int{}
+			step := time.Duration(float64(time.Second) / (ratePerReplica * float64(c.replicas)))
+			for at := time.Duration(0); at < duration; at += step {
 				now := testNow.Add(at)
 				i := rng.IntN(c.nodes)
 				input := PickInput{Send: true}
 				for {
 					choice, ok := pools[i].Pick(&input, now)
 					assert.Assert(t, ok)
-					flight := pools[i].Begin(choice, now)
+					request := pools[i].Begin(choice, now)
 					key := [2]string{fmt.Sprint(i), choice.ID}
 					if now.Before(asked[key]) {
 						inBackoff++
 					}
-					if !busy[choice.ID] || at >= asks {
-						flight.End(OutcomeOK, now)
+					if !busy[choice.ID] || at >= busyTerm {
+						request.End(OutcomeOK, now)
 						if busy[choice.ID] {
-							back[at.Truncate(250*time.Millisecond)]++
+							returned[at.Truncate(250*time.Millisecond)]++
 						}
 						break
 					}
-					flight.End(OutcomeNeutral, now)
+					request.End(OutcomeNeutral, now)
 					pools[i].BackOff(&choice.Upstream, backoff, now)
 					asked[key] = now.Add(backoff)
 					input.Exclude = append(input.Exclude, choice.ID)
 				}
 			}
-			most, last := 0, 0
-			for at, n := range back {
-				most = max(most, n)
-				if at >= whole-2*time.Second {
-					last += n
+			maxReturned, lastReturned := 0, 0
+			for at, n := range returned {
+				maxReturned = max(maxReturned, n)
+				if at >= duration-2*time.Second {
+					lastReturned += n
 				}
 			}
-			usual := each * float64(len(busy)) / 4 // In a quarter of a second.
-			t.Logf("%d within backoffs; %d in the worst 0.25 s of the return, usual %.1f; %d in the last 2 s of %.0f", inBackoff, most, usual, last, usual*8)
+			usual := ratePerReplica * float64(len(busy)) / 4 // In 0.25 s.
+			t.Logf("%d within backoffs; %d in the worst 0.25 s of the return, usual %.1f; %d in the last 2 s of %.0f", inBackoff, maxReturned, usual, lastReturned, usual*8)
 			assert.Equal(t, inBackoff, 0)
-			assert.Assert(t, float64(most) <= 3*usual+5, "%d in 0.25 s of the return", most)
-			assert.Assert(t, float64(last) >= 0.5*usual*8, "%d in the last 2 s", last)
+			assert.Assert(t, float64(maxReturned) <= 3*usual+5, "%d in 0.25 s of the return", maxReturned)
+			assert.Assert(t, float64(lastReturned) >= 0.5*usual*8, "%d in the last 2 s", lastReturned)
 		})
 	}
 }
--- a/pkg/route/fleet.go
+++ b/pkg/route/fleet.go
@@ -13,21 +13,20 @@
 	rng            *rand.Rand
 	replicas       map[string]*replicaState
 	byModel        map[string][]*replicaState
-	nextRoundRobin int // For round robin.
+	nextRoundRobin int
 	leaving        map[string]bool
-	// polled are, by model, the replicas whose load this node asks for.
+	// polled maps a model to the replicas whose load this node polls.
 	polled map[string][]*replicaState
 	// medianWait is the last result of MedianWait.
 	medianWait time.Duration
 }
 
-// NewFleet returns an empty view.
+// NewFleet returns an empty fleet.
 func NewFleet(rng *rand.Rand) *Fleet {
 	return &Fleet{rng: rng, replicas: map[string]*replicaState{}, byModel: map[string][]*replicaState{}}
 }
 
-// Configure sets which replicas there are; what is known of those that stay is
-// kept.
+// Configure sets the list of replicas. State of replicas that stay is kept.
 func (f *Fleet) Configure(list []Replica, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,7 +43,7 @@
 	}
 }
 
-// Report takes in a load report; an older one than the last is ignored.
+// Report records a load report, unless a newer one has arrived already.
 func (f *Fleet) Report(name string, r Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,9 +52,9 @@
 	}
 }
 
-// SetPolled sets whose load this node asks for. In a large fleet these are few,
-// and requests that no replica holds anything for are placed among them: of the
-// others nothing is known, and no news would look like no load.
+// SetPolled sets the replicas whose load this node polls. In a large fleet these are few,
+// and requests for which no replica has anything cached are placed among them only: a
+// replica without reports would look idle.
 func (f *Fleet) SetPolled(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,8 +66,8 @@
 	}
 }
 
-// uncachedCandidates is where a request goes that no replica holds anything for; the caller
-// holds mu.
+// uncachedCandidates returns the replicas for a request for which none has anything
+// cached; the caller holds mu.
 func (f *Fleet) uncachedCandidates(model string) []*replicaState {
 	if polled := f.polled[model]; len(polled) > 0 {
 		return polled
@@ -76,11 +75,11 @@
 	return f.byModel[model]
 }
 
-// reportMaxAge is how old a report may be before the median of others is believed
-// rather than it.
+// reportMaxAge is the age of a report from which a replica's wait is assumed to be at
+// least the median of the others.
 const reportMaxAge = 10 * time.Second
 
-// estimatedWait estimates what a new request waits at a replica; the caller holds mu.
+// estimatedWait estimates how long a new request waits at a replica; the caller holds mu.
 func (f *Fleet) estimatedWait(r *replicaState, now time.Time) time.Duration {
 	w := r.wait(now)
 	if now.Sub(r.report.Taken) > reportMaxAge {
@@ -89,7 +88,7 @@
 	return w
 }
 
-// SetLeaving sets which replicas are leaving by the platform's list.
+// SetLeaving sets the replicas that the platform lists as leaving.
 func (f *Fleet) SetLeaving(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +98,7 @@
 	}
 }
 
-// Slots is the sum of the slots of all replicas.
+// Slots returns the sum of the slots of all replicas.
 func (f *Fleet) Slots() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,12 +109,12 @@
 	return sum
 }
 
-// medianWaitSample bounds the replicas that MedianWait looks at.
+// medianWaitSample bounds the number of replicas that MedianWait samples.
 const medianWaitSample = 256
 
-// MedianWait is the median of what a new request would wait for a prefill, over
-// replicas that have reported, or a random part of them in a large fleet. The
-// mean would let one crowded replica stand for all.
+// MedianWait returns the median wait of a new request for its prefill, over the replicas
+// with a recent report, or a random sample of them in a large fleet. Unlike the mean, it
+// is not dominated by a single overloaded replica.
 func (f *Fleet) MedianWait(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,7 +135,7 @@
 	return f.medianWait
 }
 
-// ReplicaStatus is what a dump shows of one replica.
+// ReplicaStatus is the state of one replica in a dump.
 type ReplicaStatus struct {
 	Name     string        `json:"name"`
 	DataHall string        `json:"data_hall"`
@@ -147,7 +146,7 @@
 	Ejected  bool          `json:"ejected"`
 }
 
-// Status lists all replicas, by name.
+// Status returns the state of all replicas, sorted by name.
 func (f *Fleet) Status(now time.Time) []ReplicaStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,16 +171,16 @@
 	return list
 }
 
-// usable says whether a request may go to a replica now; the caller holds mu.
+// usable reports whether a request may be sent to a replica now; the caller holds mu.
 func (f *Fleet) usable(r *replicaState, q *Request, now time.Time) bool {
 	if r.Model != q.Model || r.report.Leaving || f.leaving[r.Name] || r.ejected(now) || slices.Contains(q.Exclude, r.Name) {
 		return false
 	}
-	// An unreported replica may be tried; it refuses other weights itself.
+	// A replica without a report may be tried; it refuses requests for other weights.
 	return r.report.Weights == "" || r.report.Weights == q.Weights
 }
 
-// mayEject says whether one more replica of a model may be ejected.
+// mayEject reports whether one more replica of a model may be ejected.
 func (f *Fleet) mayEject(model string, now time.Time) bool {
 	all := f.byModel[model]
 	ejected := 1
@@ -193,8 +192,8 @@
 	return float64(ejected) <= maxEjectedShare*float64(len(all))
 }
 
-// Begin records that a request was sent to a replica; tokens are those it has
-// to compute.
+// Begin records that a request was sent to a replica. tokens is the number that it has to
+// prefill.
 func (f *Fleet) Begin(name string, tokens int, now time.Time) *InFlightRun {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -215,9 +214,9 @@
 	return Report{}
 }
 
-// ServedWeights returns the weight version that a new request should use: the
-// configured one if a replica serves it, else, while the fleet is being
-// swapped, the one that most replicas serve.
+// ServedWeights returns the weight version that a new request should use: the configured
+// one if a replica serves it; otherwise, as during a swap, the one that most replicas
+// serve.
 func (f *Fleet) ServedWeights(model, configured string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/route/in_flight_request.go
+++ b/pkg/route/in_flight_request.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// InFlightRequest is one of this node's own requests in flight at a replica.
+// InFlightRequest is a request that this node has in flight at a replica.
 type InFlightRequest struct {
 	pool                  *Pool
 	member                *member
 	tokens                int
 	priorityBand          int
-	memory                int     // Tokens held of an engine's memory.
-	tokensWithAhead       int     // Tokens expected to be read, with those before it.
-	fetchSeconds          float64 // Expected time of its fetch, in seconds.
+	memory                int     // Engine memory held, in tokens.
+	tokensWithAhead       int     // Tokens to prefill, its own and those queued before it.
+	fetchSeconds          float64 // Expected time of its KV cache fetch.
 	startedAt             time.Time
 	expected              time.Duration
-	expectedAtMeanLatency time.Duration // As in Choice.
+	expectedAtMeanLatency time.Duration // See Choice.
 	firstByteSeen         bool
 	ended                 bool
 }
@@ -24,7 +24,7 @@
 	defer p.mu.Unlock()
 	m, ok := p.byID[c.ID]
 	if !ok {
-		// It has just left; the request goes there all the same.
+		// It has just been removed; the request is sent there all the same.
 		m = &member{Upstream: c.Upstream, inFlight: map[*InFlightRequest]struct{}{}, latencyRatio: 1}
 	}
 	request := &InFlightRequest{
@@ -45,8 +45,8 @@
 	return request
 }
 
-// FirstByte records that the first byte of the answer has come. It returns by how
-// much later than expected.
+// FirstByte records that the first byte of the answer has arrived. It returns by how much
+// later than expected.
 func (r *InFlightRequest) FirstByte(now time.Time) (excess time.Duration) {
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
@@ -69,11 +69,12 @@
 	r.pool.learnPrefillTime(r, took.Seconds())
 }
 
-// minPrefillSample is the least prompt from which the time to read a token is learnt;
-// from less, the time that any answer takes is.
+// minPrefillSample is the least number of tokens from which the time per token is learnt;
+// smaller samples are used for the base time.
 const minPrefillSample = 1024
 
-// learnPrefillTime fits the time to the first byte as a base and a time for each token.
+// learnPrefillTime updates the base time and the time per token from the time to the first
+// byte.
 func (p *Pool) learnPrefillTime(request *InFlightRequest, took float64) {
 	if request.tokens == 0 {
 		return
@@ -86,7 +87,7 @@
 	p.secondsPerToken += learnWeight * (max(0, took-p.baseSeconds)/float64(request.tokensWithAhead) - p.secondsPerToken)
 }
 
-// End records how the request ended; later calls do nothing.
+// End records how the request ended. Further calls do nothing.
 func (r *InFlightRequest) End(o Outcome, now time.Time) {
 	p := r.pool
 	p.mu.Lock()
--- a/pkg/route/in_flight_run.go
+++ b/pkg/route/in_flight_run.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Outcome is how a run ended, for outlier ejection.
+// Outcome is how a request ended, as seen by outlier ejection.
 type Outcome int
 
-// Outcomes of runs.
+// Outcomes of requests.
 const (
 	OutcomeOK Outcome = iota
 	// OutcomeFailed counts against the replica.
 	OutcomeFailed
-	// OutcomeNeutral says nothing of the replica, such as a caller who left.
+	// OutcomeNeutral neither counts for nor against the replica, such as when the client
+	// left.
 	OutcomeNeutral
 )
 
-// InFlightRun is one of this node's own runs in flight.
+// InFlightRun is a request that this node has in flight at a model engine.
 type InFlightRun struct {
 	fleet          *Fleet
 	replica        string
@@ -23,15 +24,15 @@
 	firstTokenSeen bool
 }
 
-// FirstToken records that the first token has come.
+// FirstToken records that the first token has arrived.
 func (run *InFlightRun) FirstToken() {
 	run.fleet.mu.Lock()
 	defer run.fleet.mu.Unlock()
 	run.firstTokenSeen = true
 }
 
-// End records how the run ended; a replica that fails several times in a row is
-// passed over for a growing time, unless too many of its model are already.
+// End records how the run ended. A replica that fails several times in a row is ejected
+// for a growing time, unless too many replicas of its model already are.
 func (run *InFlightRun) End(o Outcome, now time.Time) {
 	run.fleet.mu.Lock()
 	defer run.fleet.mu.Unlock()
--- a/pkg/route/limited.go
+++ b/pkg/route/limited.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// A replica may name how many requests a second it takes from all nodes together. Whether
-// one may be sent it is for its owner among the nodes to say; until the owner is asked it is
-// weighed like any other, and it is left out while the owner has said that there is nothing.
+// A replica may set a limit on the requests a second that it takes from all nodes
+// together. One of the nodes, its owner, grants sends within that limit. Until the owner
+// has been asked, the replica is considered like any other; it is excluded for as long as
+// the owner has said that nothing is left.
 //
-// The load pattern that this answers is a usual load, in which there are better replicas at
-// each moment: one that is left alone is sent nothing, and so nobody hears that it takes more
-// again. Its owner therefore prefers it, the more the longer what it takes was left unused.
+// Under usual load there are better replicas at each moment, so a replica that has been
+// avoided would get no requests, and no answer of it would tell that its limit was raised.
+// Its owner therefore prefers it, the more of its limit has been left unused.
 const (
-	// unusedRequestGain is by how much a replica is preferred for each request that was left unused,
-	// and unusedMost for how many at most: together they are less than a long prompt's reading, so
-	// that what is kept elsewhere goes before.
+	// unusedRequestGain is the reduction of a replica's cost for each request that its
+	// limit left unused, and maxUnusedRequests the most that count. Together they are less
+	// than the prefill of a long prompt, so that cached prompts still go where they are
+	// cached.
 	unusedRequestGain = 40 * time.Millisecond
 	maxUnusedRequests = 2.5
 )
 
-// RateLimits says which replicas have named how many requests a second they take, and what
-// is known of that.
+// RateLimits returns what is known of the rate limits that replicas have set.
 type RateLimits interface {
-	// State is of a start of a replica, by the start's name; zero if it has named no rate for
-	// long.
+	// State returns the state for a start key; it is the zero value if that start has had
+	// no limit for a long time.
 	State(start string, now time.Time) RateState
 }
 
-// RateState is what a node knows of a replica that names a rate, or did a moment ago.
+// RateState is what a node knows of a replica that has a rate limit, or had one recently.
 type RateState struct {
-	// Limited says that it names one.
+	// Limited is set if the replica has a limit now.
 	Limited bool
-	// Wait is for how long nothing is to be sent there. After that its owner may be asked.
+	// Wait is how long nothing may be sent there. After that the owner may be asked again.
 	Wait time.Duration
-	// Unused is how many requests it could have been sent since it was last sent one; only the
-	// owner knows.
+	// Unused is how many requests the limit would have allowed since the last one was
+	// sent; it is known to the owner only.
 	Unused float64
-	// Ended is when it ceased to name a rate, zero if it does name one.
+	// Ended is when the limit was lifted, zero if there still is one.
 	Ended time.Time
 }
 
-// SetRateLimits has the pool go by the rates that replicas name; it is to be called before the
+// SetRateLimits sets the source of the replicas' rate limits. It must be called before the
 // pool is used.
 func (p *Pool) SetRateLimits(l RateLimits) { p.rateLimits = l }
 
-// rateState is what is known of the rate that a replica names.
+// rateState returns what is known of a replica's rate limit.
 func (p *Pool) rateState(m *member, now time.Time) (s RateState) {
 	if p.rateLimits != nil {
 		s = p.rateLimits.State(m.startKey, now)
@@ -50,12 +51,12 @@
 	return s
 }
 
-// allows says whether a replica may be picked for a request.
+// allows reports whether the rate limit lets the replica be picked for a request.
 func (s *RateState) allows(in *PickInput) bool {
 	return s.Wait == 0 && (!s.Limited || !in.UnlimitedOnly)
 }
 
-// unusedGain is by how much a replica is preferred that takes more than it is sent.
+// unusedGain is the reduction of a replica's cost for the unused part of its limit.
 func (s *RateState) unusedGain() time.Duration {
 	return time.Duration(min(maxUnusedRequests, s.Unused) * float64(unusedRequestGain))
 }
--- a/pkg/route/limited_test.go
+++ b/pkg/route/limited_test.go
@@ -9,12 +9,12 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// fakeRates tells what a test sets, by start of a replica.
+// fakeRates maps a start key to the state that a test has set.
 type fakeRates map[string]RateState
 
 func (f fakeRates) State(start string, _ time.Time) RateState { return f[start] }
 
-// limitedPool is a pool of two replicas, a and b.
+// limitedPool returns a pool of two replicas, a and b.
 func limitedPool(rates fakeRates) *Pool {
 	p := newTestPool(0, 1)
 	weights := map[string]int64{"m": 1}
@@ -23,7 +23,7 @@
 	return p
 }
 
-// countPicks is how many of some requests are sent to a replica.
+// countPicks returns how many of 100 requests are sent to a replica.
 func countPicks(p *Pool, in *PickInput, id string) (count int) {
 	const requests = 100
 	for range requests {
@@ -42,7 +42,7 @@
 	assert.Equal(t, countPicks(p, &PickInput{}, "b"), 100)
 	rates["a"] = RateState{Limited: true}
 	n := countPicks(p, &PickInput{}, "a")
-	assert.Assert(t, n > 20 && n < 80, "weighed like any other: %d", n)
+	assert.Assert(t, n > 20 && n < 80, "%d of 100 picks", n)
 	assert.Equal(t, countPicks(p, &PickInput{UnlimitedOnly: true}, "a"), 0)
 }
 
@@ -53,15 +53,15 @@
 	})
 	_, ok := p.Pick(&PickInput{}, testNow)
 	assert.Assert(t, !ok)
-	why := p.Availability(&PickInput{}, testNow)
-	assert.Equal(t, why.Excluded[ExcludedLimited], 2)
-	assert.Assert(t, why.RetryAfter >= 600*time.Millisecond && why.RetryAfter < 600*time.Millisecond+retryAfterSpread)
+	availability := p.Availability(&PickInput{}, testNow)
+	assert.Equal(t, availability.Excluded[ExcludedLimited], 2)
+	assert.Assert(t, availability.RetryAfter >= 600*time.Millisecond && availability.RetryAfter < 600*time.Millisecond+retryAfterSpread)
 	assert.Equal(t, p.Availability(&PickInput{Exclude: []string{"a", "b"}}, testNow).Excluded[ExcludedLimited], 0)
 }
 
-// The load pattern is a usual one, in which a replica that takes more than it is sent is
-// never the best. Its owner prefers it, so that its next answer tells whether it still names
-// a limit; what would take long to read elsewhere goes where it is kept.
+// Under usual load a replica whose limit is not used up may never be the best one, and
+// then no answer tells that its limit has changed. Its owner prefers it for that, but
+// cached prompts still go where they are cached.
 func TestOwnerPrefersReplicaWithUnusedRate(t *testing.T) {
 	rates := fakeRates{"a": {Limited: true, Unused: 1}}
 	p := limitedPool(rates)
@@ -71,11 +71,12 @@
 	rates["a"] = RateState{Limited: true}
 	assert.Equal(t, countPicks(p, &PickInput{}, "a"), 0)
 	rates["a"] = RateState{Limited: true, Unused: 1000}
-	kept := &PickInput{Model: "m", Tokens: 9000, Shared: 8500, Coverage: map[string]CacheCoverage{"b": {Known: true, Held: 8500}}}
-	assert.Equal(t, countPicks(p, kept, "a"), 0)
+	cached := &PickInput{Model: "m", Tokens: 9000, Shared: 8500, Coverage: map[string]CacheCoverage{"b": {Known: true, Held: 8500}}}
+	assert.Equal(t, countPicks(p, cached, "a"), 0)
 }
 
-// Its whole part of the load does not come back at the one moment that all nodes hear of.
+// When a limit is lifted, the replica must not get its full part of the load at once, as
+// all nodes hear of it at the same moment.
 func TestFormerlyLimitedReplicaRampsUpGradually(t *testing.T) {
 	rates := fakeRates{"a": {Ended: testNow.Add(-rampUpTerm / 4)}}
 	p := limitedPool(rates)
--- a/pkg/route/outlier.go
+++ b/pkg/route/outlier.go
@@ -3,33 +3,34 @@
 import "time"
 
 const (
-	// outlierConsecutiveFailures in a row have a replica ejected.
+	// outlierConsecutiveFailures is the number of failures in a row after which a replica
+	// is ejected.
 	outlierConsecutiveFailures = 3
-	// outlierExcess is by how much a replica's share of failures must be over
-	// the pool's for it to be ejected; a service may fail some requests itself.
+	// outlierExcess is by how much a replica's failure rate must exceed the pool's for it
+	// to be ejected; a service may fail some requests by itself.
 	outlierExcess = 0.3
-	// outlierMinOutcomes is how many outcomes there must be to speak of a share.
+	// outlierMinOutcomes is the least number of outcomes for a failure rate to count.
 	outlierMinOutcomes = 8
-	// outcomeWeight is the weight of the newest outcome in the shares.
+	// outcomeWeight is the weight of the newest outcome in the failure rates.
 	outcomeWeight = 0.12
 )
 
-// outlierState is what is remembered of a replica's outcomes.
+// outlierState is the state of outlier ejection for one replica.
 type outlierState struct {
-	consecutiveFailures int // Failures in a row.
-	outcomes            int // Outcomes since it came back.
+	consecutiveFailures int
+	outcomes            int // Outcomes since the last ejection.
 	ejectionTime        time.Duration
 	ejectedUntil        time.Time
 }
 
 func (o *outlierState) ejected(now time.Time) bool { return now.Before(o.ejectedUntil) }
 
-// recordOutcome takes in an outcome and ejects the replica if it is an outlier.
+// recordOutcome records an outcome and ejects the replica if it is an outlier.
 //
-// A lost replica shows by failures in a row; one that fails some of its requests
-// shows by its share against that of all replicas. No more than ejectShare of
-// the pool is ejected at once, and at least one may be: beyond that, the fault
-// is likely not theirs.
+// A lost replica is detected by failures in a row, one that fails some of its requests by
+// its failure rate compared with that of all replicas. At most maxEjectedShare of the pool
+// is ejected at once, but always one may be: if more fail, the fault is probably not
+// theirs.
 func (p *Pool) recordOutcome(m *member, o Outcome, now time.Time) {
 	if o == OutcomeNeutral {
 		return
@@ -65,8 +66,8 @@
 	m.failureRate = p.meanFailureRate
 }
 
-// RecordUnreachable records that a replica can't be reached, which one look suffices for. It says
-// whether the other nodes are to hear of it.
+// RecordUnreachable records that a replica can't be reached, and ejects it at once. It
+// reports whether the other nodes are to be notified.
 func (p *Pool) RecordUnreachable(id string, now time.Time) (notifyPeers bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/route/pick_input.go
+++ b/pkg/route/pick_input.go
@@ -7,51 +7,52 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// PickInput is what a pool has to know of a request.
+// PickInput is what a pool needs to know of a request to pick a replica.
 type PickInput struct {
 	Model string
-	// Tokens are those to be read, Shared those of them that other requests
-	// have in common; both are 0 for requests without a prompt.
+	// Tokens is the number of tokens to prefill, Shared how many of them other requests
+	// have in common. Both are 0 for requests without a prompt.
 	Tokens int
 	Shared int
-	// Priority ranks the request, 0 for the most urgent.
+	// Priority is 0 for the most urgent requests, and greater for less urgent ones.
 	Priority int
-	// Memory is what the request will hold of an engine's memory, in tokens, and
-	// Capacity how much an engine has; both are 0 if that is not known.
+	// Memory is the engine memory that the request will hold, and Capacity that of one
+	// engine, both in tokens; 0 if unknown.
 	Memory   int
 	Capacity int
-	// Coverage are what each replica has of the prompt or can fetch, by ID.
+	// Coverage maps the ID of a replica to what it has cached of the prompt or can fetch.
 	Coverage map[string]CacheCoverage
-	// Affinity is a hash of the shared parts, 0 for none.
+	// Affinity is a hash of the shared parts of the prompt, 0 for none.
 	Affinity uint64
-	// NewestVersion is the newest version of the model's weights, 0 if not known.
+	// NewestVersion is the newest version of the model's weights, 0 if unknown.
 	NewestVersion int64
-	// StalenessWeight, from 0 to 1 and more, says how much older weights count.
+	// StalenessWeight, from 0 to 1 and more, scales the cost of older weights.
 	StalenessWeight float64
-	// MinVersion is the oldest version that may still be used, 0 for any.
+	// MinVersion is the oldest version that may be used, 0 for any.
 	MinVersion int64
-	// Exclude are replicas that have already failed the request.
+	// Exclude lists the replicas at which the request has already failed.
 	Exclude []string
-	// HomesOnly says that the request may run in the regions of Homes only.
+	// HomesOnly restricts the request to the regions in Homes.
 	HomesOnly bool
 	Homes     []string
-	// UnlimitedOnly leaves out the replicas that name how many requests a second they take.
+	// UnlimitedOnly excludes the replicas that have a rate limit.
 	UnlimitedOnly bool
-	// Send says that the request is about to be sent to the replica that is picked.
+	// Send is set if the request is about to be sent to the picked replica.
 	Send bool
 }
 
-// CacheCoverage is what a replica has of a prompt's shared tokens, or can fetch.
+// CacheCoverage is what a replica has cached of a prompt's shared tokens, or can fetch.
 type CacheCoverage struct {
-	// Known says that the replica itself tells what it holds; Held is that.
+	// Known is set if the replica itself reports what it has cached, which is Held.
+	// Fetched is the number of tokens that it can fetch.
 	Known   bool
 	Held    int
 	Fetched int
-	Wait    time.Duration // Of the fetch.
+	Wait    time.Duration // Time of the fetch.
 }
 
-// toRead is how many tokens a replica has to read. Where it does not tell what it
-// holds, a prompt's home is likely to have some of what can't be fetched.
+// tokensToPrefill is how many tokens a replica has to prefill. If it does not report its
+// cache, the affinity replica is assumed to have some of what can't be fetched.
 func (in *PickInput) tokensToPrefill(coverage CacheCoverage, affinity bool) float64 {
 	tokens := float64(in.Tokens - coverage.Held - coverage.Fetched)
 	if affinity && !coverage.Known {
@@ -60,29 +61,31 @@
 	return tokens
 }
 
-// mayRunIn says whether the request may run in a region.
+// mayRunIn reports whether the request may run in a region.
 func (in *PickInput) mayRunIn(region string) bool {
 	return !in.HomesOnly || slices.Contains(in.Homes, region)
 }
 
-// Choice is the replica for a request.
+// Choice is the replica picked for a request, with the estimates behind the pick.
 type Choice struct {
 	site.Upstream
-	// Weights is the version of the model's weights there, 0 if not known.
+	// Weights is the version of the model's weights there, 0 if unknown.
 	Weights int64
 	// Expected is the expected time to the first byte of the answer.
 	Expected time.Duration
-	// ExpectedAtMeanLatency is what Expected would be if the replica were as late as the others.
+	// ExpectedAtMeanLatency is what Expected would be if the replica had the mean latency
+	// ratio of the pool.
 	ExpectedAtMeanLatency time.Duration
-	// Fetch is the part of Expected that is for a fetch.
+	// Fetch is the part of Expected that is spent on a fetch of KV cache.
 	Fetch time.Duration
-	// Read are the tokens that the replica should have to read.
+	// Read is the number of the request's tokens that the replica is expected to prefill.
 	Read int
-	// TokensAhead are those that it reads before, and Band how urgent the request is.
+	// TokensAhead is the number of tokens that it prefills before those, and Band the
+	// request's priority band.
 	TokensAhead int
 	Band        int
-	// Wait is the part of Expected until the replica begins the request.
+	// Wait is the part of Expected until the prefill of the request starts.
 	Wait time.Duration
-	// Memory are the tokens of the replica's memory that it will hold.
+	// Memory is the engine memory that the request will hold, in tokens.
 	Memory int
 }
--- a/pkg/route/plan.go
+++ b/pkg/route/plan.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Plan is where the shared parts of a prompt come from and where they go.
+// Plan lists the stores from which the shared parts of a prompt are fetched and at which
+// they are saved.
 type Plan struct {
-	// Sources and Saves have an address for each part of the prompt, unset for
+	// Sources and Saves have an address for each part of the prompt, or an invalid one for
 	// none.
 	Sources []netip.AddrPort
 	Saves   []netip.AddrPort
-	// Fetched and Saved are the tokens that move.
+	// Fetched and Saved are the numbers of tokens that are fetched and saved.
 	Fetched int
 	Saved   int
-	// FetchTime is how long the fetch should take.
+	// FetchTime is the expected duration of the fetch.
 	FetchTime time.Duration
 
 	index        *CacheIndex
-	fetchLinks   []*keptLink // Over which something is fetched.
+	fetchLinks   []*keptLink // Links over which something is fetched.
 	plannedSaves []plannedSave
 }
 
@@ -28,17 +29,17 @@
 	key   partKey
 }
 
-// addFetch has a part fetched.
+// addFetch adds the fetch of part i from a store.
 func (p *Plan) addFetch(i, tokens int, addr netip.AddrPort, wait time.Duration) {
 	p.Sources[i] = addr
 	p.Fetched += tokens
 	p.FetchTime += wait
 }
 
-// Cancel is to be called when the prompt was not read: what was to be saved may be
-// saved by another attempt. Without it nothing that is sent again was saved for
-// saveTerm, and on a day on which a third of the engines crash three times a sixth of
-// the shared tokens were read again for that.
+// Cancel must be called if the prompt was not prefilled, so that another attempt may save
+// its parts. Otherwise retried prompts would not be saved for saveTerm: when a third of
+// the engines crashed three times in a day, a sixth of the shared tokens were recomputed
+// for that reason.
 func (p *Plan) Cancel() {
 	if p.index == nil {
 		return
@@ -50,7 +51,7 @@
 	}
 }
 
-// FirstByte records that the first byte of the answer has come, by how much later
+// FirstByte records that the first byte of the answer has arrived, and by how much later
 // than expected.
 func (p *Plan) FirstByte(excess time.Duration, now time.Time) {
 	if p.index == nil {
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -11,84 +11,86 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Pool is this node's view of one service's replicas, and picks where requests
-// run.
+// Pool is this node's view of the replicas of one service; it picks the replica for each
+// request.
 //
-// A pick weighs, for each replica, the work that is known to wait there (this
-// node's own requests, and what other nodes tell of theirs), the tokens that it
-// would have to read, how late it has been lately, and the way. All of it is in
-// time, so the parts need no weights against each other.
+// A pick estimates, for each replica, the delay from work that is queued there (this
+// node's own requests, and those that other nodes report), from the tokens that the
+// replica would have to prefill, from its recent latency, and from the distance to its
+// data hall. All of these are times, so they are added up without weights.
 type Pool struct {
 	mu       sync.Mutex
 	rng      *rand.Rand
-	dataHall string // Of this node.
+	dataHall string // The data hall of this node.
 	byID     map[string]*member
 	members  []*member
-	// secondsPerToken is the learnt time to read one token, and base that of an answer
-	// with little to read, in seconds.
+	// secondsPerToken and baseSeconds are learnt from answers: the time to prefill one
+	// token, and the time to the first byte of a prompt with few tokens to prefill.
 	secondsPerToken float64
 	baseSeconds     float64
-	meanRequestTime time.Duration // Of requests without a prompt.
-	meanFailureRate float64       // Mean share of failures over all replicas.
-	// meanLatencyRatio is the mean over all replicas of the time taken over the time expected.
+	meanRequestTime time.Duration // Mean duration of requests without a prompt.
+	meanFailureRate float64       // Mean share of failed requests over all replicas.
+	// meanLatencyRatio is the mean of actual over expected time to the first byte, over
+	// all replicas.
 	meanLatencyRatio float64
 	memory           memoryUse
-	engineMemory     int // Of an engine's memory, in tokens; 0 if not known.
-	// coldMost is how many requests a cold replica may get from all nodes in a second, if
-	// coldLimited, and coldShares tells this node's share.
+	engineMemory     int // Memory of one engine, in tokens; 0 if unknown.
+	// coldLimit is the number of requests a second that a cold replica may get from all
+	// nodes, if hasColdLimit is set; coldShares returns this node's share of it.
 	hasColdLimit bool
 	coldLimit    int
 	coldShares   ColdShares
-	rateLimits   RateLimits // Nil for none.
-	// consecutiveUnreachable counts replicas that were not reached since one last answered.
+	rateLimits   RateLimits // May be nil.
+	// consecutiveUnreachable counts the connection failures since a replica last answered.
 	consecutiveUnreachable int
-	// backoffs are until when starts of replicas are sent nothing, as they asked; also of those
-	// whose rows have gone, and may come again.
+	// backoffs maps the start key of a replica to the end of the backoff it asked for. It
+	// also covers replicas that are not listed at the moment, as they may be listed again.
 	backoffs map[string]time.Time
 	disabled config.DisabledMechanisms
-	// candidates is kept for choose.
+	// candidates is a buffer that choose reuses.
 	candidates []candidate
 }
 
 // member is one replica of a pool.
 type member struct {
 	site.Upstream
-	idHash uint64 // Of the ID.
-	// startHash is of this start of the replica: what was told of an earlier one is not its.
+	idHash uint64 // Hash of the ID.
+	// startHash is the hash of startKey. Reports about an earlier start of the replica
+	// have another hash and are ignored.
 	startHash NameHash
-	// startKey names this start of it.
+	// startKey identifies this start of the replica's process.
 	startKey       string
-	inFlight       map[*InFlightRequest]struct{} // Own requests in flight.
-	pendingTokens  BandTokens                    // Tokens of those without a first answer byte.
-	heldMemory     int                           // Tokens that they hold of an engine's memory.
-	peerLoad       PeerLoad                      // In flight at other nodes.
-	latencyRatio   float64                       // Mean of the time taken over the time expected.
+	inFlight       map[*InFlightRequest]struct{} // Requests of this node.
+	pendingTokens  BandTokens                    // Tokens to prefill of those still without a first byte.
+	heldMemory     int                           // Engine memory that they hold, in tokens.
+	peerLoad       PeerLoad                      // Requests of other nodes.
+	latencyRatio   float64                       // Mean of actual over expected time to the first byte.
 	latencyRatioAt time.Time
-	failureRate    float64 // Mean share of failures.
+	failureRate    float64 // Mean share of failed requests.
 	outlier        outlierState
-	avoidUntil     time.Time // Until when it is passed over if others can take over.
-	backoffUntil   time.Time // Until when it is sent nothing, as it asked.
-	swapUntil      time.Time // Until when its weights are expected to be being replaced.
-	coldUntil      time.Time // Bears little until.
-	// presumedColdUntil is until when the replica is taken to be cold though it has not said so:
-	// it was not reached, and may have started again.
+	avoidUntil     time.Time // Until then it is used only if no other replica can be.
+	backoffUntil   time.Time // Until then it is sent nothing, as it asked.
+	swapUntil      time.Time // Until then its weights are expected to be replaced.
+	coldUntil      time.Time // Until then it can take only few requests.
+	// presumedColdUntil is like coldUntil for a replica that has not reported itself cold:
+	// it could not be reached, and may have restarted.
 	presumedColdUntil time.Time
-	sends             []time.Time // Of requests within coldWindow, if there is a limit.
+	sends             []time.Time // Times of requests within coldWindow, if there is a cold limit.
 }
 
-// PeerLoad is what other nodes have in flight at a replica.
+// PeerLoad is the load that other nodes have in flight at a replica.
 type PeerLoad struct {
 	Requests int
-	Tokens   BandTokens // To be read.
-	Memory   int        // Tokens held of an engine's memory.
+	Tokens   BandTokens // Tokens to prefill, by priority band.
+	Memory   int        // Engine memory held, in tokens.
 }
 
-// Plus is the sum of two loads.
+// Plus returns the sum of two loads.
 func (l PeerLoad) Plus(o PeerLoad) PeerLoad {
 	return PeerLoad{Requests: l.Requests + o.Requests, Tokens: l.Tokens.Plus(o.Tokens), Memory: l.Memory + o.Memory}
 }
 
-// Minus takes another load away; nothing becomes less than none.
+// Minus returns the difference of two loads, with negative values set to 0.
 func (l PeerLoad) Minus(o PeerLoad) PeerLoad {
 	return PeerLoad{
 		Requests: max(0, l.Requests-o.Requests),
@@ -98,47 +100,47 @@
 }
 
 const (
-	// initialSecondsPerToken is the time to read a token that is assumed before any was
-	// measured: some 20,000 tokens a second.
+	// initialSecondsPerToken is the assumed time to prefill a token until there are
+	// measurements: 20,000 tokens a second.
 	initialSecondsPerToken = 50e-6
-	// initialBaseSeconds is the time to the first byte of a prompt with little to read
-	// that is assumed before any was measured.
+	// initialBaseSeconds is the assumed time to the first byte of a prompt with few tokens
+	// to prefill until there are measurements.
 	initialBaseSeconds = 0.03
-	// initialRequestTime is how long a request without a prompt is assumed to take.
+	// initialRequestTime is the assumed duration of a request without a prompt.
 	initialRequestTime = 50 * time.Millisecond
-	// learnWeight is the weight of the newest sample in learnt means.
+	// learnWeight is the weight of the newest sample in the exponential means of a pool.
 	learnWeight = 0.05
-	// latencyRatioWeight is the weight of the newest sample in a replica's lateness.
+	// latencyRatioWeight is the weight of the newest sample in a replica's latency ratio.
 	latencyRatioWeight = 0.2
-	// latencyDecayTime is how fast an unused replica's lateness is forgotten.
+	// latencyDecayTime is the time constant with which the latency statistics of an unused
+	// replica or link decay.
 	latencyDecayTime = 5 * time.Second
-	// minExpectedTime keeps short requests from looking late for the time that
-	// any takes.
+	// minExpectedTime keeps the fixed overhead of short requests from counting as
+	// slowness.
 	minExpectedTime = 20 * time.Millisecond
 	maxLatencyRatio = 20.0
-	// otherHallCost is the price of another data hall: the way there and back, and
-	// what the bytes between halls cost, in the time that is worth the same.
+	// otherHallCost is the cost of a replica in another data hall: the round trip, and the
+	// traffic between halls converted to an equivalent time.
 	otherHallCost = 4 * time.Millisecond
-	// staleWeightsCost is the price of weights that are to be replaced.
+	// staleWeightsCost is the cost of a replica with outdated weights.
 	staleWeightsCost = 100 * time.Millisecond
-	// runningRequestCost is the price of each request that runs at a replica: the others'
-	// tokens come more slowly for it.
+	// runningRequestCost is the cost of each request that runs at a replica, as it slows
+	// the token generation of the others.
 	runningRequestCost = 500 * time.Microsecond
-	// affinityCachedShare is the share of a prompt's shared tokens that its home replica
-	// is assumed to still have.
+	// affinityCachedShare is the assumed share of a prompt's shared tokens that its
+	// affinity replica still has cached.
 	affinityCachedShare = 0.1
 )
 
-// NewPool returns a pool without replicas for a node in the given data hall.
+// NewPool returns an empty pool for a node in the given data hall.
 func NewPool(hall string, rng *rand.Rand) *Pool {
 	return &Pool{dataHall: hall, rng: rng, byID: map[string]*member{}, secondsPerToken: initialSecondsPerToken, baseSeconds: initialBaseSeconds, meanRequestTime: initialRequestTime, meanLatencyRatio: 1, backoffs: map[string]time.Time{}}
 }
 
-// Disable switches mechanisms off; it is to be called before the pool is used.
+// Disable switches mechanisms off. It must be called before the pool is used.
 func (p *Pool) Disable(mechanisms config.DisabledMechanisms) { p.disabled = mechanisms }
 
-// Configure sets which replicas there are; what is known of those that stay is
-// kept.
+// Configure sets the list of replicas. State of replicas that stay is kept.
 func (p *Pool) Configure(list []site.Upstream, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,17 +150,17 @@
 	for _, u := range list {
 		m, ok := old[u.ID]
 		if !ok || m.StartedBefore(&u) {
-			// What is known of an earlier start goes with it: its weights, its lateness,
-			// its failures and what was in flight there.
+			// State of an earlier start is dropped: its weights, latency, failures and
+			// requests in flight.
 			m = &member{idHash: rendezvous.Hash(u.ID), startHash: HashName(u.StartKey()), startKey: u.StartKey(), inFlight: map[*InFlightRequest]struct{}{}, latencyRatio: 1}
 			m.backoffUntil = p.backoffs[m.startKey]
 		}
-		if !m.Started.Equal(u.Started) { // The same start, told with its time or without.
+		if !m.Started.Equal(u.Started) { // The same start; one of the lists lacks its time.
 			m.startHash, m.startKey = HashName(u.StartKey()), u.StartKey()
 		}
 		weights := m.Weights
 		m.Upstream = u
-		// What answers have told is newer than the list.
+		// Versions seen in answers are newer than the list.
 		for model, v := range weights {
 			if v > u.Weights[model] {
 				m.setWeights(model, v)
@@ -178,13 +180,13 @@
 	})
 }
 
-// ReplicaLoad is what is in flight at one replica.
+// ReplicaLoad is the load that this node has in flight at one replica.
 type ReplicaLoad struct {
 	Key  NameHash
 	Load PeerLoad
 }
 
-// AppendLoads adds what this node has in flight to a list.
+// AppendLoads appends the load that this node has in flight at each replica.
 func (p *Pool) AppendLoads(list []ReplicaLoad) []ReplicaLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,7 +199,7 @@
 	return list
 }
 
-// Pick chooses a replica; ok is false if none may take the request.
+// Pick chooses a replica; ok is false if none is eligible.
 func (p *Pool) Pick(in *PickInput, now time.Time) (c Choice, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,7 +227,7 @@
 	}, true
 }
 
-// lastResort says whether a replica is left out as long as others are there.
+// lastResort reports whether the replica is used only if there is no other.
 func (m *member) lastResort(now time.Time) bool {
 	return now.Before(m.avoidUntil) || m.outlier.ejected(now)
 }
--- a/pkg/route/pool_estimate.go
+++ b/pkg/route/pool_estimate.go
@@ -7,8 +7,9 @@
 	"github.com/drumpath/drumpath/pkg/rendezvous"
 )
 
-// affinityMember is the replica to which a prompt's shared parts belong: all nodes take
-// the same one without a word, so it is the likeliest to have them.
+// affinityMember returns the replica that a prompt's shared parts are assigned to by
+// rendezvous hashing, nil for none. All nodes compute the same one without communication,
+// so it is the most likely to have the parts cached.
 func (p *Pool) affinityMember(in *PickInput) *member {
 	if in.Affinity == 0 || p.disabled.Home {
 		return nil
@@ -26,7 +27,7 @@
 	return best
 }
 
-// idleCost is the price of a replica at which nothing waits, in seconds.
+// idleCost is the cost of a replica without its queue, in seconds.
 func (p *Pool) idleCost(m *member, in *PickInput, affinity bool, rate *RateState, now time.Time) float64 {
 	cost := p.idleSeconds(m, in, affinity, p.relativeLatency(m, now))
 	if m.DataHall != p.dataHall {
@@ -39,12 +40,12 @@
 	return cost
 }
 
-// firstByteSeconds is the expected time to the first byte of the answer, in seconds.
+// firstByteSeconds is the expected time to the first byte of the answer.
 func (p *Pool) firstByteSeconds(m *member, in *PickInput, affinity bool, latencyRatio float64, now time.Time) float64 {
 	return p.idleSeconds(m, in, affinity, latencyRatio) + p.queueSeconds(m, in, latencyRatio, now)
 }
 
-// idleTime is the part of firstByte that a replica at which nothing waits would take.
+// idleSeconds is the part of firstByteSeconds that an idle replica would take.
 func (p *Pool) idleSeconds(m *member, in *PickInput, affinity bool, latencyRatio float64) float64 {
 	if in.Tokens == 0 {
 		return p.meanRequestTime.Seconds() * latencyRatio
@@ -53,7 +54,8 @@
 	return (p.baseSeconds+in.tokensToPrefill(coverage, affinity)*p.secondsPerToken)*latencyRatio + coverage.Wait.Seconds()
 }
 
-// busyTime is the part of firstByte that comes from others at the replica.
+// queueSeconds is the part of firstByteSeconds that is caused by other requests at the
+// replica.
 func (p *Pool) queueSeconds(m *member, in *PickInput, latencyRatio float64, now time.Time) float64 {
 	if in.Tokens > 0 {
 		return p.prefillQueueSeconds(m, in, latencyRatio, now)
@@ -63,12 +65,12 @@
 	if over := running + 1 - max(1, m.Slots); over > 0 {
 		wait = float64(over) * p.meanRequestTime.Seconds() / float64(max(1, m.Slots))
 	}
-	// Replicas with some to do come after idle ones.
+	// Partly busy replicas rank behind idle ones.
 	wait += p.meanRequestTime.Seconds() * float64(running) / float64(4*max(1, m.Slots))
 	return wait * latencyRatio
 }
 
-// promptQueueSeconds is wait, and nothing for requests without a prompt.
+// promptQueueSeconds is prefillQueueSeconds, or 0 for requests without a prompt.
 func (p *Pool) promptQueueSeconds(m *member, in *PickInput, now time.Time) float64 {
 	if in.Tokens == 0 {
 		return 0
@@ -76,7 +78,7 @@
 	return p.prefillQueueSeconds(m, in, p.relativeLatency(m, now), now)
 }
 
-// prefillQueueSeconds is how long a prompt waits at a replica until it is begun, in seconds.
+// prefillQueueSeconds is how long a prompt waits at a replica until its prefill starts.
 func (p *Pool) prefillQueueSeconds(m *member, in *PickInput, latencyRatio float64, now time.Time) float64 {
 	running := float64(len(m.inFlight) + m.peerLoad.Requests)
 	prefill := float64(m.tokensAhead(in)) * p.secondsPerToken
@@ -87,9 +89,9 @@
 	return (prefill+running*runningRequestCost.Seconds())*latencyRatio + slots + p.memoryWait(m, in.Memory) + p.overdueSeconds(m, now)
 }
 
-// overdueSeconds is by how much the first byte of this node's longest unanswered prompt at a
-// replica is overdue, in seconds: a replica that has fallen silent shows by nothing
-// else until time is up, and the next prompt would wait no less.
+// overdueSeconds is by how much the first byte of this node's most overdue prompt at a
+// replica is late. A replica that has stopped answering shows no other sign until the
+// timeout, and the next prompt would wait at least as long.
 func (p *Pool) overdueSeconds(m *member, now time.Time) float64 {
 	if p.disabled.Overdue {
 		return 0
@@ -103,16 +105,16 @@
 	return longest.Seconds()
 }
 
-// tokensAhead is how many tokens are read at a replica before a prompt's.
+// tokensAhead is the number of tokens that a replica prefills before a prompt's own.
 func (m *member) tokensAhead(in *PickInput) int {
 	return m.pendingTokens.Plus(m.peerLoad.Tokens).upTo(bandOf(in.Priority))
 }
 
-// relativeLatency is how much longer than the others' the replica's answers take.
+// relativeLatency is the replica's latency ratio relative to the mean of the pool.
 //
-// The load pattern that it answers is a replica that is slow among others that are not. When
-// all are late, as under a burst, that is learnt as the time that a token takes to be read, and
-// is not to be counted once more for each replica that answered last.
+// It detects one replica that is slow while others are not. If all are slow, as under a
+// burst, secondsPerToken learns that, and it must not be counted again for each replica
+// that answered recently.
 func (p *Pool) relativeLatency(m *member, now time.Time) float64 {
 	if p.disabled.Lateness {
 		return 1
@@ -120,8 +122,8 @@
 	return min(maxLatencyRatio, p.latencyRatio(m, now)/p.meanLatencyRatio)
 }
 
-// latencyRatio is the mean of the time taken over the time expected at one replica; the longer ago
-// the last answer, the more it is that of all.
+// latencyRatio is a replica's mean of actual over expected time to the first byte; it
+// decays to the mean of the pool with the time since the last answer.
 func (p *Pool) latencyRatio(m *member, now time.Time) float64 {
 	weight := math.Exp(-max(0, now.Sub(m.latencyRatioAt).Seconds()/latencyDecayTime.Seconds()))
 	return p.meanLatencyRatio + (m.latencyRatio-p.meanLatencyRatio)*weight
--- a/pkg/route/pool_test.go
+++ b/pkg/route/pool_test.go
@@ -29,8 +29,8 @@
 	return list
 }
 
-// Whatever happens to replicas, a pick names one that is there, does not leave,
-// was not excluded, and has weights that may still be used.
+// Random list changes, failures, swaps and avoidance: a picked replica is listed, not
+// draining, not excluded, and has weights that may be used.
 func TestPickReturnsOnlyEligibleReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestPool(6, 1)
@@ -74,11 +74,11 @@
 					assert.Equal(t, c.Weights, u.Weights["m"])
 				}
 			}
-			k := p.Begin(c, now)
+			request := p.Begin(c, now)
 			if rapid.Bool().Draw(t, "first") {
-				k.FirstByte(now)
+				request.FirstByte(now)
 			}
-			k.End(Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")), now)
+			request.End(Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")), now)
 		}
 		for _, l := range p.AppendLoads(nil) {
 			assert.Equal(t, l.Load.Requests, 0)
@@ -99,11 +99,11 @@
 		p.Begin(c, testNow)
 		seen[c.ID] = true
 	}
-	assert.Equal(t, len(seen), 3, "three prompts at once go to three replicas")
+	assert.Equal(t, len(seen), 3, "three simultaneous prompts go to three replicas")
 }
 
-// One prompt that draws most of the traffic does not drown the replica that it
-// belongs to: its requests spread, and others are placed as before.
+// A prompt that most requests share must not overload its affinity replica, nor keep other
+// prompts from spreading.
 func TestHotPromptDoesNotOverloadItsAffinityReplica(t *testing.T) {
 	const replicas, requests = 10, 200
 	p := newTestPool(replicas, 1)
@@ -124,7 +124,7 @@
 	assert.Equal(t, len(count), replicas)
 }
 
-// A replica that goes down and up by turns is left out longer each time.
+// A replica that fails again after each ejection is ejected for longer each time.
 func TestFlappingReplicaIsEjectedLongerEachTime(t *testing.T) {
 	p := newTestPool(4, 1)
 	now, last := testNow, time.Duration(0)
@@ -135,7 +135,7 @@
 		out := m.outlier.ejectedUntil.Sub(now)
 		assert.Assert(t, out > last, "%s after %s", out, last)
 		now, last = m.outlier.ejectedUntil, out
-		assert.Assert(t, !m.outlier.ejected(now), "it is tried again")
+		assert.Assert(t, !m.outlier.ejected(now), "still ejected after its ejection time")
 	}
 }
 
@@ -165,10 +165,10 @@
 	one.RecordUnreachable("r00", testNow)
 	one.RecordUnreachable("r01", testNow)
 	_, ok := one.Pick(&PickInput{Model: "m"}, testNow)
-	assert.Assert(t, ok, "the last one is used whatever is thought of it")
+	assert.Assert(t, ok, "no replica picked though one is not ejected")
 }
 
-// A service that fails some of its requests everywhere has no outliers.
+// If all replicas fail the same share of their requests, none is an outlier.
 func TestUniformFailuresDoNotEjectReplicas(t *testing.T) {
 	p := newTestPool(3, 1)
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -177,13 +177,13 @@
 		now = now.Add(10 * time.Millisecond)
 		c, ok := p.Pick(&PickInput{}, now)
 		assert.Assert(t, ok)
-		k := p.Begin(c, now)
+		request := p.Begin(c, now)
 		o := OutcomeOK
 		if rng.Float64() < 0.14 {
 			o = OutcomeFailed
 		}
-		k.FirstByte(now)
-		k.End(o, now)
+		request.FirstByte(now)
+		request.End(o, now)
 	}
 	ejections := 0
 	for _, m := range p.members {
@@ -200,13 +200,13 @@
 	for i := range 40 {
 		now = now.Add(10 * time.Millisecond)
 		for _, m := range p.members {
-			k := p.Begin(Choice{Upstream: m.Upstream}, now)
+			request := p.Begin(Choice{Upstream: m.Upstream}, now)
 			o := OutcomeOK
 			if m.ID == "r02" && i%2 == 0 {
 				o = OutcomeFailed
 			}
-			k.FirstByte(now)
-			k.End(o, now)
+			request.FirstByte(now)
+			request.End(o, now)
 		}
 	}
 	assert.Assert(t, p.byID["r02"].outlier.ejectionTime > 0)
@@ -219,13 +219,13 @@
 	for range 20 {
 		for _, m := range p.members {
 			c := Choice{Upstream: m.Upstream, Expected: 50 * time.Millisecond, Read: 2000}
-			k := p.Begin(c, now)
+			request := p.Begin(c, now)
 			took := 50 * time.Millisecond
 			if m.ID == "r01" {
 				took = 400 * time.Millisecond
 			}
-			k.FirstByte(now.Add(took))
-			k.End(OutcomeOK, now.Add(took))
+			request.FirstByte(now.Add(took))
+			request.End(OutcomeOK, now.Add(took))
 		}
 		now = now.Add(500 * time.Millisecond)
 	}
@@ -236,8 +236,8 @@
 	}
 }
 
-// What all nodes spend together stays within the budget, in any window and with
-// any number of nodes.
+// The retries of all nodes together stay within the budget, in any window and for any
+// number of nodes.
 func TestRetryShareHoldsWithoutCoordination(t *testing.T) {
 	const ratio, slack, window = 0.2, 54.0, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -275,8 +275,8 @@
 	})
 }
 
-// Word of a swap may come again after word that it is done: the replica is not passed
-// over for that.
+// A swap notice that arrives after the swap was seen to be done must not make the replica
+// a last resort again.
 func TestLateSwapNoticeDoesNotAvoidSwappedReplica(t *testing.T) {
 	p := newTestPool(2, 1)
 	p.AvoidForSwap(ReplicaRef{ID: "r00"}, "m", 2, testNow.Add(time.Second))
@@ -289,17 +289,17 @@
 	c, ok = p.Pick(&PickInput{Model: "m", Tokens: 1000, NewestVersion: 2, StalenessWeight: 1}, testNow)
 	assert.Assert(t, ok && c.ID == "r00")
 	p.AvoidForSwap(ReplicaRef{ID: "r00"}, "m", 3, testNow.Add(time.Second))
-	assert.Equal(t, p.Swapping(testNow), 1, "a newer version's swap is another")
+	assert.Equal(t, p.Swapping(testNow), 1, "swap to a newer version ignored")
 }
 
-// A replica that answers nothing any more is left while its answers are overdue, long
-// before their time is up.
+// A replica that stops answering must get no more prompts once its answers are overdue,
+// long before their timeout.
 func TestReplicaWithOverdueAnswersIsAvoided(t *testing.T) {
 	p := newTestPool(3, 1)
 	input := &PickInput{Model: "m", Tokens: 1000, Memory: 1000, Capacity: 40_000}
 	c, ok := p.Pick(input, testNow)
 	assert.Assert(t, ok)
-	k := p.Begin(c, testNow)
+	request := p.Begin(c, testNow)
 	now := testNow.Add(time.Second)
 	for range 20 {
 		next, ok := p.Pick(input, now)
@@ -309,17 +309,17 @@
 		other.FirstByte(now.Add(50 * time.Millisecond))
 		other.End(OutcomeOK, now.Add(60*time.Millisecond))
 	}
-	k.FirstByte(now)
-	k.End(OutcomeOK, now)
+	request.FirstByte(now)
+	request.End(OutcomeOK, now)
 	used := false
 	for range 20 {
 		next, _ := p.Pick(input, now.Add(time.Minute))
 		used = used || next.ID == c.ID
 	}
-	assert.Assert(t, used, "once it answers it is used again")
+	assert.Assert(t, used, "not used again after its answer")
 }
 
-// A prompt waits behind those as urgent as it is, and not behind others.
+// A prompt waits for queued prompts of its own or a higher priority only.
 func TestUrgentPromptsDoNotWaitForLowerPriority(t *testing.T) {
 	p := newTestPool(1, 1)
 	p.SetPeers(map[NameHash]PeerLoad{HashName("r00"): {Requests: 3, Tokens: BandTokens{0, 20_000}}})
@@ -333,18 +333,18 @@
 	assert.Equal(t, lower.Wait, other.Wait)
 }
 
-// Under a burst all replicas answer late, some requests very late. That is no reason to hold any
-// of them for slow, and a replica that is slow among them still shows.
+// Under a burst all replicas answer late, some requests very late. None must count as slow
+// for that, and one that is slower than the others must still be detected.
 func TestBurstDoesNotMakeEveryReplicaLookSlow(t *testing.T) {
 	p := newTestPool(10, 1)
 	rng := rand.New(rand.NewPCG(5, 6))
 	now := testNow
 	answer := func(u site.Upstream, times float64) {
-		f := p.Begin(Choice{Upstream: u, ExpectedAtMeanLatency: 100 * time.Millisecond, Expected: 100 * time.Millisecond}, now)
+		request := p.Begin(Choice{Upstream: u, ExpectedAtMeanLatency: 100 * time.Millisecond, Expected: 100 * time.Millisecond}, now)
 		now = now.Add(20 * time.Millisecond)
-		end := f.startedAt.Add(time.Duration(times * float64(100*time.Millisecond)))
-		f.FirstByte(end)
-		f.End(OutcomeOK, end)
+		end := request.startedAt.Add(time.Duration(times * float64(100*time.Millisecond)))
+		request.FirstByte(end)
+		request.End(OutcomeOK, end)
 	}
 	for range 400 {
 		for _, u := range p.Upstreams() {
@@ -363,6 +363,6 @@
 		}
 		others += s.Lateness / 9
 	}
-	assert.Assert(t, others < 1.3, "the others count as %.1f times as late", others)
-	assert.Assert(t, slow > 1.5*others, "%.1f, the others %.1f", slow, others)
+	assert.Assert(t, others < 1.3, "relative latency of the others is %.1f", others)
+	assert.Assert(t, slow > 1.5*others, "relative latency %.1f, others %.1f", slow, others)
 }
--- a/pkg/route/pool_updates.go
+++ b/pkg/route/pool_updates.go
@@ -6,7 +6,7 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// setWeights notes a version; the map is replaced, as the old one is shared.
+// setWeights records a version. It copies the map, as the old one is shared.
 func (m *member) setWeights(model string, version int64) {
 	next := make(map[string]int64, len(m.Weights)+1)
 	for k, old := range m.Weights {
@@ -16,7 +16,7 @@
 	m.Weights = next
 }
 
-// SetPeers sets what other nodes have in flight, by replica.
+// SetPeers sets the load that other nodes have in flight at each replica.
 func (p *Pool) SetPeers(loads map[NameHash]PeerLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// Avoid has a replica passed over for a while where others can take over.
+// Avoid makes a replica a last resort for a while.
 func (p *Pool) Avoid(id string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -34,18 +34,18 @@
 	}
 }
 
-// ReplicaRef names a replica of which something is told.
+// ReplicaRef identifies a replica, and if known which start of it, in a report about it.
 type ReplicaRef struct {
 	ID string
-	// Started tells its start, zero if that is not known; what is told of another start
-	// than the one that this node knows is void.
+	// Started is the time of its start, zero if unknown. A report about another start than
+	// the one that this node knows is ignored.
 	Started time.Time
 }
 
-// RefOf names an upstream.
+// RefOf returns the reference to an upstream.
 func RefOf(u *site.Upstream) ReplicaRef { return ReplicaRef{ID: u.ID, Started: u.Started} }
 
-// find returns the replica that is meant, if this node knows that start of it.
+// find returns the referenced replica, if this node knows the same start of it.
 func (p *Pool) find(ref ReplicaRef) (m *member, ok bool) {
 	m, ok = p.byID[ref.ID]
 	if ok && !ref.Started.IsZero() && !m.Started.IsZero() && !ref.Started.Equal(m.Started) {
@@ -54,8 +54,9 @@
 	return m, ok
 }
 
-// AvoidForSwap has a replica passed over while it gets weights of a version. Word of that
-// may come after word that it has them, and is void then.
+// AvoidForSwap makes a replica a last resort while it swaps to a version of a model's
+// weights. The notice may arrive after the swap has been seen to be done, and is ignored
+// then.
 func (p *Pool) AvoidForSwap(ref ReplicaRef, model string, version int64, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,7 +72,7 @@
 	}
 }
 
-// Swapping is how many replicas are passed over as their weights are replaced.
+// Swapping returns the number of replicas whose weights are expected to be swapped now.
 func (p *Pool) Swapping(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,8 +85,8 @@
 	return n
 }
 
-// RecordWeights notes the version of a model's weights that a replica has, as it was
-// just seen.
+// RecordWeights records the version of a model's weights that a replica was just seen to
+// have.
 func (p *Pool) RecordWeights(ref ReplicaRef, model string, version int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/route/pool_views.go
+++ b/pkg/route/pool_views.go
@@ -7,7 +7,7 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Upstreams lists the replicas with what was last seen of them.
+// Upstreams returns the replicas with their last known state.
 func (p *Pool) Upstreams() []site.Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,8 +29,8 @@
 	return m.Upstream, true
 }
 
-// MedianWait is the median of what the least urgent of prompts would wait, over the
-// replicas that take some.
+// MedianWait returns the median queueing time of a prompt of the lowest priority, over the
+// replicas that accept requests.
 func (p *Pool) MedianWait(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,8 +48,8 @@
 	return seconds(waits[len(waits)/2])
 }
 
-// Count is how many replicas there are, and how many of them are neither left out nor
-// passed over.
+// Count returns the number of replicas, and how many of them are usable without
+// restriction.
 func (p *Pool) Count(now time.Time) (all, usable int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 	return len(p.members), usable
 }
 
-// CountCold is how many replicas are cold, or taken to be.
+// CountCold returns the number of replicas that are cold or presumed to be.
 func (p *Pool) CountCold(now time.Time) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +73,7 @@
 	return n
 }
 
-// IsActive says whether a replica is listed and has not said that it leaves.
+// IsActive reports whether a replica is listed and not draining.
 func (p *Pool) IsActive(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,23 +81,23 @@
 	return ok && !m.Draining
 }
 
-// PoolReplicaStatus is what a dump shows of one replica.
+// PoolReplicaStatus is the state of one replica in a dump.
 type PoolReplicaStatus struct {
 	site.Upstream
 
-	Requests int        `json:"requests"` // Of this node.
-	Tokens   BandTokens `json:"tokens"`   // That they are to have read, by urgency.
+	Requests int        `json:"requests"` // In flight from this node.
+	Tokens   BandTokens `json:"tokens"`   // Tokens that they have to prefill, by priority band.
 	Others   PeerLoad   `json:"others"`
 	Lateness float64    `json:"lateness"`
 	Failing  float64    `json:"failing"`
 	Ejected  bool       `json:"ejected"`
 	Avoided  bool       `json:"avoided"`
-	Cold     bool       `json:"cold"` // Or taken to be.
+	Cold     bool       `json:"cold"` // Or presumed to be.
 	Backoff  bool       `json:"backoff"`
 	Limited  bool       `json:"limited"`
 }
 
-// Status lists the replicas, by name.
+// Status returns the state of all replicas, sorted by ID.
 func (p *Pool) Status(now time.Time) []PoolReplicaStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/route/replica.go
+++ b/pkg/route/replica.go
@@ -6,20 +6,20 @@
 	defaultPrefillRate = 10_000
 	defaultSlots       = 8
 	defaultRunTime     = 500 * time.Millisecond
-	runTimeWeight      = 0.1 // Of the newest run in the mean run time.
+	runTimeWeight      = 0.1 // Weight of the newest run in the mean run time.
 
 	ejectAfterFailures = 3
 	firstEjection      = 2 * time.Second
 	maxEjection        = 30 * time.Second
-	// maxEjectedShare is the most of a model's replicas that may be ejected at once;
-	// beyond it the fault is likely not theirs.
+	// maxEjectedShare is the largest share of a model's or pool's replicas that may be
+	// ejected at once; if more fail, the fault is probably not theirs.
 	maxEjectedShare = 0.3
 
 	slowStartTerm    = 10 * time.Second
 	slowStartMaxCost = 500 * time.Millisecond
 )
 
-// Replica names an engine that may take requests.
+// Replica identifies an engine that serves a model.
 type Replica struct {
 	Name     string
 	DataHall string
@@ -30,12 +30,12 @@
 type replicaState struct {
 	Replica
 	report              Report
-	inFlight            map[*InFlightRun]struct{} // Own runs in flight.
+	inFlight            map[*InFlightRun]struct{} // Runs of this node.
 	meanRunTime         time.Duration
-	consecutiveFailures int // In a row.
+	consecutiveFailures int
 	ejectionTime        time.Duration
-	ejectedUntil        time.Time // Ejected until.
-	slowStartFrom       time.Time // Back in service since.
+	ejectedUntil        time.Time
+	slowStartFrom       time.Time // When the last ejection ends.
 }
 
 func newReplicaState(r Replica, now time.Time) *replicaState {
@@ -61,14 +61,14 @@
 	return r.report.Slots
 }
 
-// ejected says whether the replica is passed over.
+// ejected reports whether the replica is ejected.
 func (r *replicaState) ejected(now time.Time) bool { return now.Before(r.ejectedUntil) }
 
 // wait estimates how long a new request waits before its own prefill starts.
 //
-// A report is old when it comes, so its prefill queue is worked off at the
-// replica's rate since it was taken, and this node's own runs begun since then
-// are added; those begun before are in the report.
+// A report is outdated when it arrives. The prefill queue in it is reduced by what the
+// replica can process since it was taken, and this node's own runs that began since then
+// are added; earlier ones are in the report.
 func (r *replicaState) wait(now time.Time) time.Duration {
 	elapsed := now.Sub(r.report.Taken)
 	pending := max(0, float64(r.report.PrefillQueue)-elapsed.Seconds()*r.rate())
@@ -92,7 +92,7 @@
 	return w
 }
 
-// prefill is how long so many tokens take to compute.
+// prefill is how long it takes to prefill a number of tokens.
 func (r *replicaState) prefill(tokens int) time.Duration { return seconds(float64(tokens) / r.rate()) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/pkg/route/tracked.go
+++ b/pkg/route/tracked.go
@@ -8,15 +8,15 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// SelectTracked chooses of which engines a node of a data hall keeps what they hold: all of
-// its own hall's, as far as there is room for most, then as many of each other hall. In
-// every hall they are taken in one order, the same for all nodes: what another hall wants
-// to know of is always among what the engines' own hall knows of.
+// SelectTracked selects the engines whose cache contents a node of a data hall tracks: all
+// of its own hall up to limit, then the same number from each of the other halls while
+// there is room. Engines are taken in the order of their hashes, the same at all nodes. So
+// what another hall tracks of this one is always a subset of what this hall's own nodes
+// track.
 //
-// The pattern that it answers is a fleet that grows: each engine at work changes what it
-// holds some 40 times a second, and all nodes heard of all. One engine more now takes the
-// place of at most one other, or adds itself. Prompts at engines that are not followed are
-// placed by their homes and by what stores have.
+// Each busy engine changes its cache some 40 times a second, so in a large fleet a node
+// can't track all engines. If an engine is added it replaces at most one other. Prompts at
+// engines that are not tracked are placed by affinity and by what stores have.
 func SelectTracked(hall string, engines []site.Upstream, limit int) map[string][]site.Upstream {
 	halls := map[string][]site.Upstream{}
 	for _, u := range engines {
@@ -47,7 +47,7 @@
 			}
 		}
 		if before == remaining {
-			break // There are no more.
+			break // No engines are left.
 		}
 	}
 	return tracked
--- a/pkg/route/tracked_test.go
+++ b/pkg/route/tracked_test.go
@@ -26,8 +26,8 @@
 	return ids
 }
 
-// A fleet that grows by an engine at a time never loses sight of more than that: following
-// ended for a whole service at one engine more than a limit.
+// If a fleet grows by one engine, at most one other engine stops being tracked. Tracking
+// used to stop for a whole service when it exceeded a limit by one engine.
 func TestGrowingFleetReplacesAtMostOneTrackedEngine(t *testing.T) {
 	const most = 64
 	all := enginesInHalls(5, 120)
@@ -46,7 +46,7 @@
 	}
 }
 
-// What a hall wants to know of another's engines, that one's own nodes follow.
+// What a hall tracks of another hall's engines, that hall's own nodes track too.
 func TestEnginesTrackedElsewhereAreTrackedInTheirOwnHall(t *testing.T) {
 	const most = 64
 	for _, each := range []int{1, 3, 12, 51, 330} {
