--- a/pkg/route/choose.go
+++ b/pkg/route/choose.go
@@ -66,15 +66,15 @@
 	sampled := min(sampleSize, len(list))
 	p.sampleToFront(list, 0, sampled, len(list))
 	// Draw from the cheapest ones next, excluding those already drawn.
-	near := sampled
+	nearEnd := sampled
 	for i := sampled; i < len(list); i++ {
 		if list[i].idleCost <= leastIdle+nearCostMargin.Seconds() {
-			list[i], list[near] = list[near], list[i]
-			near++
+			list[i], list[nearEnd] = list[nearEnd], list[i]
+			nearEnd++
 		}
 	}
-	extra := min(sampleSize, near-sampled)
-	p.sampleToFront(list, sampled, extra, near)
+	extra := min(sampleSize, nearEnd-sampled)
+	p.sampleToFront(list, sampled, extra, nearEnd)
 	return list[:sampled+extra]
 }
 
--- a/pkg/route/cold.go
+++ b/pkg/route/cold.go
@@ -28,8 +28,8 @@
 	// unreachable.
 	unreachableNoticeInterval = time.Second
 	// localFaultThreshold is the number of connection failures without an answer in
-	// between from which a node assumes that its own network is at fault, and stops
-	// notifying others.
+	// between from which a node assumes that its own network is at fault. It then neither
+	// presumes replicas cold nor notifies others.
 	localFaultThreshold = 3
 	// rampUpMaxCost is the cost of a replica that has just ceased to be cold, and
 	// rampUpTerm how long it takes to fall to 0. Without it all nodes would send the
--- a/pkg/route/exclusion.go
+++ b/pkg/route/exclusion.go
@@ -42,7 +42,7 @@
 	if !in.mayRunIn(m.Region) {
 		return ExcludedOutside, rate
 	}
-	if reason = m.memberExclusion(now); reason != NotExcluded {
+	if reason = m.generalExclusion(now); reason != NotExcluded {
 		return reason, rate
 	}
 	switch {
@@ -60,9 +60,9 @@
 	return NotExcluded, rate
 }
 
-// memberExclusion returns the reason for which a replica accepts no request at all, if
+// generalExclusion returns the reason for which a replica accepts no request at all, if
 // any; the caller holds mu.
-func (m *member) memberExclusion(now time.Time) Exclusion {
+func (m *member) generalExclusion(now time.Time) Exclusion {
 	switch {
 	case m.Evacuated:
 		return ExcludedEvacuated
@@ -81,7 +81,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.members {
-		if reason := m.memberExclusion(now); reason != NotExcluded {
+		if reason := m.generalExclusion(now); reason != NotExcluded {
 			if list == nil {
 				list = map[Exclusion]int{}
 			}
@@ -136,7 +136,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m, ok := p.byID[u.ID]
-	return ok && m.Started.Equal(u.Started) && m.memberExclusion(now) == NotExcluded
+	return ok && m.Started.Equal(u.Started) && m.generalExclusion(now) == NotExcluded
 }
 
 // Availability tells why no replica may take a request.
--- a/pkg/route/fleet.go
+++ b/pkg/route/fleet.go
@@ -172,12 +172,12 @@
 }
 
 // usable reports whether a request may be sent to a replica now; the caller holds mu.
-func (f *Fleet) usable(r *replicaState, q *Request, now time.Time) bool {
-	if r.Model != q.Model || r.report.Leaving || f.leaving[r.Name] || r.ejected(now) || slices.Contains(q.Exclude, r.Name) {
+func (f *Fleet) usable(r *replicaState, request *Request, now time.Time) bool {
+	if r.Model != request.Model || r.report.Leaving || f.leaving[r.Name] || r.ejected(now) || slices.Contains(request.Exclude, r.Name) {
 		return false
 	}
 	// A replica without a report may be tried; it refuses requests for other weights.
-	return r.report.Weights == "" || r.report.Weights == q.Weights
+	return r.report.Weights == "" || r.report.Weights == request.Weights
 }
 
 // mayEject reports whether one more replica of a model may be ejected.
--- a/pkg/route/in_flight_request.go
+++ b/pkg/route/in_flight_request.go
@@ -30,17 +30,17 @@
 	request := &InFlightRequest{
 		pool:                  p,
 		member:                m,
-		tokens:                c.Read,
+		tokens:                c.PrefillTokens,
 		memory:                c.Memory,
 		priorityBand:          c.Band,
-		tokensWithAhead:       c.Read + c.TokensAhead,
+		tokensWithAhead:       c.PrefillTokens + c.TokensAhead,
 		fetchSeconds:          c.Fetch.Seconds(),
 		startedAt:             now,
 		expected:              c.Expected,
 		expectedAtMeanLatency: c.ExpectedAtMeanLatency,
 	}
 	m.inFlight[request] = struct{}{}
-	m.pendingTokens[request.priorityBand] += c.Read
+	m.pendingTokens[request.priorityBand] += c.PrefillTokens
 	m.heldMemory += c.Memory
 	return request
 }
@@ -60,13 +60,13 @@
 	}
 	r.firstByteSeen = true
 	r.member.pendingTokens[r.priorityBand] -= r.tokens
-	took := now.Sub(r.startedAt)
-	ratio := min(maxLatencyRatio, max(took, minExpectedTime).Seconds()/max(r.expectedAtMeanLatency, minExpectedTime).Seconds())
+	elapsed := now.Sub(r.startedAt)
+	ratio := min(maxLatencyRatio, max(elapsed, minExpectedTime).Seconds()/max(r.expectedAtMeanLatency, minExpectedTime).Seconds())
 	r.member.latencyRatio = r.pool.latencyRatio(r.member, now)
 	r.member.latencyRatio += latencyRatioWeight * (ratio - r.member.latencyRatio)
 	r.member.latencyRatioAt = now
 	r.pool.meanLatencyRatio += learnWeight * (ratio - r.pool.meanLatencyRatio)
-	r.pool.learnPrefillTime(r, took.Seconds())
+	r.pool.learnPrefillTime(r, elapsed.Seconds())
 }
 
 // minPrefillSample is the least number of tokens from which the time per token is learnt;
@@ -75,16 +75,16 @@
 
 // learnPrefillTime updates the base time and the time per token from the time to the first
 // byte.
-func (p *Pool) learnPrefillTime(request *InFlightRequest, took float64) {
+func (p *Pool) learnPrefillTime(request *InFlightRequest, elapsedSeconds float64) {
 	if request.tokens == 0 {
 		return
 	}
-	took -= request.fetchSeconds
+	elapsedSeconds -= request.fetchSeconds
 	if request.tokensWithAhead < minPrefillSample {
-		p.baseSeconds += learnWeight * (max(0, took-p.secondsPerToken*float64(request.tokensWithAhead)) - p.baseSeconds)
+		p.baseSeconds += learnWeight * (max(0, elapsedSeconds-p.secondsPerToken*float64(request.tokensWithAhead)) - p.baseSeconds)
 		return
 	}
-	p.secondsPerToken += learnWeight * (max(0, took-p.baseSeconds)/float64(request.tokensWithAhead) - p.secondsPerToken)
+	p.secondsPerToken += learnWeight * (max(0, elapsedSeconds-p.baseSeconds)/float64(request.tokensWithAhead) - p.secondsPerToken)
 }
 
 // End records how the request ended. Further calls do nothing.
--- a/pkg/route/in_flight_run.go
+++ b/pkg/route/in_flight_run.go
@@ -45,8 +45,8 @@
 	case OutcomeOK:
 		r.consecutiveFailures = 0
 		r.ejectionTime = 0
-		took := now.Sub(run.startedAt)
-		r.meanRunTime += time.Duration(runTimeWeight * float64(took-r.meanRunTime))
+		elapsed := now.Sub(run.startedAt)
+		r.meanRunTime += time.Duration(runTimeWeight * float64(elapsed-r.meanRunTime))
 	case OutcomeFailed:
 		r.consecutiveFailures++
 		if r.consecutiveFailures >= ejectAfterFailures && run.fleet.mayEject(r.Model, now) {
--- a/pkg/route/outlier.go
+++ b/pkg/route/outlier.go
@@ -66,8 +66,9 @@
 	m.failureRate = p.meanFailureRate
 }
 
-// RecordUnreachable records that a replica can't be reached, and ejects it at once. It
-// reports whether the other nodes are to be notified.
+// RecordUnreachable records that a replica can't be reached. A single failed attempt is
+// enough to eject it, if mayEject allows. It reports whether the other nodes are to be
+// notified.
 func (p *Pool) RecordUnreachable(id string, now time.Time) (notifyPeers bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/route/pick_input.go
+++ b/pkg/route/pick_input.go
@@ -10,8 +10,8 @@
 // PickInput is what a pool needs to know of a request to pick a replica.
 type PickInput struct {
 	Model string
-	// Tokens is the number of tokens to prefill, Shared how many of them other requests
-	// have in common. Both are 0 for requests without a prompt.
+	// Tokens is the number of tokens of the prompt, Shared how many of them it has in
+	// common with other requests. Both are 0 for requests without a prompt.
 	Tokens int
 	Shared int
 	// Priority is 0 for the most urgent requests, and greater for less urgent ones.
@@ -78,8 +78,9 @@
 	ExpectedAtMeanLatency time.Duration
 	// Fetch is the part of Expected that is spent on a fetch of KV cache.
 	Fetch time.Duration
-	// Read is the number of the request's tokens that the replica is expected to prefill.
-	Read int
+	// PrefillTokens is the number of the request's tokens that the replica is expected to
+	// prefill.
+	PrefillTokens int
 	// TokensAhead is the number of tokens that it prefills before those, and Band the
 	// request's priority band.
 	TokensAhead int
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -219,7 +219,7 @@
 		Expected:              seconds(p.firstByteSeconds(chosen, in, chosen == affinity, p.relativeLatency(chosen, now), now)),
 		ExpectedAtMeanLatency: seconds(p.firstByteSeconds(chosen, in, chosen == affinity, 1, now)),
 		Fetch:                 coverage.Wait,
-		Read:                  int(in.tokensToPrefill(coverage, chosen == affinity)),
+		PrefillTokens:         int(in.tokensToPrefill(coverage, chosen == affinity)),
 		Memory:                in.Memory,
 		TokensAhead:           chosen.tokensAhead(in),
 		Band:                  bandOf(in.Priority),
--- a/pkg/route/pool_estimate.go
+++ b/pkg/route/pool_estimate.go
@@ -90,8 +90,8 @@
 }
 
 // overdueSeconds is by how much the first byte of this node's most overdue prompt at a
-// replica is late. A replica that has stopped answering shows no other sign until the
-// timeout, and the next prompt would wait at least as long.
+// replica exceeds twice its expected time. A replica that has stopped answering shows no
+// other sign until the timeout, and the next prompt would wait at least as long.
 func (p *Pool) overdueSeconds(m *member, now time.Time) float64 {
 	if p.disabled.Overdue {
 		return 0
--- a/pkg/route/pool_test.go
+++ b/pkg/route/pool_test.go
@@ -218,7 +218,7 @@
 	now := testNow
 	for range 20 {
 		for _, m := range p.members {
-			c := Choice{Upstream: m.Upstream, Expected: 50 * time.Millisecond, Read: 2000}
+			c := Choice{Upstream: m.Upstream, Expected: 50 * time.Millisecond, PrefillTokens: 2000}
 			request := p.Begin(c, now)
 			took := 50 * time.Millisecond
 			if m.ID == "r01" {
--- a/pkg/route/pool_views.go
+++ b/pkg/route/pool_views.go
@@ -37,7 +37,7 @@
 	in := &PickInput{Priority: bands - 1, Memory: p.memory.mean()}
 	var waits []float64
 	for _, m := range p.members {
-		if m.memberExclusion(now) == NotExcluded && !m.lastResort(now) {
+		if m.generalExclusion(now) == NotExcluded && !m.lastResort(now) {
 			waits = append(waits, p.prefillQueueSeconds(m, in, p.relativeLatency(m, now), now))
 		}
 	}
@@ -54,7 +54,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.members {
-		if m.memberExclusion(now) == NotExcluded && !m.lastResort(now) && !p.isCold(m, now) {
+		if m.generalExclusion(now) == NotExcluded && !m.lastResort(now) && !p.isCold(m, now) {
 			usable++
 		}
 	}
--- a/pkg/route/replica.go
+++ b/pkg/route/replica.go
@@ -15,6 +15,8 @@
 	// ejected at once; if more fail, the fault is probably not theirs.
 	maxEjectedShare = 0.3
 
+	// After an ejection slowStartMaxCost is added to the wait; it falls to 0 over
+	// slowStartTerm.
 	slowStartTerm    = 10 * time.Second
 	slowStartMaxCost = 500 * time.Millisecond
 )
@@ -86,8 +88,8 @@
 	if excess := occupied + 1 - r.slots(); excess > 0 {
 		w += time.Duration(excess) * r.meanRunTime / time.Duration(r.slots())
 	}
-	if back := now.Sub(r.slowStartFrom); back < slowStartTerm {
-		w += time.Duration(float64(slowStartMaxCost) * (1 - back.Seconds()/slowStartTerm.Seconds()))
+	if sinceReturn := now.Sub(r.slowStartFrom); sinceReturn < slowStartTerm {
+		w += time.Duration(float64(slowStartMaxCost) * (1 - sinceReturn.Seconds()/slowStartTerm.Seconds()))
 	}
 	return w
 }
--- a/service/gateway/exchange_log.go
+++ b/service/gateway/exchange_log.go
@@ -10,7 +10,7 @@
 	x.g.metrics.answer(x.route.Kind(), a.begun.Sub(x.came), a.took, now.Sub(x.came))
 	x.g.log.Info("answered", "request", x.terms.ID, "route", x.route.Name, "replica", a.choice.ID,
 		"hall", a.choice.DataHall, "weights", a.choice.Weights, "newest", x.need.NewestVersion,
-		"tokens", x.need.Tokens, "shared", x.need.Shared, "kept", offer.Held+offer.Fetched, "held", offer.Held, "read", a.choice.Read,
+		"tokens", x.need.Tokens, "shared", x.need.Shared, "kept", offer.Held+offer.Fetched, "held", offer.Held, "read", a.choice.PrefillTokens,
 		"fetched", a.plan.Fetched, "saved", a.plan.Saved, "sources", a.plan.Sources, "fetch_ms", a.plan.FetchTime.Milliseconds(),
 		"expected_ms", a.choice.Expected.Milliseconds(), "first_ms", a.took.Milliseconds(), "gap_ms", a.longest.Milliseconds(),
 		"before_ms", a.begun.Sub(x.came).Milliseconds(), "all_ms", now.Sub(x.came).Milliseconds(),
