--- a/pkg/route/exclusion.go
+++ b/pkg/route/exclusion.go
@@ -8,102 +8,105 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Exclusion is why a replica may not be sent a request, whatever else is free.
+// Exclusion is the reason why a replica must not be sent a request.
 type Exclusion string
 
-// Exclusions, in the order in which they are looked at.
+// Exclusions, in the order in which they are checked.
 const (
 	NotExcluded Exclusion = ""
 	// ExcludedOutside: it is outside the regions in which the request may run.
 	ExcludedOutside Exclusion = "outside_homes"
 	// ExcludedEvacuated: its data hall is evacuated.
 	ExcludedEvacuated Exclusion = "evacuated"
-	// ExcludedDraining: it is about to end.
+	// ExcludedDraining: it is draining.
 	ExcludedDraining Exclusion = "draining"
-	// ExcludedBackoff: it has asked this node to send it nothing for a while.
+	// ExcludedBackoff: it has asked this node to send nothing for a while.
 	ExcludedBackoff Exclusion = "backoff"
-	// ExcludedTried: it has failed the request already.
+	// ExcludedTried: the request has already failed there.
 	ExcludedTried Exclusion = "tried"
 	// ExcludedWeights: its weights are too old, or it serves another model.
 	ExcludedWeights Exclusion = "weights"
-	// ExcludedCold: it is cold, or taken to be, and this node's share of it is used up.
+	// ExcludedCold: it is cold or presumed to be, and this node's share of it is used up.
 	ExcludedCold Exclusion = "cold"
-	// ExcludedLimited: it has named a rate, and that is used up.
+	// ExcludedLimited: it has set a rate limit, which is used up.
 	ExcludedLimited Exclusion = "limited"
 )
 
-// backoffSpread is how much later than it asked a replica is sent requests again at most:
-// many nodes may have been told the same time.
+// backoffSpread is the largest random delay that is added to a backoff, as many nodes may
+// have been given the same one.
 const backoffSpread = 250 * time.Millisecond
 
-// exclusion says why a replica may not be sent a request, and what is known of the rate that
-// it names if it may be. The caller holds mu.
-func (p *Pool) exclusion(m *member, n *PickInput, now time.Time) (why Exclusion, rate RateState) {
-	if !n.mayRunIn(m.Region) {
+// exclusion returns why a replica must not be sent a request, if so, and otherwise what is
+// known of its rate limit. The caller holds mu.
+func (p *Pool) exclusion(m *member, in *PickInput, now time.Time) (reason Exclusion, rate RateState) {
+	if !in.mayRunIn(m.Region) {
 		return ExcludedOutside, rate
 	}
-	if why = m.forAll(now); why != NotExcluded {
-		return why, rate
+	if reason = m.generalExclusion(now); reason != NotExcluded {
+		return reason, rate
 	}
 	switch {
-	case slices.Contains(n.Exclude, m.ID):
+	case slices.Contains(in.Exclude, m.ID):
 		return ExcludedTried, rate
-	case !m.serves(n):
+	case !m.serves(in):
 		return ExcludedWeights, rate
-	case !p.mayTake(m, now):
+	case !p.coldShareAllows(m, now):
 		return ExcludedCold, rate
 	}
 	rate = p.rateState(m, now)
-	if !rate.allows(n) {
+	if !rate.allows(in) {
 		return ExcludedLimited, rate
 	}
 	return NotExcluded, rate
 }
 
-// forAll says why a replica takes no request at all, if so; the caller holds mu.
-func (m *member) forAll(now time.Time) Exclusion {
+// generalExclusion returns the reason for which a replica accepts no request at all, if
+// any; the caller holds mu.
+func (m *member) generalExclusion(now time.Time) Exclusion {
 	switch {
 	case m.Evacuated:
 		return ExcludedEvacuated
 	case m.Draining:
 		return ExcludedDraining
-	case now.Before(m.backoff):
+	case now.Before(m.backoffUntil):
 		return ExcludedBackoff
 	default:
 		return NotExcluded
 	}
 }
 
-// Excluded counts the replicas that take no request at all, by reason; nil if all do.
+// Excluded counts the replicas that accept no request at all, by reason; nil if there are
+// none.
 func (p *Pool) Excluded(now time.Time) (list map[Exclusion]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.list {
-		if why := m.forAll(now); why != NotExcluded {
+	for _, m := range p.members {
+		if reason := m.generalExclusion(now); reason != NotExcluded {
 			if list == nil {
 				list = map[Exclusion]int{}
 			}
-			list[why]++
+			list[reason]++
 		}
 	}
 	return list
 }
 
-// serves says whether a replica has weights that a request may run on, as far as is known.
-func (m *member) serves(n *PickInput) bool {
-	if n.Model == "" || len(m.Weights) == 0 {
+// serves reports whether a replica has weights that a request may run on. It is true if
+// the replica's weights are unknown.
+func (m *member) serves(in *PickInput) bool {
+	if in.Model == "" || len(m.Weights) == 0 {
 		return true
 	}
-	version, serves := m.Weights[n.Model]
-	return serves && version >= n.MinVersion
+	version, serves := m.Weights[in.Model]
+	return serves && version >= in.MinVersion
 }
 
-// BackOff has nothing sent to a start of a replica for a while, as it asked this node. Of several
-// such times the last end counts, also where requests are served meanwhile.
-func (p *Pool) BackOff(u *site.Upstream, d time.Duration, now time.Time) {
+// BackOff stops requests to a start of a replica for a while, as it asked this node. If it
+// asks several times the latest end applies, even if it has served requests in between.
+func (p *Pool) BackOff(u *site.Upstream, duration time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	start, until := u.StartKey(), now.Add(d)
+	start, until := u.StartKey(), now.Add(duration)
 	for old, end := range p.backoffs {
 		if !now.Before(end) {
 			delete(p.backoffs, old)
@@ -114,74 +117,75 @@
 	}
 	until = until.Add(time.Duration(p.rng.Int64N(int64(backoffSpread))))
 	p.backoffs[start] = until
-	if m, ok := p.replicas[u.ID]; ok && m.start == start {
-		m.backoff = until
+	if m, ok := p.byID[u.ID]; ok && m.startKey == start {
+		m.backoffUntil = until
 	}
 }
 
-// InBackoff says whether a replica has asked this node to send it nothing now.
+// InBackoff reports whether a replica has asked this node to send it nothing now.
 func (p *Pool) InBackoff(id string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.replicas[id]
-	return ok && now.Before(m.backoff)
+	m, ok := p.byID[id]
+	return ok && now.Before(m.backoffUntil)
 }
 
-// Accepts says whether a replica that was picked may still be sent its request: while a
-// connection was made it may have been dropped, or have said that it drains.
+// Accepts reports whether a picked replica may still be sent its request. It may have been
+// removed or have begun to drain while the connection was made.
 func (p *Pool) Accepts(u *site.Upstream, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.replicas[u.ID]
-	return ok && m.Started.Equal(u.Started) && m.forAll(now) == NotExcluded
+	m, ok := p.byID[u.ID]
+	return ok && m.Started.Equal(u.Started) && m.generalExclusion(now) == NotExcluded
 }
 
-// Availability is why no replica may take a request.
+// Availability tells why no replica may take a request.
 type Availability struct {
-	// Excluded is how many replicas are left out, by reason.
+	// Excluded is the number of excluded replicas, by reason.
 	Excluded map[Exclusion]int
-	// Eligible is how many may take it.
+	// Eligible is the number of replicas that may take it.
 	Eligible int
-	// RetryAfter is when to come back where some will take it after a known time, 0 where none will.
+	// RetryAfter is the delay after which some replica will take the request, 0 if none is
+	// known to.
 	RetryAfter time.Duration
 }
 
-// Availability finds out why no replica may take a request.
-func (p *Pool) Availability(n *PickInput, now time.Time) (a Availability) {
+// Availability determines why no replica may take a request.
+func (p *Pool) Availability(in *PickInput, now time.Time) (a Availability) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a.Excluded = map[Exclusion]int{}
 	wait, known := time.Duration(0), false
-	sooner := func(d time.Duration) {
+	recordWait := func(d time.Duration) {
 		if !known || d < wait {
 			wait, known = d, true
 		}
 	}
-	for _, m := range p.list {
-		why, rate := p.exclusion(m, n, now)
-		if why == NotExcluded {
+	for _, m := range p.members {
+		reason, rate := p.exclusion(m, in, now)
+		if reason == NotExcluded {
 			a.Eligible++
 			continue
 		}
-		a.Excluded[why]++
-		switch why {
+		a.Excluded[reason]++
+		switch reason {
 		case ExcludedBackoff:
-			sooner(m.backoff.Sub(now))
+			recordWait(m.backoffUntil.Sub(now))
 		case ExcludedCold:
-			sooner(min(coldWindow, p.coldWait(m, now)))
+			recordWait(min(coldWindow, p.coldWait(m, now)))
 		case ExcludedLimited:
-			sooner(min(coldWindow, rate.Wait))
+			recordWait(min(coldWindow, rate.Wait))
 		}
 	}
 	if known {
-		a.RetryAfter = max(leastReturn, wait) + rand.N(returnSpread)
+		a.RetryAfter = max(minRetryAfter, wait) + rand.N(retryAfterSpread)
 	}
 	return a
 }
 
 const (
-	// leastReturn and returnSpread bound when a request that no replica takes at the moment is
-	// to come back, each at a time of its own.
-	leastReturn  = 250 * time.Millisecond
-	returnSpread = 500 * time.Millisecond
+	// minRetryAfter is the least delay, and retryAfterSpread the random addition to it,
+	// after which a request that no replica takes now is to be retried.
+	minRetryAfter    = 250 * time.Millisecond
+	retryAfterSpread = 500 * time.Millisecond
 )
--- a/pkg/route/fleet.go
+++ b/pkg/route/fleet.go
@@ -9,87 +9,86 @@
 
 // Fleet is this node's view of the model engines.
 type Fleet struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	replicas map[string]*replica
-	byModel  map[string][]*replica
-	next     int // For round robin.
-	leaving  map[string]bool
-	// near are, by model, the replicas whose load this node asks for.
-	near map[string][]*replica
-	// median is the last result of MedianWait.
-	median time.Duration
-}
-
-// NewFleet returns an empty view.
+	mu             sync.Mutex
+	rng            *rand.Rand
+	replicas       map[string]*replicaState
+	byModel        map[string][]*replicaState
+	nextRoundRobin int
+	leaving        map[string]bool
+	// polled maps a model to the replicas whose load this node polls.
+	polled map[string][]*replicaState
+	// medianWait is the last result of MedianWait.
+	medianWait time.Duration
+}
+
+// NewFleet returns an empty fleet.
 func NewFleet(rng *rand.Rand) *Fleet {
-	return &Fleet{rng: rng, replicas: map[string]*replica{}, byModel: map[string][]*replica{}}
+	return &Fleet{rng: rng, replicas: map[string]*replicaState{}, byModel: map[string][]*replicaState{}}
 }
 
-// Configure sets which replicas there are; what is known of those that stay is
-// kept.
+// Configure sets the list of replicas. State of replicas that stay is kept.
 func (f *Fleet) Configure(list []Replica, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.replicas
-	f.replicas = make(map[string]*replica, len(list))
-	f.byModel = map[string][]*replica{}
+	f.replicas = make(map[string]*replicaState, len(list))
+	f.byModel = map[string][]*replicaState{}
 	for _, r := range list {
-		known, ok := old[r.Name]
-		if !ok || known.Replica != r {
-			known = newReplica(r, now)
+		state, ok := old[r.Name]
+		if !ok || state.Replica != r {
+			state = newReplicaState(r, now)
 		}
-		f.replicas[r.Name] = known
-		f.byModel[r.Model] = append(f.byModel[r.Model], known)
+		f.replicas[r.Name] = state
+		f.byModel[r.Model] = append(f.byModel[r.Model], state)
 	}
 }
 
-// Report takes in a load report; an older one than the last is ignored.
+// Report records a load report, unless a newer one has arrived already.
 func (f *Fleet) Report(name string, r Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if known, ok := f.replicas[name]; ok && r.Taken.After(known.report.Taken) {
-		known.report = r
+	if state, ok := f.replicas[name]; ok && r.Taken.After(state.report.Taken) {
+		state.report = r
 	}
 }
 
-// SetPolled sets whose load this node asks for. In a large fleet these are few,
-// and requests that no replica holds anything for are placed among them: of the
-// others nothing is known, and no news would look like no load.
+// SetPolled sets the replicas whose load this node polls. In a large fleet these are few,
+// and requests for which no replica has anything cached are placed among them only: a
+// replica without reports would look idle.
 func (f *Fleet) SetPolled(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.near = map[string][]*replica{}
+	f.polled = map[string][]*replicaState{}
 	for _, name := range names {
 		if r, ok := f.replicas[name]; ok {
-			f.near[r.Model] = append(f.near[r.Model], r)
+			f.polled[r.Model] = append(f.polled[r.Model], r)
 		}
 	}
 }
 
-// pool is where a request goes that no replica holds anything for; the caller
-// holds mu.
-func (f *Fleet) pool(model string) []*replica {
-	if near := f.near[model]; len(near) > 0 {
-		return near
+// uncachedCandidates returns the replicas for a request for which none has anything
+// cached; the caller holds mu.
+func (f *Fleet) uncachedCandidates(model string) []*replicaState {
+	if polled := f.polled[model]; len(polled) > 0 {
+		return polled
 	}
 	return f.byModel[model]
 }
 
-// staleTerm is how old a report may be before the median of others is believed
-// rather than it.
-const staleTerm = 10 * time.Second
+// reportMaxAge is the age of a report from which a replica's wait is assumed to be at
+// least the median of the others.
+const reportMaxAge = 10 * time.Second
 
-// waitAt estimates what a new request waits at a replica; the caller holds mu.
-func (f *Fleet) waitAt(r *replica, now time.Time) time.Duration {
+// estimatedWait estimates how long a new request waits at a replica; the caller holds mu.
+func (f *Fleet) estimatedWait(r *replicaState, now time.Time) time.Duration {
 	w := r.wait(now)
-	if now.Sub(r.report.Taken) > staleTerm {
-		return max(w, f.median)
+	if now.Sub(r.report.Taken) > reportMaxAge {
+		return max(w, f.medianWait)
 	}
 	return w
 }
 
-// SetLeaving sets which replicas are leaving by the platform's list.
+// SetLeaving sets the replicas that the platform lists as leaving.
 func (f *Fleet) SetLeaving(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +98,7 @@
 	}
 }
 
-// Slots is the sum of the slots of all replicas.
+// Slots returns the sum of the slots of all replicas.
 func (f *Fleet) Slots() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,33 +109,33 @@
 	return sum
 }
 
-// waitSample bounds the replicas that MedianWait looks at.
-const waitSample = 256
+// medianWaitSample bounds the number of replicas that MedianWait samples.
+const medianWaitSample = 256
 
-// MedianWait is the median of what a new request would wait for a prefill, over
-// replicas that have reported, or a random part of them in a large fleet. The
-// mean would let one crowded replica stand for all.
+// MedianWait returns the median wait of a new request for its prefill, over the replicas
+// with a recent report, or a random sample of them in a large fleet. Unlike the mean, it
+// is not dominated by a single overloaded replica.
 func (f *Fleet) MedianWait(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	waits := make([]time.Duration, 0, min(len(f.replicas), waitSample))
+	waits := make([]time.Duration, 0, min(len(f.replicas), medianWaitSample))
 	for _, r := range f.replicas {
-		if r.report.Weights != "" && !r.ejected(now) && now.Sub(r.report.Taken) <= staleTerm {
+		if r.report.Weights != "" && !r.ejected(now) && now.Sub(r.report.Taken) <= reportMaxAge {
 			waits = append(waits, r.wait(now))
 		}
-		if len(waits) == waitSample {
+		if len(waits) == medianWaitSample {
 			break
 		}
 	}
-	f.median = 0
+	f.medianWait = 0
 	if len(waits) > 0 {
 		slices.Sort(waits)
-		f.median = waits[len(waits)/2]
+		f.medianWait = waits[len(waits)/2]
 	}
-	return f.median
+	return f.medianWait
 }
 
-// ReplicaStatus is what a dump shows of one replica.
+// ReplicaStatus is the state of one replica in a dump.
 type ReplicaStatus struct {
 	Name     string        `json:"name"`
 	DataHall string        `json:"data_hall"`
@@ -147,7 +146,7 @@
 	Ejected  bool          `json:"ejected"`
 }
 
-// Status lists all replicas, by name.
+// Status returns the state of all replicas, sorted by name.
 func (f *Fleet) Status(now time.Time) []ReplicaStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -158,7 +157,7 @@
 			DataHall: r.DataHall,
 			Model:    r.Model,
 			Report:   r.report,
-			InFlight: len(r.tickets),
+			InFlight: len(r.inFlight),
 			Wait:     r.wait(now),
 			Ejected:  r.ejected(now),
 		})
@@ -172,37 +171,37 @@
 	return list
 }
 
-// usable says whether a request may go to a replica now; the caller holds mu.
-func (f *Fleet) usable(r *replica, q *Request, now time.Time) bool {
-	if r.Model != q.Model || r.report.Leaving || f.leaving[r.Name] || r.ejected(now) || slices.Contains(q.Exclude, r.Name) {
+// usable reports whether a request may be sent to a replica now; the caller holds mu.
+func (f *Fleet) usable(r *replicaState, request *Request, now time.Time) bool {
+	if r.Model != request.Model || r.report.Leaving || f.leaving[r.Name] || r.ejected(now) || slices.Contains(request.Exclude, r.Name) {
 		return false
 	}
-	// An unreported replica may be tried; it refuses other weights itself.
-	return r.report.Weights == "" || r.report.Weights == q.Weights
+	// A replica without a report may be tried; it refuses requests for other weights.
+	return r.report.Weights == "" || r.report.Weights == request.Weights
 }
 
-// ejectable says whether one more replica of a model may be ejected.
-func (f *Fleet) ejectable(model string, now time.Time) bool {
+// mayEject reports whether one more replica of a model may be ejected.
+func (f *Fleet) mayEject(model string, now time.Time) bool {
 	all := f.byModel[model]
-	out := 1
+	ejected := 1
 	for _, r := range all {
 		if r.ejected(now) {
-			out++
+			ejected++
 		}
 	}
-	return float64(out) <= ejectShare*float64(len(all))
+	return float64(ejected) <= maxEjectedShare*float64(len(all))
 }
 
-// Begin records that a request was sent to a replica; tokens are those it has
-// to compute.
+// Begin records that a request was sent to a replica. tokens is the number that it has to
+// prefill.
 func (f *Fleet) Begin(name string, tokens int, now time.Time) *InFlightRun {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := &InFlightRun{fleet: f, name: name, begun: now, tokens: tokens}
+	run := &InFlightRun{fleet: f, replica: name, startedAt: now, tokens: tokens}
 	if r, ok := f.replicas[name]; ok {
-		r.tickets[t] = struct{}{}
+		r.inFlight[run] = struct{}{}
 	}
-	return t
+	return run
 }
 
 // ReportOf returns the last load report of a replica.
@@ -215,9 +214,9 @@
 	return Report{}
 }
 
-// ServedWeights returns the weight version that a new request should use: the
-// configured one if a replica serves it, else, while the fleet is being
-// swapped, the one that most replicas serve.
+// ServedWeights returns the weight version that a new request should use: the configured
+// one if a replica serves it; otherwise, as during a swap, the one that most replicas
+// serve.
 func (f *Fleet) ServedWeights(model, configured string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/route/pool_views.go
+++ b/pkg/route/pool_views.go
@@ -7,12 +7,12 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Upstreams lists the replicas with what was last seen of them.
+// Upstreams returns the replicas with their last known state.
 func (p *Pool) Upstreams() []site.Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := make([]site.Upstream, 0, len(p.list))
-	for _, m := range p.list {
+	list := make([]site.Upstream, 0, len(p.members))
+	for _, m := range p.members {
 		list = append(list, m.Upstream)
 	}
 	return list
@@ -22,23 +22,23 @@
 func (p *Pool) Upstream(id string) (u site.Upstream, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.replicas[id]
+	m, ok := p.byID[id]
 	if !ok {
 		return u, false
 	}
 	return m.Upstream, true
 }
 
-// MedianWait is the median of what the least urgent of prompts would wait, over the
-// replicas that take some.
+// MedianWait returns the median queueing time of a prompt of the lowest priority, over the
+// replicas that accept requests.
 func (p *Pool) MedianWait(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := &PickInput{Priority: bands - 1, Memory: p.memory.mean()}
+	in := &PickInput{Priority: bands - 1, Memory: p.memory.mean()}
 	var waits []float64
-	for _, m := range p.list {
-		if m.forAll(now) == NotExcluded && !m.passedOver(now) {
-			waits = append(waits, p.wait(m, n, p.lateness(m, now), now))
+	for _, m := range p.members {
+		if m.generalExclusion(now) == NotExcluded && !m.lastResort(now) {
+			waits = append(waits, p.prefillQueueSeconds(m, in, p.relativeLatency(m, now), now))
 		}
 	}
 	if len(waits) == 0 {
@@ -48,73 +48,73 @@
 	return seconds(waits[len(waits)/2])
 }
 
-// Count is how many replicas there are, and how many of them are neither left out nor
-// passed over.
+// Count returns the number of replicas, and how many of them are usable without
+// restriction.
 func (p *Pool) Count(now time.Time) (all, usable int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.list {
-		if m.forAll(now) == NotExcluded && !m.passedOver(now) && !p.limited(m, now) {
+	for _, m := range p.members {
+		if m.generalExclusion(now) == NotExcluded && !m.lastResort(now) && !p.isCold(m, now) {
 			usable++
 		}
 	}
-	return len(p.list), usable
+	return len(p.members), usable
 }
 
-// CountCold is how many replicas are cold, or taken to be.
+// CountCold returns the number of replicas that are cold or presumed to be.
 func (p *Pool) CountCold(now time.Time) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.list {
-		if p.limited(m, now) {
+	for _, m := range p.members {
+		if p.isCold(m, now) {
 			n++
 		}
 	}
 	return n
 }
 
-// IsActive says whether a replica is listed and has not said that it leaves.
+// IsActive reports whether a replica is listed and not draining.
 func (p *Pool) IsActive(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.replicas[id]
+	m, ok := p.byID[id]
 	return ok && !m.Draining
 }
 
-// PoolReplicaStatus is what a dump shows of one replica.
+// PoolReplicaStatus is the state of one replica in a dump.
 type PoolReplicaStatus struct {
 	site.Upstream
 
-	Requests int        `json:"requests"` // Of this node.
-	Tokens   BandTokens `json:"tokens"`   // That they are to have read, by urgency.
+	Requests int        `json:"requests"` // In flight from this node.
+	Tokens   BandTokens `json:"tokens"`   // Tokens that they have to prefill, by priority band.
 	Others   PeerLoad   `json:"others"`
 	Lateness float64    `json:"lateness"`
 	Failing  float64    `json:"failing"`
 	Ejected  bool       `json:"ejected"`
 	Avoided  bool       `json:"avoided"`
-	Cold     bool       `json:"cold"` // Or taken to be.
+	Cold     bool       `json:"cold"` // Or presumed to be.
 	Backoff  bool       `json:"backoff"`
 	Limited  bool       `json:"limited"`
 }
 
-// Status lists the replicas, by name.
+// Status returns the state of all replicas, sorted by ID.
 func (p *Pool) Status(now time.Time) []PoolReplicaStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := make([]PoolReplicaStatus, 0, len(p.list))
-	for _, m := range p.list {
+	list := make([]PoolReplicaStatus, 0, len(p.members))
+	for _, m := range p.members {
 		rate := p.rateState(m, now)
 		list = append(list, PoolReplicaStatus{
 			Upstream: m.Upstream,
-			Requests: len(m.flights),
-			Tokens:   m.pending,
-			Others:   m.others,
-			Lateness: p.lateness(m, now),
-			Failing:  m.failing,
-			Ejected:  m.outcome.ejected(now),
-			Avoided:  now.Before(m.avoid),
-			Cold:     p.limited(m, now),
-			Backoff:  now.Before(m.backoff),
+			Requests: len(m.inFlight),
+			Tokens:   m.pendingTokens,
+			Others:   m.peerLoad,
+			Lateness: p.relativeLatency(m, now),
+			Failing:  m.failureRate,
+			Ejected:  m.outlier.ejected(now),
+			Avoided:  now.Before(m.avoidUntil),
+			Cold:     p.isCold(m, now),
+			Backoff:  now.Before(m.backoffUntil),
 			Limited:  rate.Limited,
 		})
 	}
