--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -165,12 +165,12 @@
 	},
 	{
 		"fair queues", "pkg/route/admission.go",
-		"		q.finish = max(q.finish, a.virtual) + p.cost/q.Share", "		q.finish = 0",
+		"		q.virtualFinish = max(q.virtualFinish, a.virtualTime) + ticket.cost/q.Share", "		q.virtualFinish = 0",
 		"./pkg/route", "TestLargeOrganisationDoesNotStarveSmallOnes",
 	},
 	{
 		"links are not booked twice", "pkg/route/links.go",
-		"		s.busy = s.busy.Add(k.reserved[i])\n", "",
+		"		s.busyUntil = s.busyUntil.Add(booking.reserved[i])\n", "",
 		"./pkg/route", "TestLinksAreNotOverbooked",
 	},
 	{
--- a/pkg/route/admission.go
+++ b/pkg/route/admission.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	minCapacity  = 4
-	holdWeight   = 0.05 // Of the newest hold in the mean hold.
-	defaultHold  = 300 * time.Millisecond
-	minRetry     = 100 * time.Millisecond
-	burstSeconds = 2 // Of an organisation's token limit.
+	minCapacity     = 4
+	ewmaWeight      = 0.05 // Weight of the newest sample in the moving averages.
+	defaultHoldTime = 300 * time.Millisecond
+	minRetryAfter   = 100 * time.Millisecond
+	burstSeconds    = 2 // Burst of the token limit, in seconds of its rate.
 )
 
-// Tenant is what admission knows of an organisation.
+// Tenant is an organisation's share and limits.
 type Tenant struct {
 	Name            string
 	Share           float64
@@ -26,96 +26,97 @@
 	TokensPerSecond float64
 }
 
-// Admission lets requests in up to a capacity, in weighted fair order of
-// organisations, and within one by priority and deadline.
+// Admission admits requests up to a capacity, fairly between organisations by
+// their shares, and within an organisation by priority and deadline.
 //
-// It is start-time fair queueing: each organisation has a virtual time that
-// grows with the work it was given over its share, and the organisation that is
-// furthest behind goes next. So a large organisation's queue delays itself. A
-// request that would wait past its limit is refused at once.
+// It uses start-time fair queueing: each organisation has a virtual time that
+// grows by the cost of its admitted requests divided by its share, and the
+// organisation with the lowest virtual time goes next. So a long queue of one
+// organisation delays only that organisation. A request that is expected to wait
+// past its deadline is refused at once.
 type Admission struct {
-	mu       sync.Mutex
-	capacity int
-	inside   int
-	virtual  float64
-	meanHold time.Duration
-	// meanFirst is the mean time from the way in to the first token.
-	meanFirst time.Duration
-	devFirst  time.Duration // Mean deviation from it.
-	lastFirst time.Time     // When the last one came.
-	tenants   map[string]*tenantQueue
-	// waiting has the organisations with a queue, so that the cost of a
-	// decision grows with these and not with all there are.
-	waiting map[*tenantQueue]struct{}
-	shares  float64 // Of those.
-	seq     uint64
+	mu           sync.Mutex
+	capacity     int
+	admitted     int
+	virtualTime  float64
+	meanHoldTime time.Duration
+	// meanFirstToken is the mean time from admission to the first token.
+	meanFirstToken      time.Duration
+	firstTokenDeviation time.Duration // Mean absolute deviation from meanFirstToken.
+	lastFirstToken      time.Time     // When the latest first token came.
+	tenants             map[string]*tenantQueue
+	// backlogged has the organisations with waiting requests: the cost of a
+	// decision grows with their number and not with that of all organisations.
+	backlogged       map[*tenantQueue]struct{}
+	backloggedShares float64 // Sum of the shares of backlogged.
+	seq              uint64
 }
 
 type tenantQueue struct {
 	Tenant
-	finish  float64 // Virtual time up to which it has had its share.
-	inside  int
-	waiting queue.Heap[*AdmissionTicket]
-	tokens  *rate.Limiter
-	noted   float64 // Its part of Admission.shares.
+	virtualFinish float64 // Virtual time at which its admitted work ends.
+	admitted      int
+	waiting       queue.Heap[*AdmissionTicket]
+	limiter       *rate.Limiter
+	countedShare  float64 // Its share as added to Admission.backloggedShares.
 }
 
-// NewAdmission returns an admission of the least capacity.
+// NewAdmission returns an Admission with the minimum capacity.
 func NewAdmission() *Admission {
 	return &Admission{
-		capacity: minCapacity,
-		meanHold: defaultHold,
-		tenants:  map[string]*tenantQueue{},
-		waiting:  map[*tenantQueue]struct{}{},
+		capacity:     minCapacity,
+		meanHoldTime: defaultHoldTime,
+		tenants:      map[string]*tenantQueue{},
+		backlogged:   map[*tenantQueue]struct{}{},
 	}
 }
 
-// Adapt lets more or fewer requests in, by what they wait at the replicas: a
-// queue in front of a prefill can't be ordered any more, and what was prepared
-// for a request is lost while it waits there, so what must wait waits here. most
-// is the largest capacity.
-func (a *Admission) Adapt(wait time.Duration, most int, now time.Time) {
+// Adapt raises or lowers the capacity, at most to maxCapacity, by how long
+// requests wait at the replicas. Requests should wait here instead: a replica's
+// prefill queue can't be reordered, and cached state that a request needs may be
+// evicted while it waits there.
+func (a *Admission) Adapt(replicaWait time.Duration, maxCapacity int, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case wait > wantedWait:
-		a.capacity = int(float64(a.capacity) * shrink)
-	case a.inside >= a.capacity:
-		// Only a limit that is met is worth raising.
-		a.capacity += max(1, a.capacity/growPart)
+	case replicaWait > targetReplicaWait:
+		a.capacity = int(float64(a.capacity) * shrinkFactor)
+	case a.admitted >= a.capacity:
+		// Raise the capacity only if it is used up.
+		a.capacity += max(1, a.capacity/growDivisor)
 	}
-	a.capacity = max(minCapacity, min(a.capacity, most))
+	a.capacity = max(minCapacity, min(a.capacity, maxCapacity))
 	a.admit(now)
 }
 
 const (
-	// wantedWait is the wait at a replica that Adapt aims for.
-	wantedWait = 150 * time.Millisecond
-	shrink     = 0.9
-	growPart   = 10
+	// targetReplicaWait is the wait at a replica above which Adapt lowers the capacity.
+	targetReplicaWait = 150 * time.Millisecond
+	shrinkFactor      = 0.9
+	growDivisor       = 10
 )
 
-// FirstTokenTime is the time from the way in to the first token that most requests keep
-// to: the mean and twice the mean deviation.
+// FirstTokenTime is the time from admission to the first token that most requests
+// don't exceed: the mean plus twice the mean deviation.
 //
-// It fades while no first token comes, and is nothing while nobody is inside: if
-// it is ever longer than the deadlines, all would be refused and nothing would
-// show that the way is short again.
+// It decays while no first token comes and is 0 while no request is admitted.
+// Otherwise, once it exceeded all deadlines, all requests would be refused and no
+// new sample could lower it.
 func (a *Admission) FirstTokenTime(now time.Time) time.Duration {
 	const deviations = 2
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.inside == 0 {
+	if a.admitted == 0 {
 		return 0
 	}
-	fade := math.Exp(-max(0, now.Sub(a.lastFirst).Seconds()/fadeTerm.Seconds()))
-	return time.Duration(fade * float64(a.meanFirst+deviations*a.devFirst))
+	decay := math.Exp(-max(0, now.Sub(a.lastFirstToken).Seconds()/firstTokenDecay.Seconds()))
+	return time.Duration(decay * float64(a.meanFirstToken+deviations*a.firstTokenDeviation))
 }
 
-// fadeTerm is how fast the allowance for the first token fades.
-const fadeTerm = time.Second
+// firstTokenDecay is the time constant with which FirstTokenTime decays.
+const firstTokenDecay = time.Second
 
-// SetCapacity sets how many requests may be inside at once.
+// SetCapacity sets how many requests may be admitted at once.
 func (a *Admission) SetCapacity(n int, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -123,73 +124,74 @@
 	a.admit(now)
 }
 
-// Enqueue asks for a place: the answer is a place, which may be ready at once, or
-// a *RefusedError. The request must be inside before limit; cost is in tokens.
-func (a *Admission) Enqueue(t Tenant, cost float64, priority int, limit, now time.Time) (*AdmissionTicket, error) {
+// Enqueue queues a request, which may be admitted at once, or returns a
+// *RefusedError if it is not expected to be admitted before its deadline or its
+// organisation exceeds its token limit. cost is in tokens.
+func (a *Admission) Enqueue(t Tenant, cost float64, priority int, deadline, now time.Time) (*AdmissionTicket, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	q := a.tenant(t)
-	if q.tokens != nil {
-		if ok, after := takeTokens(q.tokens, cost, now); !ok {
+	q := a.queueFor(t)
+	if q.limiter != nil {
+		if ok, after := takeTokens(q.limiter, cost, now); !ok {
 			return nil, &RefusedError{Reason: RefusedRateLimit, RetryAfter: after}
 		}
 	}
-	if wait := a.expectedWait(q); now.Add(wait).After(limit) {
-		return nil, &RefusedError{Reason: RefusedOverload, RetryAfter: max(minRetry, wait)}
+	if wait := a.expectedWait(q); now.Add(wait).After(deadline) {
+		return nil, &RefusedError{Reason: RefusedOverload, RetryAfter: max(minRetryAfter, wait)}
 	}
 	a.seq++
-	p := &AdmissionTicket{
+	ticket := &AdmissionTicket{
 		admission: a,
 		tenant:    q,
 		cost:      max(1, cost),
 		priority:  priority,
-		limit:     limit,
+		deadline:  deadline,
 		seq:       a.seq,
 		ready:     make(chan struct{}),
 	}
-	q.waiting.Push(p)
-	a.noteWaiting(q)
+	q.waiting.Push(ticket)
+	a.updateBacklogged(q)
 	a.admit(now)
-	return p, nil
+	return ticket, nil
 }
 
-// noteWaiting keeps the set of organisations with a queue.
-func (a *Admission) noteWaiting(q *tenantQueue) {
-	_, noted := a.waiting[q]
+// updateBacklogged adds a queue to backlogged or removes it, and adjusts the sum of shares.
+func (a *Admission) updateBacklogged(q *tenantQueue) {
+	_, counted := a.backlogged[q]
 	switch waits := q.waiting.Len() > 0; {
-	case waits && !noted:
-		a.waiting[q] = struct{}{}
-		q.noted = q.Share
-		a.shares += q.noted
-	case !waits && noted:
-		delete(a.waiting, q)
-		a.shares -= q.noted
+	case waits && !counted:
+		a.backlogged[q] = struct{}{}
+		q.countedShare = q.Share
+		a.backloggedShares += q.countedShare
+	case !waits && counted:
+		delete(a.backlogged, q)
+		a.backloggedShares -= q.countedShare
 	}
 }
 
-// takeTokens takes cost from a limiter, or says when to come back. One request
-// larger than the burst is let through when the bucket is full.
+// takeTokens takes cost from a limiter, or returns after how long to retry. A cost
+// larger than the burst is taken as the whole burst.
 func takeTokens(l *rate.Limiter, cost float64, now time.Time) (bool, time.Duration) {
 	n := min(int(cost), l.Burst())
 	r := l.ReserveN(now, n)
 	if wait := r.DelayFrom(now); wait > 0 {
 		r.CancelAt(now)
-		return false, max(minRetry, wait)
+		return false, max(minRetryAfter, wait)
 	}
 	return true, 0
 }
 
-// tenant returns an organisation's queue with its present limits.
-func (a *Admission) tenant(t Tenant) *tenantQueue {
+// queueFor returns an organisation's queue, updated to its current limits.
+func (a *Admission) queueFor(t Tenant) *tenantQueue {
 	q, ok := a.tenants[t.Name]
 	if !ok {
 		q = &tenantQueue{}
 		a.tenants[t.Name] = q
 	}
 	if t.TokensPerSecond != q.TokensPerSecond {
-		q.tokens = nil
+		q.limiter = nil
 		if t.TokensPerSecond > 0 {
-			q.tokens = rate.NewLimiter(rate.Limit(t.TokensPerSecond), max(1, int(burstSeconds*t.TokensPerSecond)))
+			q.limiter = rate.NewLimiter(rate.Limit(t.TokensPerSecond), max(1, int(burstSeconds*t.TokensPerSecond)))
 		}
 	}
 	q.Tenant = t
@@ -199,72 +201,74 @@
 	return q
 }
 
-// expectedWait is how long a new request of an organisation would wait: its own
-// queue drains at its share of the rate at which places come free.
+// expectedWait is how long a new request of an organisation would wait: its queue
+// drains at its share of the rate at which admitted requests end.
 func (a *Admission) expectedWait(q *tenantQueue) time.Duration {
-	if a.inside < a.capacity && q.waiting.Len() == 0 && q.mayEnter() {
+	if a.admitted < a.capacity && q.waiting.Len() == 0 && q.belowConcurrencyLimit() {
 		return 0
 	}
-	shares := a.shares
-	if _, noted := a.waiting[q]; !noted {
+	shares := a.backloggedShares
+	if _, counted := a.backlogged[q]; !counted {
 		shares += q.Share
 	}
-	perSecond := float64(a.capacity) / max(a.meanHold.Seconds(), 1e-3) * q.Share / shares
+	perSecond := float64(a.capacity) / max(a.meanHoldTime.Seconds(), 1e-3) * q.Share / shares
 	if q.Concurrency > 0 {
-		perSecond = min(perSecond, float64(q.Concurrency)/max(a.meanHold.Seconds(), 1e-3))
+		perSecond = min(perSecond, float64(q.Concurrency)/max(a.meanHoldTime.Seconds(), 1e-3))
 	}
 	return seconds(float64(q.waiting.Len()+1) / perSecond)
 }
 
-func (q *tenantQueue) mayEnter() bool { return q.Concurrency == 0 || q.inside < q.Concurrency }
+func (q *tenantQueue) belowConcurrencyLimit() bool {
+	return q.Concurrency == 0 || q.admitted < q.Concurrency
+}
 
-// admit lets in whom there is room for; the caller holds mu.
+// admit admits waiting requests up to the capacity; the caller holds mu.
 func (a *Admission) admit(now time.Time) {
-	for a.inside < a.capacity {
-		q := a.next()
+	for a.admitted < a.capacity {
+		q := a.nextTenant()
 		if q == nil {
 			return
 		}
-		p := q.waiting.Pop()
-		a.noteWaiting(q)
-		a.virtual = max(a.virtual, q.finish)
-		q.finish = max(q.finish, a.virtual) + p.cost/q.Share
-		q.inside++
-		a.inside++
-		p.entered = now
-		p.inside = true
-		close(p.ready)
+		ticket := q.waiting.Pop()
+		a.updateBacklogged(q)
+		a.virtualTime = max(a.virtualTime, q.virtualFinish)
+		q.virtualFinish = max(q.virtualFinish, a.virtualTime) + ticket.cost/q.Share
+		q.admitted++
+		a.admitted++
+		ticket.admittedAt = now
+		ticket.admitted = true
+		close(ticket.ready)
 	}
 }
 
-// next finds the organisation that is furthest behind its share.
-func (a *Admission) next() *tenantQueue {
+// nextTenant picks the organisation whose request is admitted next, nil for none.
+func (a *Admission) nextTenant() *tenantQueue {
 	var best *tenantQueue
-	for q := range a.waiting {
-		if !q.mayEnter() {
+	for q := range a.backlogged {
+		if !q.belowConcurrencyLimit() {
 			continue
 		}
-		if best == nil || a.goesBefore(q, best) {
+		if best == nil || a.precedes(q, best) {
 			best = q
 		}
 	}
 	return best
 }
 
-// goesBefore says whether one organisation's next request goes before another's.
-func (a *Admission) goesBefore(q, other *tenantQueue) bool {
+// precedes says whether q's first request is admitted before other's.
+func (a *Admission) precedes(q, other *tenantQueue) bool {
 	first, second := q.waiting.First(), other.waiting.First()
-	if q.behind(a.virtual) != other.behind(a.virtual) {
-		return q.behind(a.virtual) < other.behind(a.virtual)
+	if q.startTag(a.virtualTime) != other.startTag(a.virtualTime) {
+		return q.startTag(a.virtualTime) < other.startTag(a.virtualTime)
 	}
 	return first.seq < second.seq
 }
 
-// behind is the virtual time at which an organisation's next request starts;
-// one that was idle starts now and has saved nothing up.
-func (q *tenantQueue) behind(virtual float64) float64 { return max(q.finish, virtual) }
+// startTag is the virtual time at which an organisation's next request starts. It
+// is at least the current virtual time: an idle organisation earns no credit.
+func (q *tenantQueue) startTag(virtualTime float64) float64 { return max(q.virtualFinish, virtualTime) }
 
-// AdmissionStatus is what a dump shows of admission.
+// AdmissionStatus is the state of an Admission as shown in dumps.
 type AdmissionStatus struct {
 	Capacity int                     `json:"capacity"`
 	Admitted int                     `json:"inside"`
@@ -272,24 +276,24 @@
 	Tenants  map[string]TenantStatus `json:"organisations"`
 }
 
-// TenantStatus is what a dump shows of one organisation's queue.
+// TenantStatus is the state of one organisation's queue as shown in dumps.
 type TenantStatus struct {
 	Admitted int `json:"inside"`
 	Waiting  int `json:"waiting"`
 }
 
-// Status returns the queues' lengths.
+// Status returns the capacity and the queues' lengths.
 func (a *Admission) Status() AdmissionStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := AdmissionStatus{
 		Capacity: a.capacity,
-		Admitted: a.inside,
-		MeanHold: a.meanHold,
+		Admitted: a.admitted,
+		MeanHold: a.meanHoldTime,
 		Tenants:  map[string]TenantStatus{},
 	}
 	for name, q := range a.tenants {
-		s.Tenants[name] = TenantStatus{Admitted: q.inside, Waiting: q.waiting.Len()}
+		s.Tenants[name] = TenantStatus{Admitted: q.admitted, Waiting: q.waiting.Len()}
 	}
 	return s
 }
--- a/pkg/route/admission_test.go
+++ b/pkg/route/admission_test.go
@@ -15,7 +15,7 @@
 
 func tenant(name string) Tenant { return Tenant{Name: name, Share: 1} }
 
-func inside(p *AdmissionTicket) bool {
+func isAdmitted(p *AdmissionTicket) bool {
 	select {
 	case <-p.Ready():
 		return true
@@ -53,7 +53,7 @@
 			}
 			n, perTenant := 0, map[string]int{}
 			for _, p := range open {
-				if inside(p) {
+				if isAdmitted(p) {
 					n++
 					perTenant[p.tenant.Name]++
 				}
@@ -67,7 +67,7 @@
 			waiting := len(open) - n
 			mayEnter := 0
 			for _, p := range open {
-				if !inside(p) && p.tenant.mayEnter() {
+				if !isAdmitted(p) && p.tenant.belowConcurrencyLimit() {
 					mayEnter++
 				}
 			}
@@ -94,12 +94,12 @@
 	// small organisation's ten have been inside after about twenty turns.
 	all := append(big, small...)
 	for range 24 {
-		i := slices.IndexFunc(all, inside)
+		i := slices.IndexFunc(all, isAdmitted)
 		all[i].Release(now)
 		all = slices.Delete(all, i, i+1)
 	}
 	for i, p := range small {
-		assert.Assert(t, inside(p), "request %d of the small organisation still waits", i)
+		assert.Assert(t, isAdmitted(p), "request %d of the small organisation still waits", i)
 	}
 }
 
@@ -118,7 +118,7 @@
 	for range 200 {
 		for name, list := range open {
 			for i, p := range list {
-				if inside(p) {
+				if isAdmitted(p) {
 					p.Release(now)
 					left[name]++
 					open[name] = append(list[:i:i], list[i+1:]...)
--- a/pkg/route/admission_ticket.go
+++ b/pkg/route/admission_ticket.go
@@ -7,7 +7,7 @@
 	"github.com/drumpath/drumpath/pkg/queue"
 )
 
-// AdmissionTicket is a request's place in admission, first in a queue and then inside.
+// AdmissionTicket is a request in an Admission, first waiting and then admitted.
 type AdmissionTicket struct {
 	queue.Position
 
@@ -15,66 +15,67 @@
 	tenant    *tenantQueue
 	cost      float64
 	priority  int
-	limit     time.Time
+	deadline  time.Time
 	seq       uint64
 	ready     chan struct{}
 
 	// Guarded by admission.mu.
-	inside  bool
-	ended   bool
-	entered time.Time
+	admitted   bool
+	released   bool
+	admittedAt time.Time
 }
 
-// Ready is closed once the request is inside.
-func (p *AdmissionTicket) Ready() <-chan struct{} { return p.ready }
+// Ready is closed once the request is admitted.
+func (t *AdmissionTicket) Ready() <-chan struct{} { return t.ready }
 
-// FirstToken notes that the first token has come.
-func (p *AdmissionTicket) FirstToken(now time.Time) {
-	a := p.admission
+// FirstToken records that the first token has come.
+func (t *AdmissionTicket) FirstToken(now time.Time) {
+	a := t.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.lastFirst = now
-	off := now.Sub(p.entered) - a.meanFirst
-	a.meanFirst += time.Duration(holdWeight * float64(off))
-	a.devFirst += time.Duration(holdWeight * float64(off.Abs()-a.devFirst))
+	a.lastFirstToken = now
+	deviation := now.Sub(t.admittedAt) - a.meanFirstToken
+	a.meanFirstToken += time.Duration(ewmaWeight * float64(deviation))
+	a.firstTokenDeviation += time.Duration(ewmaWeight * float64(deviation.Abs()-a.firstTokenDeviation))
 }
 
-// Release gives the place up, inside or still queued; later calls do nothing.
-func (p *AdmissionTicket) Release(now time.Time) {
-	a := p.admission
+// Release removes the request, admitted or still waiting; later calls do nothing.
+func (t *AdmissionTicket) Release(now time.Time) {
+	a := t.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if p.ended {
+	if t.released {
 		return
 	}
-	p.ended = true
-	if !p.inside {
-		p.tenant.waiting.Remove(p)
-		a.noteWaiting(p.tenant)
+	t.released = true
+	if !t.admitted {
+		t.tenant.waiting.Remove(t)
+		a.updateBacklogged(t.tenant)
 		return
 	}
-	p.tenant.inside--
-	a.inside--
-	a.meanHold += time.Duration(holdWeight * float64(now.Sub(p.entered)-a.meanHold))
+	t.tenant.admitted--
+	a.admitted--
+	a.meanHoldTime += time.Duration(ewmaWeight * float64(now.Sub(t.admittedAt)-a.meanHoldTime))
 	a.admit(now)
 }
 
-// GiveUp leaves a queue that took too long and returns the refusal to answer
-// with; inside says that the place was reached just now after all.
-func (p *AdmissionTicket) GiveUp(now time.Time) (refused *RefusedError, inside bool) {
-	a := p.admission
+// GiveUp removes a request that has waited too long and returns the refusal to
+// answer with. If the request was admitted in the meantime, it stays and admitted
+// is true.
+func (t *AdmissionTicket) GiveUp(now time.Time) (refused *RefusedError, admitted bool) {
+	a := t.admission
 	a.mu.Lock()
-	if p.inside {
+	if t.admitted {
 		a.mu.Unlock()
 		return nil, true
 	}
-	wait := a.expectedWait(p.tenant)
+	wait := a.expectedWait(t.tenant)
 	a.mu.Unlock()
-	p.Release(now)
-	return &RefusedError{Reason: RefusedOverload, RetryAfter: max(minRetry, wait)}, false
+	t.Release(now)
+	return &RefusedError{Reason: RefusedOverload, RetryAfter: max(minRetryAfter, wait)}, false
 }
 
-// RefusalReason is why admission refused.
+// RefusalReason is why a request was refused.
 type RefusalReason string
 
 // Reasons for refusals.
@@ -89,20 +90,20 @@
 	RetryAfter time.Duration
 }
 
-// Error gives the reason and when to come back.
+// Error gives the reason and after how long to retry.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("refused: %s, come back in %s", e.Reason, e.RetryAfter)
+	return fmt.Sprintf("refused: %s, retry after %s", e.Reason, e.RetryAfter)
 }
 
-// Before says whether the place goes before another of its organisation: by
-// priority, then limit, then arrival.
-func (p *AdmissionTicket) Before(other *AdmissionTicket) bool {
+// Before says whether the request goes before another of its organisation: by
+// priority, then deadline, then arrival.
+func (t *AdmissionTicket) Before(other *AdmissionTicket) bool {
 	switch {
-	case p.priority != other.priority:
-		return p.priority > other.priority
-	case !p.limit.Equal(other.limit):
-		return p.limit.Before(other.limit)
+	case t.priority != other.priority:
+		return t.priority > other.priority
+	case !t.deadline.Equal(other.deadline):
+		return t.deadline.Before(other.deadline)
 	default:
-		return p.seq < other.seq
+		return t.seq < other.seq
 	}
 }
--- a/pkg/route/band_tokens.go
+++ b/pkg/route/band_tokens.go
@@ -1,18 +1,18 @@
 package route
 
-// bands are how many ranks of urgency are told apart in what waits at a replica: a
-// prompt waits there behind those that are as urgent as it is, or more. Less urgent
-// ones than those of the last band count as of that.
-const bands = 4
+// bandCount is the number of priority bands in which tokens waiting at a replica
+// are counted: a prompt waits there behind those of its own band and of more urgent
+// ones. The last band includes all lower priorities.
+const bandCount = 4
 
-// BandTokens are tokens by urgency, those of the most urgent prompts first.
-type BandTokens [bands]int
+// BandTokens counts tokens by priority band, the most urgent band first.
+type BandTokens [bandCount]int
 
-// bandOf is the band of a priority, of which 0 is the most urgent.
-func bandOf(priority int) int { return max(0, min(priority, bands-1)) }
+// bandOf returns the band of a priority; 0 is the most urgent.
+func bandOf(priority int) int { return max(0, min(priority, bandCount-1)) }
 
-// upTo is how many tokens a prompt of a band waits behind.
-func (b BandTokens) upTo(band int) int {
+// sumUpTo returns how many tokens a prompt of the given band waits behind.
+func (b BandTokens) sumUpTo(band int) int {
 	n := 0
 	for _, tokens := range b[:band+1] {
 		n += tokens
@@ -20,7 +20,7 @@
 	return n
 }
 
-// Plus is the sum of two.
+// Plus returns the sums by band.
 func (b BandTokens) Plus(o BandTokens) BandTokens {
 	for i := range b {
 		b[i] += o[i]
@@ -28,7 +28,7 @@
 	return b
 }
 
-// Minus takes away what another has; nothing becomes less than none.
+// Minus returns the differences by band, none below 0.
 func (b BandTokens) Minus(o BandTokens) BandTokens {
 	for i := range b {
 		b[i] = max(0, b[i]-o[i])
--- a/pkg/route/baselines.go
+++ b/pkg/route/baselines.go
@@ -15,7 +15,7 @@
 	for range all {
 		p.fleet.next++
 		if r := all[p.fleet.next%len(all)]; p.fleet.usable(r, q, now) {
-			return plain(q, r, 0, now), nil
+			return decisionWithoutImport(q, r, 0, now), nil
 		}
 	}
 	return Decision{}, ErrNoReplica
@@ -28,22 +28,22 @@
 func (p *leastLoaded) Place(q *Request, now time.Time) (Decision, error) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	r := p.fleet.quietest(q, now)
+	r := p.fleet.shortestWait(q, now)
 	if r == nil {
 		return Decision{}, ErrNoReplica
 	}
-	return plain(q, r, 0, now), nil
+	return decisionWithoutImport(q, r, 0, now), nil
 }
 
 // longestPrefix takes the replica that holds the longest hot prefix, whatever
-// its load, and the quietest where none holds any.
+// its load, or the one with the shortest wait if none holds any.
 type longestPrefix struct{ fleet *Fleet }
 
 // Place implements Policy.
 func (p *longestPrefix) Place(q *Request, now time.Time) (Decision, error) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	hot, _ := splitHoldings(q.Match.Locations)
+	hot, _ := splitLocations(q.Match.Locations)
 	var best *replica
 	for name, tokens := range hot {
 		r, known := p.fleet.replicas[name]
@@ -55,17 +55,17 @@
 		}
 	}
 	if best == nil {
-		best = p.fleet.quietest(q, now)
+		best = p.fleet.shortestWait(q, now)
 	}
 	if best == nil {
 		return Decision{}, ErrNoReplica
 	}
-	return plain(q, best, hot[best.Name], now), nil
+	return decisionWithoutImport(q, best, hot[best.Name], now), nil
 }
 
-// quietest finds the usable replica with the shortest wait; the caller holds
-// mu.
-func (f *Fleet) quietest(q *Request, now time.Time) *replica {
+// shortestWait returns the usable replica with the shortest wait, nil if there is
+// none; the caller holds mu.
+func (f *Fleet) shortestWait(q *Request, now time.Time) *replica {
 	var best *replica
 	var wait time.Duration
 	for _, r := range f.byModel[q.Model] {
@@ -79,8 +79,8 @@
 	return best
 }
 
-// plain is the decision to run on a replica without an import.
-func plain(q *Request, r *replica, hotTokens int, now time.Time) Decision {
+// decisionWithoutImport returns the decision to run on a replica with no import.
+func decisionWithoutImport(q *Request, r *replica, hotTokens int, now time.Time) Decision {
 	hotTokens = min(hotTokens, q.Chain.Tokens)
 	d := Decision{
 		Replica:   r.Name,
--- a/pkg/route/booking.go
+++ b/pkg/route/booking.go
@@ -38,10 +38,10 @@
 	took := now.Sub(k.begun)
 	for i, name := range k.names {
 		s := k.links.get(name)
-		delete(s.open, k)
+		delete(s.bookings, k)
 		// What is left of the reservation beyond now falls free.
 		if left := k.reserved[i] - took; left > 0 {
-			s.busy = s.busy.Add(-left)
+			s.busyUntil = s.busyUntil.Add(-left)
 		}
 		if moved == 0 {
 			continue
@@ -69,8 +69,8 @@
 // a weight from 0 to 1; the caller holds the lock.
 func (s *linkState) learn(ratio, weight float64, now time.Time) {
 	lateness := min(mostLate, max(0, 1/ratio-1))
-	s.late = s.late*s.memory(now)*(1-lateWeight) + lateness*lateWeight
+	s.meanLateness = s.meanLateness*s.observationWeight(now)*(1-lateWeight) + lateness*lateWeight
 	current := s.rate(now) / s.nominal
-	s.share = min(1, max(slowestShare, current*math.Pow(ratio, weight)))
-	s.observed = now
+	s.rateShare = min(1, max(minRateShare, current*math.Pow(ratio, weight)))
+	s.observedAt = now
 }
--- a/pkg/route/cache_index.go
+++ b/pkg/route/cache_index.go
@@ -9,205 +9,207 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// CacheIndex is this node's view of what the stores of kept KV cache hold, and decides
-// where parts of prompts are taken from and where they are saved.
+// CacheIndex indexes which parts of prompts the KV cache stores and the engines hold,
+// as known to this node, and decides where parts are fetched from and where they are
+// saved.
 //
-// A part counts as kept only when the store itself has told that it is whole: a
-// part that is still being written must not be read. The events of a store may
-// get lost; a part that is not known is read again and saved again, which costs
-// time only.
+// A part counts as stored only once the store itself has reported it complete: a
+// part that is still being written must not be read. Events of a store may get
+// lost; a part that is not known is prefilled and saved again, which only costs
+// time.
 type CacheIndex struct {
 	mu     sync.Mutex
-	stores map[string]*keptStore
-	byKey  map[NameHash]*keptStore
+	stores map[string]*indexedStore
+	byKey  map[NameHash]*indexedStore
 	names  []string
-	// engines are by ID; holders says which of them hold a part.
-	engines map[string]*heldEngine
-	holders map[PartHash][]*heldEngine
-	use     *traffic
-	without config.DisabledMechanisms
+	// engines are indexed by ID; holders lists the engines that hold a part.
+	engines  map[string]*indexedEngine
+	holders  map[PartHash][]*indexedEngine
+	usage    *partUsage
+	disabled config.DisabledMechanisms
 }
 
-type keptStore struct {
+type indexedStore struct {
 	site.Store
-	keptLink
+	fetchLink
 	boot int64
-	// heard says that the store's events are being followed.
-	heard bool
-	// settled is from when on parts may be saved: after a restart every node
-	// must have noticed it, or one could read as whole what is being written
-	// anew.
-	settled time.Time
-	parts   map[partKey]whole
-	used    int // Tokens of parts that are whole.
-	saving  map[partKey]saving
+	// connected says that the store's events are being received.
+	connected bool
+	// savesAllowedFrom is when saves to the store may start again after a restart.
+	// Until every node has noticed the restart, one of them could read as complete
+	// a part that is being written again.
+	savesAllowedFrom time.Time
+	parts            map[partKey]completePart
+	usedTokens       int // Tokens of complete parts.
+	pendingSaves     map[partKey]pendingSave
 }
 
 type partKey struct{ realm, part string }
 
-// whole is a part that a store has told to be whole.
-type whole struct {
-	tokens int
-	since  time.Time
+// completePart is a part that a store has reported complete.
+type completePart struct {
+	tokens        int
+	completeSince time.Time
 }
 
 const (
-	// saveTerm is after how long a save that was not told of counts as lost.
-	saveTerm = 4 * time.Second
-	// restartTerm is for how long nothing is saved at a store that has
-	// restarted: longer than any node takes to notice.
-	restartTerm = 3 * time.Second
-	// roomShare is the part of a store that is filled; the rest is for saves of
-	// other nodes that are not known yet.
-	roomShare = 0.97
+	// pendingSaveTimeout is after how long an unconfirmed save counts as lost.
+	pendingSaveTimeout = 4 * time.Second
+	// restartSavePause is for how long nothing is saved at a restarted store:
+	// longer than any node takes to notice the restart.
+	restartSavePause = 3 * time.Second
+	// maxFillShare is the share of a store's capacity that is filled; the rest is
+	// left for saves of other nodes that are not known yet.
+	maxFillShare = 0.97
 )
 
-// NewCacheIndex returns a view in which no store has anything.
+// NewCacheIndex returns an empty index.
 func NewCacheIndex() *CacheIndex {
 	return &CacheIndex{
-		stores:  map[string]*keptStore{},
-		engines: map[string]*heldEngine{},
-		holders: map[PartHash][]*heldEngine{},
-		use:     newTraffic(),
+		stores:  map[string]*indexedStore{},
+		engines: map[string]*indexedEngine{},
+		holders: map[PartHash][]*indexedEngine{},
+		usage:   newPartUsage(),
 	}
 }
 
-// Disable switches mechanisms off; it is to be called before the view is used.
-func (k *CacheIndex) Disable(w config.DisabledMechanisms) { k.without = w }
+// Disable switches mechanisms off; call it before the index is used.
+func (x *CacheIndex) Disable(w config.DisabledMechanisms) { x.disabled = w }
 
-// Configure sets which stores there are.
-func (k *CacheIndex) Configure(stores []*site.Service) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	old := k.stores
-	k.stores = make(map[string]*keptStore, len(stores))
-	k.byKey = make(map[NameHash]*keptStore, len(stores))
-	k.names = k.names[:0]
+// Configure sets the list of stores; the contents of unchanged ones are kept.
+func (x *CacheIndex) Configure(stores []*site.Service) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	old := x.stores
+	x.stores = make(map[string]*indexedStore, len(stores))
+	x.byKey = make(map[NameHash]*indexedStore, len(stores))
+	x.names = x.names[:0]
 	for _, v := range stores {
 		s, ok := old[v.Name]
 		if !ok || s.Addr != v.Store.Addr {
-			s = &keptStore{parts: map[partKey]whole{}, saving: map[partKey]saving{}}
+			s = &indexedStore{parts: map[partKey]completePart{}, pendingSaves: map[partKey]pendingSave{}}
 		}
 		s.Store = *v.Store
 		s.hall, s.rate, s.latency = v.Store.DataHall, v.Store.LinkRate, v.Store.Latency
-		k.stores[v.Name] = s
-		k.byKey[HashName(v.Name)] = s
-		k.names = append(k.names, v.Name)
+		x.stores[v.Name] = s
+		x.byKey[HashName(v.Name)] = s
+		x.names = append(x.names, v.Name)
 	}
 }
 
-// ApplyStoreChanges takes in changes that a store has told of.
-func (k *CacheIndex) ApplyStoreChanges(name string, c site.CacheChanges, now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s, ok := k.stores[name]
+// ApplyStoreChanges applies changes that a store has reported.
+func (x *CacheIndex) ApplyStoreChanges(name string, c site.CacheChanges, now time.Time) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	s, ok := x.stores[name]
 	if !ok {
 		return
 	}
 	if s.boot != c.Boot {
 		if s.boot != 0 {
-			s.settled = now.Add(restartTerm)
+			s.savesAllowedFrom = now.Add(restartSavePause)
 		}
 		s.boot = c.Boot
-		s.empty()
+		s.reset()
 	}
-	s.heard = true
+	s.connected = true
 	for _, v := range c.Changes {
 		key := partKey{v.Realm, v.Part}
-		s.used += v.Tokens - s.parts[key].tokens
+		s.usedTokens += v.Tokens - s.parts[key].tokens
 		if v.Tokens > 0 {
-			s.parts[key] = whole{tokens: v.Tokens, since: now}
-			delete(s.saving, key)
+			s.parts[key] = completePart{tokens: v.Tokens, completeSince: now}
+			delete(s.pendingSaves, key)
 		} else {
 			delete(s.parts, key)
 		}
 	}
 }
 
-// StoreTally is what has been done with one store's link.
+// StoreTally counts the transfers over one store's link.
 type StoreTally struct {
 	Key   NameHash
 	Tally Tally
 }
 
-// Tallies lists what this node has done with each store's link, for other nodes to
-// hear.
-func (k *CacheIndex) Tallies() []StoreTally {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// Tallies lists this node's transfers over each store's link, to be sent to other
+// nodes.
+func (x *CacheIndex) Tallies() []StoreTally {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	var list []StoreTally
-	for key, s := range k.byKey {
-		if !s.own.Empty() {
-			list = append(list, StoreTally{Key: key, Tally: s.own})
+	for key, s := range x.byKey {
+		if !s.tally.Empty() {
+			list = append(list, StoreTally{Key: key, Tally: s.tally})
 		}
 	}
 	return list
 }
 
-// AddPeerTally takes in what other nodes have done with a store's link since they last
-// told.
-func (k *CacheIndex) AddPeerTally(key NameHash, t Tally, now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if s, ok := k.byKey[key]; ok {
+// AddPeerTally adds the transfers that other nodes have made over a store's link since
+// their last report.
+func (x *CacheIndex) AddPeerTally(key NameHash, t Tally, now time.Time) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if s, ok := x.byKey[key]; ok {
 		s.occupy(t.Bytes, now)
-		s.shift(t.Late-t.Early, now)
+		s.adjustLateness(t.Late-t.Early, now)
 	}
 }
 
-// MarkStoreStale records that a store's events can't be followed: nothing is read from
-// it or saved there until they can be again.
-func (k *CacheIndex) MarkStoreStale(name string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if s, ok := k.stores[name]; ok {
-		s.heard = false
+// MarkStoreStale records that a store's events can't be received: nothing is fetched
+// from it or saved there until they can be again.
+func (x *CacheIndex) MarkStoreStale(name string) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if s, ok := x.stores[name]; ok {
+		s.connected = false
 	}
 }
 
-func (s *keptStore) empty() {
+func (s *indexedStore) reset() {
 	clear(s.parts)
-	clear(s.saving)
-	s.used = 0
+	clear(s.pendingSaves)
+	s.usedTokens = 0
 }
 
-// Plan decides for the shared parts of a prompt that runs at an engine.
-func (k *CacheIndex) Plan(realm string, at site.Upstream, shared []site.Part, e *site.Engine, l PlanLimits, now time.Time) *Plan {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// Plan decides, for each shared part of a prompt that runs at an engine, where it is
+// fetched from and where it is saved.
+func (x *CacheIndex) Plan(realm string, engine site.Upstream, shared []site.Part, profile *site.Engine, limits PlanLimits, now time.Time) *Plan {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	p := &Plan{
-		kept:    k,
+		kept:    x,
 		Sources: make([]netip.AddrPort, len(shared)+1),
 		Saves:   make([]netip.AddrPort, len(shared)+1),
 	}
 	for i, part := range shared {
 		key := partKey{realm, part.ID}
-		bytes := int64(part.Tokens) * int64(e.TokenBytes)
-		s := k.source(key, at, part.Tokens, bytes, l.CompleteBefore, now)
-		lacking := k.lacking(at.ID, key, part.Tokens, e, now)
-		wait := time.Duration(lacking * float64(s.wait))
-		k.use.note(key, part.Tokens, now)
-		if s.link != nil && p.FetchTime+wait < l.MaxFetchTime {
-			p.take(i, part.Tokens, s.addr, wait)
-			if lacking > mostlyLacking {
-				p.moves = append(p.moves, s.link)
-				s.link.book(bytes, at.DataHall, now)
+		bytes := int64(part.Tokens) * int64(profile.TokenBytes)
+		source := x.bestSource(key, engine, part.Tokens, bytes, limits.CompleteBefore, now)
+		missing := x.missProbability(engine.ID, key, part.Tokens, profile, now)
+		wait := time.Duration(missing * float64(source.wait))
+		x.usage.record(key, part.Tokens, now)
+		if source.link != nil && p.FetchTime+wait < limits.MaxFetchTime {
+			p.take(i, part.Tokens, source.addr, wait)
+			if missing > likelyMissing {
+				p.moves = append(p.moves, source.link)
+				source.link.book(bytes, engine.DataHall, now)
 			}
 		}
-		if l.Save && !k.without.Saves && (s.store == nil || k.use.often(key, now)) {
-			k.save(p, i, key, part.Tokens, bytes, s.store, at.DataHall, &l, now)
+		if limits.Save && !x.disabled.Saves && (source.store == nil || x.usage.frequentlyUsed(key, now)) {
+			x.planSave(p, i, key, part.Tokens, bytes, source.store, engine.DataHall, &limits, now)
 		}
 	}
 	return p
 }
 
-// lacking is the chance that an engine lacks a part: by its own word, or else by how
-// often the part is used.
-func (k *CacheIndex) lacking(engine string, key partKey, tokens int, e *site.Engine, now time.Time) float64 {
-	h, ok := k.engines[engine]
+// missProbability is the probability that an engine doesn't hold a part: from the
+// engine's own events, or else from how often the part is used.
+func (x *CacheIndex) missProbability(engine string, key partKey, tokens int, profile *site.Engine, now time.Time) float64 {
+	h, ok := x.engines[engine]
 	switch {
-	case !ok || !h.heard:
-		return 1 - k.use.held(key, e.Capacity, now)
+	case !ok || !h.fresh:
+		return 1 - x.usage.heldProbability(key, profile.Capacity, now)
 	case h.parts[HashPart(key.realm, key.part)] >= tokens:
 		return 0
 	default:
@@ -215,83 +217,83 @@
 	}
 }
 
-// mostlyLacking is the chance that the replica lacks a part from which on its
-// fetch is counted on the links.
-const mostlyLacking = 0.5
+// likelyMissing is the missProbability above which a part's fetch is booked on the
+// link.
+const likelyMissing = 0.5
 
-// Realm is the name space of what may be used by a prompt on some version of weights.
+// Realm is the namespace of the parts that a prompt may use on a version of the weights.
 type Realm struct {
 	Name string
 	// CompleteBefore is as in PlanLimits.
 	CompleteBefore time.Time
 }
 
-// Coverage says for each engine how many of a prompt's shared tokens, from its start on,
-// it holds, how many can be fetched to it within longest, and how long that should
-// take. realm is that of the version of the weights that an engine has.
-func (k *CacheIndex) Coverage(at []site.Upstream, model string, realm func(version int64) Realm, shared []site.Part, e *site.Engine, longest time.Duration, now time.Time) map[string]CacheCoverage {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	versions := map[int64]*lookUp{}
-	offers := make(map[string]CacheCoverage, len(at))
-	for _, u := range at {
+// Coverage says for each engine how many of a prompt's shared tokens, from the start
+// on, it holds, how many can be fetched to it within maxFetchTime, and how long the
+// fetch should take. realm returns the realm of a version of the weights.
+func (x *CacheIndex) Coverage(engines []site.Upstream, model string, realm func(version int64) Realm, shared []site.Part, profile *site.Engine, maxFetchTime time.Duration, now time.Time) map[string]CacheCoverage {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	lookups := map[int64]*partLookup{}
+	coverage := make(map[string]CacheCoverage, len(engines))
+	for _, u := range engines {
 		v := u.Weights[model]
 		if v == 0 {
 			continue
 		}
-		l, ok := versions[v]
+		lookup, ok := lookups[v]
 		if !ok {
-			l = newLookUp(realm(v), shared, longest)
-			versions[v] = l
+			lookup = newPartLookup(realm(v), shared, maxFetchTime)
+			lookups[v] = lookup
 		}
-		offers[u.ID] = k.offer(l, u, shared, e, now)
+		coverage[u.ID] = x.engineCoverage(lookup, u, shared, profile, now)
 	}
-	return offers
+	return coverage
 }
 
-// lookUp is a look-up of a prompt's shared parts in one realm; sources are by data
-// hall, as engines there have the same.
-type lookUp struct {
+// partLookup is the lookup of a prompt's shared parts in one realm. sources are cached
+// by data hall: engines in the same hall have the same sources.
+type partLookup struct {
 	Realm
-	longest time.Duration // That a fetch may take.
-	hashes  []PartHash
-	sources map[string][]partSource
+	maxFetchTime time.Duration
+	hashes       []PartHash
+	sources      map[string][]partSource
 }
 
-func newLookUp(r Realm, shared []site.Part, longest time.Duration) *lookUp {
-	l := &lookUp{Realm: r, longest: longest, hashes: make([]PartHash, len(shared)), sources: map[string][]partSource{}}
+func newPartLookup(r Realm, shared []site.Part, maxFetchTime time.Duration) *partLookup {
+	l := &partLookup{Realm: r, maxFetchTime: maxFetchTime, hashes: make([]PartHash, len(shared)), sources: map[string][]partSource{}}
 	for i, part := range shared {
 		l.hashes[i] = HashPart(r.Name, part.ID)
 	}
 	return l
 }
 
-func (k *CacheIndex) offer(l *lookUp, at site.Upstream, shared []site.Part, e *site.Engine, now time.Time) (o CacheCoverage) {
-	sources, ok := l.sources[at.DataHall]
+func (x *CacheIndex) engineCoverage(lookup *partLookup, engine site.Upstream, shared []site.Part, profile *site.Engine, now time.Time) (o CacheCoverage) {
+	sources, ok := lookup.sources[engine.DataHall]
 	if !ok {
 		sources = make([]partSource, len(shared))
 		for i, part := range shared {
-			bytes := int64(part.Tokens) * int64(e.TokenBytes)
-			sources[i] = k.source(partKey{l.Name, part.ID}, site.Upstream{DataHall: at.DataHall}, part.Tokens, bytes, l.CompleteBefore, now)
+			bytes := int64(part.Tokens) * int64(profile.TokenBytes)
+			sources[i] = x.bestSource(partKey{lookup.Name, part.ID}, site.Upstream{DataHall: engine.DataHall}, part.Tokens, bytes, lookup.CompleteBefore, now)
 		}
-		l.sources[at.DataHall] = sources
+		lookup.sources[engine.DataHall] = sources
 	}
-	h, ok := k.engines[at.ID]
-	o.Known = ok && h.heard
+	h, ok := x.engines[engine.ID]
+	o.Known = ok && h.fresh
 	for i, part := range shared {
-		if o.Known && h.parts[l.hashes[i]] >= part.Tokens {
+		if o.Known && h.parts[lookup.hashes[i]] >= part.Tokens {
 			o.Held += part.Tokens
 			continue
 		}
 		if sources[i].link == nil {
 			return o
 		}
-		lacking := 1.0
+		missing := 1.0
 		if !o.Known {
-			lacking -= k.use.held(partKey{l.Name, part.ID}, e.Capacity, now)
+			missing -= x.usage.heldProbability(partKey{lookup.Name, part.ID}, profile.Capacity, now)
 		}
-		wait := time.Duration(lacking * float64(sources[i].wait))
-		if o.Wait+wait >= l.longest {
+		wait := time.Duration(missing * float64(sources[i].wait))
+		if o.Wait+wait >= lookup.maxFetchTime {
 			return o
 		}
 		o.Fetched += part.Tokens
@@ -302,96 +304,96 @@
 
 // partSource is where a part is fetched from; link is nil if there is none.
 type partSource struct {
-	link *keptLink
+	link *fetchLink
 	addr netip.AddrPort
 	wait time.Duration
-	// store is a store that has the part, nil if none has: an engine may drop it
-	// any time.
-	store *keptStore
+	// store is a store that has the part, nil if none has. An engine doesn't count,
+	// as it may drop the part any time.
+	store *indexedStore
 }
 
-// source finds where a part comes from soonest: engines only give what no store has, as
-// they drop it within a second or two. With engines and stores alike, shared tokens read
-// again rose by a quarter under load. Engines give nothing once newer
-// weights have been named: a run that was begun on the older ones may have made the
-// rest of a part on the newer.
-func (k *CacheIndex) source(key partKey, at site.Upstream, tokens int, bytes int64, before, now time.Time) (best partSource) {
+// bestSource picks the source with the shortest fetch time. Engines are used only for
+// parts that no store has, as they drop parts within a second or two: with engines and
+// stores treated alike, shared tokens prefilled again rose by a quarter under load.
+// Engines are not used at all once newer weights have been announced: a run begun on
+// the older weights may have computed the rest of a part on the newer ones.
+func (x *CacheIndex) bestSource(key partKey, engine site.Upstream, tokens int, bytes int64, completeBefore, now time.Time) (best partSource) {
 	if tokens == 0 {
 		return best
 	}
-	better := func(l *keptLink, addr netip.AddrPort) {
-		if w := l.fetchTime(bytes, at.DataHall, now); best.link == nil || w < best.wait {
-			best.link, best.addr, best.wait = l, addr, w
+	consider := func(l *fetchLink, addr netip.AddrPort) {
+		if stored := l.fetchTime(bytes, engine.DataHall, now); best.link == nil || stored < best.wait {
+			best.link, best.addr, best.wait = l, addr, stored
 		}
 	}
-	for _, name := range k.names {
-		s := k.stores[name]
-		w := s.parts[key]
-		if k.without.StoreFetches || !s.heard || w.tokens < tokens || !before.IsZero() && w.since.After(before) {
+	for _, name := range x.names {
+		s := x.stores[name]
+		stored := s.parts[key]
+		if x.disabled.StoreFetches || !s.connected || stored.tokens < tokens || !completeBefore.IsZero() && stored.completeSince.After(completeBefore) {
 			continue
 		}
-		if better(&s.keptLink, s.Addr); best.addr == s.Addr {
+		if consider(&s.fetchLink, s.Addr); best.addr == s.Addr {
 			best.store = s
 		}
 	}
-	if !before.IsZero() || best.store != nil || k.without.EngineFetches {
+	if !completeBefore.IsZero() || best.store != nil || x.disabled.EngineFetches {
 		return best
 	}
 	hash := HashPart(key.realm, key.part)
-	for _, h := range k.holders[hash] {
-		if h.ID != at.ID && h.gives(hash, tokens, now) {
-			better(&h.keptLink, h.Addr)
+	for _, h := range x.holders[hash] {
+		if h.ID != engine.ID && h.canServe(hash, tokens, now) {
+			consider(&h.fetchLink, h.Addr)
 		}
 	}
 	return best
 }
 
-// nearShare is how much fuller a store in the replica's own data hall may be than
-// others for a part to be saved there.
-const nearShare = 0.3
+// sameHallBonus is how much fuller, as a share of its capacity, a store in the
+// replica's own data hall may be than others and still be preferred for a save.
+const sameHallBonus = 0.3
 
-// UnusedParts lists up to most parts of a store for which drop says that they will
-// not be used again, with the start of the store that they belong to.
-func (k *CacheIndex) UnusedParts(name string, most int, drop func(realm string) bool) (list []site.PartRef, boot int64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s, ok := k.stores[name]
-	if !ok || !s.heard {
+// UnusedParts lists up to limit parts of a store whose realm unused reports as not
+// needed again, with the boot of the store to which they belong.
+func (x *CacheIndex) UnusedParts(name string, limit int, unused func(realm string) bool) (list []site.PartRef, boot int64) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	s, ok := x.stores[name]
+	if !ok || !s.connected {
 		return nil, 0
 	}
-	judged := map[string]bool{}
+	checked := map[string]bool{}
 	for key := range s.parts {
-		useless, known := judged[key.realm]
+		drop, known := checked[key.realm]
 		if !known {
-			useless = drop(key.realm)
-			judged[key.realm] = useless
+			drop = unused(key.realm)
+			checked[key.realm] = drop
 		}
-		if useless {
+		if drop {
 			list = append(list, site.PartRef{Realm: key.realm, Part: key.part})
 		}
-		if len(list) == most {
+		if len(list) == limit {
 			break
 		}
 	}
 	return list, s.boot
 }
 
-// RemoveFreed notes that a store has dropped parts: its own word of that may get lost.
-func (k *CacheIndex) RemoveFreed(name string, boot int64, list []site.PartRef) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s, ok := k.stores[name]
+// RemoveFreed removes parts that a store has freed, as its own events may get lost.
+func (x *CacheIndex) RemoveFreed(name string, boot int64, list []site.PartRef) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	s, ok := x.stores[name]
 	if !ok || s.boot != boot {
 		return
 	}
 	for _, f := range list {
 		key := partKey{f.Realm, f.Part}
-		s.used -= s.parts[key].tokens
+		s.usedTokens -= s.parts[key].tokens
 		delete(s.parts, key)
 	}
 }
 
-// StoreStatus is what a dump shows of one store.
+// StoreStatus is the state of one store as shown in dumps.
 type StoreStatus struct {
 	Name      string `json:"name"`
 	Connected bool   `json:"heard"`
@@ -403,20 +405,20 @@
 }
 
 // Status lists all stores, by name.
-func (k *CacheIndex) Status() []StoreStatus {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	list := make([]StoreStatus, 0, len(k.names))
-	for _, name := range k.names {
-		s := k.stores[name]
+func (x *CacheIndex) Status() []StoreStatus {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	list := make([]StoreStatus, 0, len(x.names))
+	for _, name := range x.names {
+		s := x.stores[name]
 		list = append(list, StoreStatus{
 			Name:      name,
-			Connected: s.heard,
+			Connected: s.connected,
 			Boot:      s.boot,
 			Parts:     len(s.parts),
-			Used:      s.used,
+			Used:      s.usedTokens,
 			Capacity:  s.Capacity,
-			Saving:    len(s.saving),
+			Saving:    len(s.pendingSaves),
 		})
 	}
 	return list
--- a/pkg/route/cache_index_saves.go
+++ b/pkg/route/cache_index_saves.go
@@ -5,110 +5,111 @@
 	"time"
 )
 
-// saving is a save that this node has asked for and that is not known to be done.
-type saving struct {
-	tokens int
-	until  time.Time
+// pendingSave is a save that this node has asked for and that isn't confirmed yet.
+type pendingSave struct {
+	tokens  int
+	expires time.Time
 }
 
-// PlanLimits bound what a plan may do.
+// PlanLimits restrict a plan.
 type PlanLimits struct {
-	// MaxFetchTime is the longest that a fetch may be expected to take.
+	// MaxFetchTime is the time that a fetch must be expected to stay below.
 	MaxFetchTime time.Duration
-	// Save says that parts that no store has are saved.
+	// Save says that parts may be saved.
 	Save bool
 	// HomesOnly says that nothing is saved outside the regions of Homes.
 	HomesOnly bool
 	Homes     []string
-	// CompleteBefore, if set, is when a part must have been whole to be fetched: while
-	// weights are replaced, later ones may have been made under either.
+	// CompleteBefore, if set, is by when a part must have been complete to be
+	// fetched. While weights are replaced, later parts may have been computed with
+	// either version.
 	CompleteBefore time.Time
 }
 
-// mayKeepIn says whether parts may be saved in a region.
-func (l *PlanLimits) mayKeepIn(region string) bool {
+// mayStoreIn says whether parts may be saved in a region.
+func (l *PlanLimits) mayStoreIn(region string) bool {
 	return !l.HomesOnly || slices.Contains(l.Homes, region)
 }
 
-// save has a part saved where there is room; one that is used often is saved a
-// second time if that store is much faster.
-func (k *CacheIndex) save(p *Plan, i int, key partKey, tokens int, bytes int64, has *keptStore, hall string, l *PlanLimits, now time.Time) {
-	s := k.room(key, tokens, hall, l, now)
-	if has != nil {
-		s = k.faster(key, tokens, bytes, has, hall, l, now)
+// planSave adds the save of a part to a plan if a store has room. A part that a store
+// already has is copied only to a much faster store.
+func (x *CacheIndex) planSave(plan *Plan, i int, key partKey, tokens int, bytes int64, existing *indexedStore, hall string, limits *PlanLimits, now time.Time) {
+	s := x.storeWithRoom(key, tokens, hall, limits, now)
+	if existing != nil {
+		s = x.fasterStore(key, tokens, bytes, existing, hall, limits, now)
 	}
 	if s == nil {
 		return
 	}
-	p.Saves[i] = s.Addr
-	p.Saved += tokens
-	p.saves = append(p.saves, plannedSave{store: s, key: key})
-	s.saving[key] = saving{tokens: tokens, until: now.Add(saveTerm)}
+	plan.Saves[i] = s.Addr
+	plan.Saved += tokens
+	plan.saves = append(plan.saves, plannedSave{store: s, key: key})
+	s.pendingSaves[key] = pendingSave{tokens: tokens, expires: now.Add(pendingSaveTimeout)}
 	s.book(bytes, hall, now)
 }
 
-// faster picks a store with room from which a part would come in less than half
+// fasterStore picks a store with room from which a fetch would take less than half
 // the time, nil for none.
-func (k *CacheIndex) faster(key partKey, tokens int, bytes int64, has *keptStore, hall string, l *PlanLimits, now time.Time) *keptStore {
-	var best *keptStore
-	least := has.fetchTime(bytes, hall, now) / 2
-	for _, name := range k.names {
-		s := k.stores[name]
-		if v, ok := s.saving[key]; ok && now.Before(v.until) {
+func (x *CacheIndex) fasterStore(key partKey, tokens int, bytes int64, existing *indexedStore, hall string, limits *PlanLimits, now time.Time) *indexedStore {
+	var best *indexedStore
+	shortest := existing.fetchTime(bytes, hall, now) / 2
+	for _, name := range x.names {
+		s := x.stores[name]
+		if v, ok := s.pendingSaves[key]; ok && now.Before(v.expires) {
 			return nil
 		}
-		if !s.open(now) || !l.mayKeepIn(s.Region) || s.parts[key].tokens > 0 || s.left(tokens, now) <= 0 {
+		if !s.acceptsSaves(now) || !limits.mayStoreIn(s.Region) || s.parts[key].tokens > 0 || s.freeTokens(tokens, now) <= 0 {
 			continue
 		}
-		if t := s.fetchTime(bytes, hall, now); t < least {
-			best, least = s, t
+		if t := s.fetchTime(bytes, hall, now); t < shortest {
+			best, shortest = s, t
 		}
 	}
 	return best
 }
 
-// open says whether parts may be saved at the store now.
-func (s *keptStore) open(now time.Time) bool {
-	return s.heard && s.boot != 0 && !now.Before(s.settled)
+// acceptsSaves says whether parts may be saved at the store.
+func (s *indexedStore) acceptsSaves(now time.Time) bool {
+	return s.connected && s.boot != 0 && !now.Before(s.savesAllowedFrom)
 }
 
-// left is the room in tokens behind one more part.
-func (s *keptStore) left(tokens int, now time.Time) float64 {
-	return roomShare*float64(s.Capacity) - float64(s.used+s.pending(now)+tokens)
+// freeTokens is how many tokens would stay free after one more part.
+func (s *indexedStore) freeTokens(tokens int, now time.Time) float64 {
+	return maxFillShare*float64(s.Capacity) - float64(s.usedTokens+s.pendingTokens(now)+tokens)
 }
 
-// room picks the store to save a part at, nil for none: the one with the largest
-// share of its room free, so that they fill evenly, but rather one in the same
-// data hall; and none if a save of the same part is under way.
-func (k *CacheIndex) room(key partKey, tokens int, hall string, l *PlanLimits, now time.Time) *keptStore {
-	var best *keptStore
-	free := 0.0
-	for _, name := range k.names {
-		s := k.stores[name]
-		if v, ok := s.saving[key]; ok && now.Before(v.until) {
+// storeWithRoom picks the store to save a part at, nil for none: the one with the
+// largest free share, so that stores fill evenly, with a preference for the same data
+// hall. It picks none if a save of the same part is under way.
+func (x *CacheIndex) storeWithRoom(key partKey, tokens int, hall string, limits *PlanLimits, now time.Time) *indexedStore {
+	var best *indexedStore
+	largestShare := 0.0
+	for _, name := range x.names {
+		s := x.stores[name]
+		if v, ok := s.pendingSaves[key]; ok && now.Before(v.expires) {
 			return nil
 		}
-		if !s.open(now) || !l.mayKeepIn(s.Region) {
+		if !s.acceptsSaves(now) || !limits.mayStoreIn(s.Region) {
 			continue
 		}
-		left := s.left(tokens, now)
-		share := left / float64(max(1, s.Capacity))
+		remaining := s.freeTokens(tokens, now)
+		share := remaining / float64(max(1, s.Capacity))
 		if s.DataHall == hall {
-			share += nearShare
+			share += sameHallBonus
 		}
-		if left > 0 && share > free {
-			best, free = s, share
+		if remaining > 0 && share > largestShare {
+			best, largestShare = s, share
 		}
 	}
 	return best
 }
 
-// pending is the room that saves under way will take.
-func (s *keptStore) pending(now time.Time) int {
+// pendingTokens is how many tokens the saves under way will take.
+func (s *indexedStore) pendingTokens(now time.Time) int {
 	n := 0
-	for key, v := range s.saving {
-		if now.After(v.until) {
-			delete(s.saving, key)
+	for key, v := range s.pendingSaves {
+		if now.After(v.expires) {
+			delete(s.pendingSaves, key)
 			continue
 		}
 		n += v.tokens
--- a/pkg/route/engine_cache.go
+++ b/pkg/route/engine_cache.go
@@ -10,8 +10,8 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// PartHash stands for a part in a realm where knowledge of what engines hold is kept
-// and told: engines hold many parts, and its eight bytes are a tenth of their names.
+// PartHash identifies a part in a realm wherever the contents of engines are stored or
+// sent: engines hold many parts, and eight bytes are a tenth of a part's name.
 type PartHash uint64
 
 // HashPart returns the hash of a part in a realm.
@@ -24,114 +24,114 @@
 	return PartHash(d.Sum64())
 }
 
-// EngineCacheChange says that an engine holds more or less of a part: Tokens are those held
-// now, 0 for none.
+// EngineCacheChange is a change of how much of a part an engine holds: Tokens is the
+// new amount, 0 for none.
 type EngineCacheChange struct {
 	Part   PartHash
 	Tokens int
 }
 
-// EngineCacheUpdate is news of what one engine holds.
+// EngineCacheUpdate is an update of what one engine holds.
 type EngineCacheUpdate struct {
 	Engine string
-	// Stale says that the engine's own word can't be heard: what is known of it is
-	// not to be used until it can be again.
+	// Stale says that the engine's events can't be received: what is known of it
+	// must not be used until they can be again.
 	Stale bool
-	// Full says that the changes are all that it holds, and that what was known
-	// before is void.
+	// Full says that the changes list everything that the engine holds and replace
+	// what was known before.
 	Full    bool
 	Changes []EngineCacheChange
 }
 
-// heldEngine is what this node knows of what one engine holds. It is the engine's own
-// word, some hundred milliseconds old.
-type heldEngine struct {
+// indexedEngine is what this node knows of the contents of one engine, from the engine's
+// own events, some hundred milliseconds old.
+type indexedEngine struct {
 	site.Upstream
-	keptLink
-	heard bool
-	known bool             // All that it held was told once.
-	parts map[PartHash]int // Tokens held.
-	// doubted is until when nothing is fetched from the engine.
-	doubted time.Time
+	fetchLink
+	fresh            bool
+	snapshotReceived bool             // A full update has come.
+	parts            map[PartHash]int // Tokens held.
+	// avoidUntil is when parts may be fetched from the engine again.
+	avoidUntil time.Time
 }
 
-// SetEngines sets which engines of a service there are; what is known of those that
-// stay is kept.
-func (k *CacheIndex) SetEngines(service string, list []site.Upstream, e *site.Engine) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	there := make(map[string]bool, len(list))
+// SetEngines sets the list of a service's engines; the contents of those that stay are
+// kept.
+func (x *CacheIndex) SetEngines(service string, list []site.Upstream, profile *site.Engine) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	listed := make(map[string]bool, len(list))
 	for _, u := range list {
-		there[u.ID] = true
-		h, ok := k.engines[u.ID]
+		listed[u.ID] = true
+		h, ok := x.engines[u.ID]
 		if !ok {
-			h = &heldEngine{parts: map[PartHash]int{}}
-			k.engines[u.ID] = h
+			h = &indexedEngine{parts: map[PartHash]int{}}
+			x.engines[u.ID] = h
 		}
 		h.Upstream = u
-		h.hall, h.rate = u.DataHall, e.LinkRate
+		h.hall, h.rate = u.DataHall, profile.LinkRate
 	}
-	for id, h := range k.engines {
-		if h.Service == service && !there[id] {
-			k.clear(h)
-			delete(k.engines, id)
+	for id, h := range x.engines {
+		if h.Service == service && !listed[id] {
+			x.forgetParts(h)
+			delete(x.engines, id)
 		}
 	}
 }
 
-// ApplyEngineUpdate takes in news of what an engine holds.
-func (k *CacheIndex) ApplyEngineUpdate(c EngineCacheUpdate) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	h, ok := k.engines[c.Engine]
+// ApplyEngineUpdate applies an update of what an engine holds.
+func (x *CacheIndex) ApplyEngineUpdate(c EngineCacheUpdate) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	h, ok := x.engines[c.Engine]
 	if !ok {
 		return
 	}
-	h.known = h.known || c.Full // Changes alone don't tell what was held before them.
-	h.heard = !c.Stale && h.known
+	h.snapshotReceived = h.snapshotReceived || c.Full // Changes alone don't tell what was held before them.
+	h.fresh = !c.Stale && h.snapshotReceived
 	if c.Full {
-		k.clear(h)
+		x.forgetParts(h)
 	}
 	for _, v := range c.Changes {
-		k.hold(h, v)
+		x.recordHeldPart(h, v)
 	}
 }
 
-// hold notes a change, also in the index of who holds a part; the caller holds mu.
-func (k *CacheIndex) hold(h *heldEngine, c EngineCacheChange) {
-	holders := k.holders[c.Part]
-	at := slices.Index(holders, h)
+// recordHeldPart applies a change to an engine and to holders; the caller holds mu.
+func (x *CacheIndex) recordHeldPart(h *indexedEngine, c EngineCacheChange) {
+	holders := x.holders[c.Part]
+	position := slices.Index(holders, h)
 	switch {
 	case c.Tokens > 0:
 		h.parts[c.Part] = c.Tokens
-		if at < 0 {
-			k.holders[c.Part] = append(holders, h)
+		if position < 0 {
+			x.holders[c.Part] = append(holders, h)
 		}
 		return
-	case at < 0:
+	case position < 0:
 		return
 	case len(holders) == 1:
-		delete(k.holders, c.Part)
+		delete(x.holders, c.Part)
 	default:
-		k.holders[c.Part] = slices.Delete(holders, at, at+1)
+		x.holders[c.Part] = slices.Delete(holders, position, position+1)
 	}
 	delete(h.parts, c.Part)
 }
 
-// clear forgets all that an engine holds; the caller holds mu.
-func (k *CacheIndex) clear(h *heldEngine) {
+// forgetParts removes all parts of an engine; the caller holds mu.
+func (x *CacheIndex) forgetParts(h *indexedEngine) {
 	for part := range maps.Clone(h.parts) {
-		k.hold(h, EngineCacheChange{Part: part})
+		x.recordHeldPart(h, EngineCacheChange{Part: part})
 	}
 }
 
-// EngineContents lists all that an engine is known to hold, for other nodes to hear.
-func (k *CacheIndex) EngineContents(id string) EngineCacheUpdate {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// EngineContents lists all that an engine is known to hold, to be sent to other nodes.
+func (x *CacheIndex) EngineContents(id string) EngineCacheUpdate {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	c := EngineCacheUpdate{Engine: id, Full: true, Stale: true}
-	if h, ok := k.engines[id]; ok {
-		c.Stale = !h.heard
+	if h, ok := x.engines[id]; ok {
+		c.Stale = !h.fresh
 		for part, tokens := range h.parts {
 			c.Changes = append(c.Changes, EngineCacheChange{Part: part, Tokens: tokens})
 		}
@@ -139,43 +139,42 @@
 	return c
 }
 
-// AvoidEngine has nothing fetched from an engine for a while: it was not reached, or
-// its answer was lost, and a dead one costs whoever fetches from it more than reading
-// does.
-func (k *CacheIndex) AvoidEngine(id string, until time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if h, ok := k.engines[id]; ok && until.After(h.doubted) {
-		h.doubted = until
+// AvoidEngine stops fetches from an engine for a while after it was not reached or its
+// answer was lost: a fetch from a dead engine costs more than prefilling.
+func (x *CacheIndex) AvoidEngine(id string, until time.Time) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if h, ok := x.engines[id]; ok && until.After(h.avoidUntil) {
+		h.avoidUntil = until
 	}
 }
 
-// gives says whether a part can be fetched from an engine to another.
-func (h *heldEngine) gives(part PartHash, tokens int, now time.Time) bool {
-	return h.heard && !h.Draining && !h.Evacuated && !now.Before(h.doubted) && h.parts[part] >= tokens
+// canServe says whether another engine can fetch a part from this one.
+func (h *indexedEngine) canServe(part PartHash, tokens int, now time.Time) bool {
+	return h.fresh && !h.Draining && !h.Evacuated && !now.Before(h.avoidUntil) && h.parts[part] >= tokens
 }
 
-// ResetEngine forgets what an engine held: it has started anew, and holds nothing of before.
-func (k *CacheIndex) ResetEngine(id string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if h, ok := k.engines[id]; ok {
-		k.clear(h)
+// ResetEngine removes all parts of an engine that has restarted.
+func (x *CacheIndex) ResetEngine(id string) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if h, ok := x.engines[id]; ok {
+		x.forgetParts(h)
 	}
 }
 
-// RecordPrefill notes that an engine has read, or fetched, the shared parts of a prompt, so
-// that the next prompt needn't wait for the engine's own word.
-func (k *CacheIndex) RecordPrefill(id, realm string, shared []site.Part) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	h, ok := k.engines[id]
-	if !ok || !h.heard {
+// RecordPrefill records that an engine has prefilled or fetched the shared parts of a
+// prompt, so that they are known before the engine's own event comes.
+func (x *CacheIndex) RecordPrefill(id, realm string, shared []site.Part) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	h, ok := x.engines[id]
+	if !ok || !h.fresh {
 		return
 	}
 	for _, part := range shared {
 		if part.Tokens > 0 {
-			k.hold(h, EngineCacheChange{Part: HashPart(realm, part.ID), Tokens: part.Tokens})
+			x.recordHeldPart(h, EngineCacheChange{Part: HashPart(realm, part.ID), Tokens: part.Tokens})
 		}
 	}
 }
--- a/pkg/route/estimator.go
+++ b/pkg/route/estimator.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// hotCandidates is how many holders of a hot prefix are weighed.
-	hotCandidates = 4
-	// sampled is how many other replicas are weighed, drawn at random so that
-	// many nodes with the same old reports don't all choose the same one.
-	sampled = 6
-	// storeCandidates is how many stored copies are weighed for each replica.
-	storeCandidates = 2
-	// otherHall is added for a replica in another data hall.
-	otherHall = 2 * time.Millisecond
-	// minImport is the least gain in tokens for which an import is weighed.
-	minImport = 4 * prompt.ChunkTokens
-	// lateFactor, lateGrace and the patience say when an import is much later
-	// than expected.
-	lateFactor = 1.5
-	lateGrace  = 100 * time.Millisecond
+	// maxHolderCandidates is how many holders of a hot prefix are compared.
+	maxHolderCandidates = 4
+	// maxRandomCandidates is how many other replicas are compared. They are drawn at
+	// random so that nodes with the same old reports don't all choose the same one.
+	maxRandomCandidates = 6
+	// maxStoredCopies is how many stored copies are compared for each replica.
+	maxStoredCopies = 2
+	// crossHallLatency is added to the wait at a replica in another data hall.
+	crossHallLatency = 2 * time.Millisecond
+	// minImportGain is the least number of tokens saved for which an import is considered.
+	minImportGain = 4 * prompt.ChunkTokens
+	// importLateFactor, importLateGrace and CostWeights.Patience set when an import
+	// counts as much later than expected.
+	importLateFactor = 1.5
+	importLateGrace  = 100 * time.Millisecond
 )
 
-// estimator places a request by its estimated first-token time, with prices
-// for recomputed tokens and for links.
+// estimator places a request by its estimated first-token time and by the costs of
+// recomputed tokens and of links.
 //
 // The candidates are the holders of the longest hot prefixes, the replica that
-// the prompt's anchor hashes to, and a few drawn at random; each is weighed
-// with and without an import from each of the best stored copies. So a decision
-// costs the same for 20 replicas and for 7,000.
+// the prompt's anchor hashes to, and a few drawn at random. Each is scored
+// without an import and with one from each of the longest stored copies. So a
+// decision takes as long for 7,000 replicas as for 20.
 type estimator struct {
 	fleet   *Fleet
 	links   *Links
@@ -46,7 +46,7 @@
 func (p *estimator) Place(q *Request, now time.Time) (Decision, error) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
-	hot, stored := splitHoldings(q.Match.Locations)
+	hot, stored := splitLocations(q.Match.Locations)
 	var all []Decision
 	for _, r := range p.candidates(q, hot, now) {
 		all = p.options(all, q, r, hot[r.Name], stored, now)
@@ -58,8 +58,8 @@
 }
 
 // choose takes the cheapest of the decisions that are not much slower than the
-// fastest. Prices alone would let the wait for a slow link or a busy replica
-// grow until it costs as much as what it saves.
+// fastest. By score alone, the wait for a slow link or a busy replica could grow
+// until it costs as much as what it saves.
 func (p *estimator) choose(all []Decision) Decision {
 	fastest := all[0].FirstToken()
 	for i := range all {
@@ -77,11 +77,11 @@
 	return all[best]
 }
 
-// splitHoldings sorts holdings into hot tokens by engine and stored copies,
-// longest first.
-func splitHoldings(all []prompt.CacheLocation) (hot map[string]int, stored []prompt.CacheLocation) {
+// splitLocations splits cache locations into hot tokens by engine and the longest
+// stored copies, longest first.
+func splitLocations(locations []prompt.CacheLocation) (hot map[string]int, stored []prompt.CacheLocation) {
 	hot = map[string]int{}
-	for _, h := range all {
+	for _, h := range locations {
 		if h.Object != nil {
 			stored = append(stored, h)
 			continue
@@ -89,10 +89,10 @@
 		hot[h.Upstream] = max(hot[h.Upstream], h.Tokens())
 	}
 	slices.SortStableFunc(stored, func(a, b prompt.CacheLocation) int { return cmp.Compare(b.Chunks, a.Chunks) })
-	return hot, stored[:min(len(stored), storeCandidates)]
+	return hot, stored[:min(len(stored), maxStoredCopies)]
 }
 
-// candidates picks the replicas to weigh; the caller holds the fleet's lock.
+// candidates picks the replicas to compare; the caller holds the fleet's lock.
 func (p *estimator) candidates(q *Request, hot map[string]int, now time.Time) []*replica {
 	var list []*replica
 	add := func(r *replica) {
@@ -107,11 +107,11 @@
 	slices.SortFunc(holders, func(a, b string) int {
 		return cmp.Or(cmp.Compare(hot[b], hot[a]), cmp.Compare(a, b))
 	})
-	for _, name := range holders[:min(len(holders), hotCandidates)] {
+	for _, name := range holders[:min(len(holders), maxHolderCandidates)] {
 		add(p.fleet.replicas[name])
 	}
 	all := p.fleet.pool(q.Model)
-	if len(all) <= sampled {
+	if len(all) <= maxRandomCandidates {
 		for _, r := range all {
 			add(r)
 		}
@@ -119,14 +119,14 @@
 	}
 	anchor := q.Chain.Anchor()
 	add(all[xxhash.Sum64(anchor[:])%uint64(len(all))])
-	for range 2 * sampled {
-		if len(list) >= hotCandidates+sampled {
+	for range 2 * maxRandomCandidates {
+		if len(list) >= maxHolderCandidates+maxRandomCandidates {
 			break
 		}
 		add(all[p.fleet.rng.IntN(len(all))])
 	}
 	if len(list) == 0 {
-		// Few are usable: look at all rather than refuse by bad luck.
+		// Few replicas are usable: check all rather than refuse the request by chance.
 		for _, r := range p.fleet.byModel[q.Model] {
 			add(r)
 		}
@@ -134,7 +134,8 @@
 	return list
 }
 
-// options adds to list a replica with what it holds hot, and with each import.
+// options appends the scored decisions for a replica: without an import and with each
+// possible one.
 func (p *estimator) options(
 	list []Decision,
 	q *Request,
@@ -146,7 +147,7 @@
 	hotTokens = min(hotTokens, q.Chain.Tokens)
 	wait := p.fleet.waitAt(r, now)
 	if r.DataHall != q.DataHall {
-		wait += otherHall
+		wait += crossHallLatency
 	}
 	list = append(list, p.score(Decision{
 		Replica:   r.Name,
@@ -160,7 +161,7 @@
 	}
 	for _, h := range stored {
 		gain := h.Tokens() - hotTokens
-		if gain < minImport {
+		if gain < minImportGain {
 			continue
 		}
 		bytes := int64(h.Tokens()) * int64(r.report.TokenBytes)
@@ -174,7 +175,7 @@
 				Object:  *h.Object,
 				Chunks:  h.Chunks,
 				Bytes:   bytes,
-				Timeout: p.giveUp(r, gain, wait, fetch),
+				Timeout: p.importTimeout(r, gain, wait, fetch),
 			},
 			Wait:    wait,
 			Fetch:   fetch,
@@ -184,21 +185,20 @@
 	return list
 }
 
-// giveUp is after how long an import is given up. It is the time after which
-// recomputing would have been the better choice; but an import that takes much
-// longer than it was expected to shows that the estimate was wrong, and says
-// nothing of when it will end, so it is given up sooner.
-func (p *estimator) giveUp(r *replica, gain int, wait, fetch time.Duration) time.Duration {
-	worth := wait + time.Duration(float64(r.prefill(gain))*(1+p.weights.Recompute/p.weights.Latency))
-	late := time.Duration(float64(fetch)*lateFactor) + max(lateGrace, p.weights.Patience)
-	return min(worth, late)
+// importTimeout is after how long an import is abandoned: when recomputing would have
+// been the better choice, or earlier if the import takes much longer than estimated.
+// Then the estimate was wrong, and nothing is known of when the import will end.
+func (p *estimator) importTimeout(r *replica, gain int, wait, fetch time.Duration) time.Duration {
+	breakEven := wait + time.Duration(float64(r.prefill(gain))*(1+p.weights.Recompute/p.weights.Latency))
+	late := time.Duration(float64(fetch)*importLateFactor) + max(importLateGrace, p.weights.Patience)
+	return min(breakEven, late)
 }
 
-// score prices a decision in weighted seconds; link is for how long it occupies
-// a link.
-func (p *estimator) score(d Decision, r *replica, link float64) Decision {
+// score sets a decision's score in weighted seconds; linkSeconds is for how long it
+// occupies a link.
+func (p *estimator) score(d Decision, r *replica, linkSeconds float64) Decision {
 	d.Score = p.weights.Latency*d.FirstToken().Seconds() +
 		p.weights.Recompute*r.prefill(d.Recompute).Seconds() +
-		p.weights.Link*link
+		p.weights.Link*linkSeconds
 	return d
 }
--- a/pkg/route/estimator_test.go
+++ b/pkg/route/estimator_test.go
@@ -49,11 +49,11 @@
 	}
 }
 
-func hot(engine string, chunks int) prompt.CacheLocation {
+func hotLocation(engine string, chunks int) prompt.CacheLocation {
 	return prompt.CacheLocation{Upstream: engine, Chunks: chunks}
 }
 
-func kept(store string, chunks int) prompt.CacheLocation {
+func storedLocation(store string, chunks int) prompt.CacheLocation {
 	return prompt.CacheLocation{Upstream: store, Chunks: chunks, Object: &prompt.Object{Chunks: chunks}}
 }
 
@@ -68,7 +68,7 @@
 
 func TestPlaceGoesToTheHotPrefix(t *testing.T) {
 	q := testRequest(100)
-	q.Match.Locations = []prompt.CacheLocation{hot("e7", 100)}
+	q.Match.Locations = []prompt.CacheLocation{hotLocation("e7", 100)}
 	d := place(t, testFleet(20), NewLinks(), q)
 	assert.Equal(t, d.Replica, "e7")
 	assert.Equal(t, d.Recompute, 0)
@@ -76,7 +76,7 @@
 
 func TestPlaceImportsWhatIsOnlyStored(t *testing.T) {
 	q := testRequest(100)
-	q.Match.Locations = []prompt.CacheLocation{kept("s1", 100)}
+	q.Match.Locations = []prompt.CacheLocation{storedLocation("s1", 100)}
 	d := place(t, testFleet(20), NewLinks(), q)
 	assert.Assert(t, d.Import != nil)
 	assert.Equal(t, d.Import.Chunks, 100)
@@ -84,7 +84,7 @@
 
 func TestPlaceRecomputesWhenTheLinkIsBooked(t *testing.T) {
 	q := testRequest(100)
-	q.Match.Locations = []prompt.CacheLocation{kept("s1", 100)}
+	q.Match.Locations = []prompt.CacheLocation{storedLocation("s1", 100)}
 	l := NewLinks()
 	l.Report("s1", 1e6, 50e6, testNow)
 	d := place(t, testFleet(20), l, q)
@@ -95,7 +95,7 @@
 	f := testFleet(20)
 	q := testRequest(10)
 	f.Report("e7", Report{Taken: testNow.Add(2 * time.Millisecond), Slots: 8, PrefillQueue: 500_000, PrefillRate: 10_000, Weights: "w1"})
-	q.Match.Locations = []prompt.CacheLocation{hot("e7", 10)}
+	q.Match.Locations = []prompt.CacheLocation{hotLocation("e7", 10)}
 	d := place(t, f, NewLinks(), q)
 	assert.Assert(t, d.Replica != "e7")
 }
@@ -112,7 +112,7 @@
 		}
 		q := testRequest(20)
 		q.Exclude = []string{"e0", "e1"}
-		q.Match.Locations = []prompt.CacheLocation{hot("e0", 20), hot("e3", 20), kept("s1", 20)}
+		q.Match.Locations = []prompt.CacheLocation{hotLocation("e0", 20), hotLocation("e3", 20), storedLocation("s1", 20)}
 		for _, name := range []string{
 			config.PolicyDrumpath, config.PolicyNeverImport, config.PolicyLongestPrefix,
 			config.PolicyLeastLoaded, config.PolicyRoundRobin,
@@ -164,7 +164,7 @@
 		k.End(10e6, now)
 	}
 	assert.Assert(t, l.Estimate("s", "e", 10e6, now) > 500*time.Millisecond)
-	now = now.Add(5 * recovery)
+	now = now.Add(5 * rateRecovery)
 	assert.Assert(t, l.Estimate("s", "e", 10e6, now) < 150*time.Millisecond)
 }
 
@@ -214,7 +214,7 @@
 	mark, ok := k.SelectMark(in)
 	assert.Assert(t, ok)
 	assert.Equal(t, mark.Chunks, 60)
-	in.Match.Locations = []prompt.CacheLocation{kept("s", 60)}
+	in.Match.Locations = []prompt.CacheLocation{storedLocation("s", 60)}
 	_, ok = k.SelectMark(in)
 	assert.Assert(t, !ok, "it is stored already")
 }
@@ -224,7 +224,7 @@
 		b.Run(fmt.Sprint("replicas=", n), func(b *testing.B) {
 			f := testFleet(n)
 			q := testRequest(200)
-			q.Match.Locations = []prompt.CacheLocation{hot("e3", 200), hot("e5", 100), kept("s1", 200), kept("s2", 200)}
+			q.Match.Locations = []prompt.CacheLocation{hotLocation("e3", 200), hotLocation("e5", 100), storedLocation("s1", 200), storedLocation("s2", 200)}
 			p := NewPolicy(config.PolicyDrumpath, f, NewLinks(), evenWeights)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -249,7 +249,7 @@
 		l := NewLinks()
 		l.Report("s1", 1e6, int64(rapid.IntRange(0, 10_000_000).Draw(t, "queue")), testNow)
 		q := testRequest(100)
-		q.Match.Locations = []prompt.CacheLocation{hot("e1", 100), kept("s1", 100)}
+		q.Match.Locations = []prompt.CacheLocation{hotLocation("e1", 100), storedLocation("s1", 100)}
 		w := CostWeights{Latency: 1, Recompute: 100, Patience: 200 * time.Millisecond}
 		now := testNow.Add(2 * time.Millisecond)
 		d, err := NewPolicy(config.PolicyDrumpath, f, l, w).Place(q, now)
@@ -296,7 +296,7 @@
 		assert.Assert(t, slices.Contains(near, d.Replica), "%s is unheard of", d.Replica)
 	}
 	q := testRequest(20)
-	q.Match.Locations = []prompt.CacheLocation{hot("e999", 20)}
+	q.Match.Locations = []prompt.CacheLocation{hotLocation("e999", 20)}
 	d, err := NewPolicy(config.PolicyDrumpath, f, NewLinks(), evenWeights).Place(q, testNow.Add(time.Minute))
 	assert.NilError(t, err)
 	assert.Assert(t, d.Replica != "e999" || d.Wait > 0, "a holder unheard of has at least the others' wait")
--- a/pkg/route/export_policy.go
+++ b/pkg/route/export_policy.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// returnWeight is the weight of the newest request in the estimate of how
-	// often an organisation's whole prompts return.
-	returnWeight = 0.05
-	// priorReturn is that estimate before anything is known.
-	priorReturn = 0.5
+	// returnRateWeight is the weight of the newest request in an organisation's
+	// return rate: the share of its prompts that repeat an earlier one as a whole.
+	returnRateWeight = 0.05
+	// initialReturnRate is the return rate assumed before the first request.
+	initialReturnRate = 0.5
 	// minExportChunks is the shortest prefix that is exported.
 	minExportChunks = 8
-	// nearlyAll is the share of a prefix that counts as the prefix.
-	nearlyAll = 0.9
-	// storePrice is the price of keeping one token's state in a store, in
-	// seconds of prefill of one token.
-	storePrice = 0.05
+	// nearlyWholeShare is the share of a prefix that counts as the whole prefix.
+	nearlyWholeShare = 0.9
+	// storagePrice is the cost of keeping a token's KV cache in a store, relative
+	// to the time of its prefill.
+	storagePrice = 0.05
 )
 
 // ExportPolicy decides which prefixes are worth exporting to a store after a run.
 //
-// A prefix that has been seen before has returned. Of one seen for the first
-// time it is only known how often this organisation's new prompts return whole;
-// where they don't, such as where each has a new application under an old
-// specification, exporting them would fill links and stores with what is never
-// read again.
+// A prefix that an earlier prompt had too is expected to come again. For one seen for
+// the first time only the organisation's return rate is known. Where prompts don't
+// return as a whole, for instance because each has a new application under an old
+// specification, exporting them would fill links and stores with KV cache that is
+// never read.
 type ExportPolicy struct {
-	mu      sync.Mutex
-	weights CostWeights
-	returns map[string]float64
+	mu          sync.Mutex
+	weights     CostWeights
+	returnRates map[string]float64
 }
 
-// NewExportPolicy returns a decision that knows nothing yet.
-func NewExportPolicy(w CostWeights) *ExportPolicy {
-	return &ExportPolicy{weights: w, returns: map[string]float64{}}
+// NewExportPolicy returns a policy without any return rates.
+func NewExportPolicy(weights CostWeights) *ExportPolicy {
+	return &ExportPolicy{weights: weights, returnRates: map[string]float64{}}
 }
 
 // ExportInput is what is known of a prompt that has just run.
@@ -51,51 +51,51 @@
 }
 
 // SelectMark returns the mark up to which the prompt is worth exporting.
-func (k *ExportPolicy) SelectMark(in ExportInput) (prompt.Mark, bool) {
+func (e *ExportPolicy) SelectMark(in ExportInput) (prompt.Mark, bool) {
 	tail, ok := in.Chain.Tail()
 	if !ok {
 		return prompt.Mark{}, false
 	}
-	returned := k.learn(in, tail)
+	returnRate := e.updateReturnRate(in, tail)
 	stored := 0
 	for _, h := range in.Match.Locations {
 		if h.Object != nil {
 			stored = max(stored, h.Chunks)
 		}
 	}
-	// The longest prefix that has returned, then the whole.
-	if seen := longestSeen(in); seen.Chunks > 0 && k.worth(in, seen.Chunks, stored, 1) {
+	// The longest prefix seen before, then the whole prompt.
+	if seen := longestSeen(in); seen.Chunks > 0 && e.worthExporting(in, seen.Chunks, stored, 1) {
 		return seen, true
 	}
-	if k.worth(in, tail.Chunks, stored, returned) {
+	if e.worthExporting(in, tail.Chunks, stored, returnRate) {
 		return tail, true
 	}
 	return prompt.Mark{}, false
 }
 
-// learn notes whether the prompt was a return and gives the share of the
-// organisation's prompts that are.
-func (k *ExportPolicy) learn(in ExportInput, tail prompt.Mark) float64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	p, known := k.returns[in.Organisation]
+// updateReturnRate records whether the prompt repeats an earlier one and returns the
+// organisation's return rate.
+func (e *ExportPolicy) updateReturnRate(in ExportInput, tail prompt.Mark) float64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	rate, known := e.returnRates[in.Organisation]
 	if !known {
-		p = priorReturn
+		rate = initialReturnRate
 	}
 	seen := 0
 	if len(in.Match.Occurrences) > 0 {
 		seen = in.Match.Occurrences[0].Chunks
 	}
-	hit := 0.0
-	if float64(seen) >= nearlyAll*float64(tail.Chunks) {
-		hit = 1
+	outcome := 0.0
+	if float64(seen) >= nearlyWholeShare*float64(tail.Chunks) {
+		outcome = 1
 	}
-	p += returnWeight * (hit - p)
-	k.returns[in.Organisation] = p
-	return p
+	rate += returnRateWeight * (outcome - rate)
+	e.returnRates[in.Organisation] = rate
+	return rate
 }
 
-// longestSeen is the longest mark that an earlier request had too.
+// longestSeen returns the longest mark that an earlier request had too.
 func longestSeen(in ExportInput) prompt.Mark {
 	if len(in.Match.Occurrences) == 0 {
 		return prompt.Mark{}
@@ -109,26 +109,26 @@
 	return prompt.Mark{}
 }
 
-// worth compares the prefill saved at a return with the price of the link and
-// of the store.
-func (k *ExportPolicy) worth(in ExportInput, chunks, stored int, returns float64) bool {
-	if chunks < minExportChunks || float64(stored) >= nearlyAll*float64(chunks) {
+// worthExporting says whether the prefill expected to be saved costs more than the
+// transfer and the storage.
+func (e *ExportPolicy) worthExporting(in ExportInput, chunks, stored int, returnRate float64) bool {
+	if chunks < minExportChunks || float64(stored) >= nearlyWholeShare*float64(chunks) {
 		return false
 	}
-	gain := float64((chunks - stored) * prompt.ChunkTokens)
-	prefill := gain / max(1, in.PrefillRate)
-	moved := float64(chunks*prompt.ChunkTokens) * float64(in.TokenBytes) / max(1, in.LinkRate)
-	value := returns * (k.weights.Latency + k.weights.Recompute) * prefill
-	price := k.weights.Link*moved + storePrice*prefill
+	savedTokens := float64((chunks - stored) * prompt.ChunkTokens)
+	prefill := savedTokens / max(1, in.PrefillRate)
+	transfer := float64(chunks*prompt.ChunkTokens) * float64(in.TokenBytes) / max(1, in.LinkRate)
+	value := returnRate * (e.weights.Latency + e.weights.Recompute) * prefill
+	price := e.weights.Link*transfer + storagePrice*prefill
 	return value > price
 }
 
-// EvictionPriority ranks a kept object for eviction: how overdue its next return is.
+// EvictionPriority ranks a stored object for eviction: how overdue its next use is.
 // The most overdue goes first.
-func EvictionPriority(s prompt.Occurrence, unseenGap time.Duration) float64 {
-	gap := s.Gap
+func EvictionPriority(occurrence prompt.Occurrence, unseenGap time.Duration) float64 {
+	gap := occurrence.Gap
 	if gap <= 0 {
 		gap = unseenGap
 	}
-	return s.Since.Seconds() / max(gap.Seconds(), 1e-3)
+	return occurrence.Since.Seconds() / max(gap.Seconds(), 1e-3)
 }
--- a/pkg/route/in_flight_request.go
+++ b/pkg/route/in_flight_request.go
@@ -106,7 +106,7 @@
 		m.pending[k.band] -= k.tokens
 	}
 	if o == OutcomeOK && k.memory > 0 {
-		p.memory.note(k.memory, now.Sub(k.begun))
+		p.memory.record(k.memory, now.Sub(k.begun))
 	}
 	if o == OutcomeOK && k.tokens == 0 {
 		p.meanRun += time.Duration(learnShare * float64(now.Sub(k.begun)-p.meanRun))
--- a/pkg/route/links.go
+++ b/pkg/route/links.go
@@ -8,59 +8,59 @@
 
 const (
 	defaultLinkRate = 100e6
-	// slowestShare bounds how far observations pull a link's rate down.
-	slowestShare = 0.01
-	// rateWeight is how strongly one transfer moves the believed rate, as an
+	// minRateShare is the lowest share of its nominal rate that a link is estimated at.
+	minRateShare = 0.01
+	// rateWeight is how strongly one transfer moves the estimated rate, as an
 	// exponent on the ratio of time taken to time expected.
 	rateWeight = 0.5
-	// recovery is how fast the believed rate of an unused link goes back to
-	// its nominal one, so that a link that was slow is tried again.
-	recovery = 20 * time.Second
+	// rateRecovery is the time constant with which the estimated rate of an unused
+	// link returns to its nominal one, so that a link that was slow is tried again.
+	rateRecovery = 20 * time.Second
 )
 
-// Links are the links of engines and stores as resources that are booked.
+// Links tracks the rates and bookings of the links of engines and stores.
 type Links struct {
 	mu    sync.Mutex
 	links map[string]*linkState
 }
 
 type linkState struct {
-	nominal  float64 // Bytes a second.
-	share    float64 // Of the nominal rate, as observed.
-	late     float64 // Mean lateness of transfers, as a share of the expected time.
-	observed time.Time
-	busy     time.Time // Booked until.
-	moved    int64
-	// The counters last reported by the link's own end.
-	countedMoved int64
-	countedBusy  time.Duration
-	open         map[*Booking]struct{} // Transfers under way.
-}
-
-// NewLinks returns links of which nothing is known.
+	nominal      float64 // Bytes a second.
+	rateShare    float64 // Observed rate as a share of the nominal one.
+	meanLateness float64 // Of transfers, as a share of the expected time.
+	observedAt   time.Time
+	busyUntil    time.Time // When all bookings end.
+	moved        int64
+	// The counters last reported by the engine or store.
+	reportedMoved int64
+	reportedBusy  time.Duration
+	bookings      map[*Booking]struct{} // Transfers under way.
+}
+
+// NewLinks returns an empty Links; unknown links have the default rate.
 func NewLinks() *Links { return &Links{links: map[string]*linkState{}} }
 
 func (l *Links) get(name string) *linkState {
 	s, ok := l.links[name]
 	if !ok {
-		s = &linkState{nominal: defaultLinkRate, share: 1, open: map[*Booking]struct{}{}}
+		s = &linkState{nominal: defaultLinkRate, rateShare: 1, bookings: map[*Booking]struct{}{}}
 		l.links[name] = s
 	}
 	return s
 }
 
-// rate is the believed rate in bytes a second.
+// rate is the estimated rate in bytes a second.
 func (s *linkState) rate(now time.Time) float64 {
-	share := 1 - (1-s.share)*s.memory(now)
+	share := 1 - (1-s.rateShare)*s.observationWeight(now)
 	return s.nominal * share
 }
 
-// memory is how much of what was observed still counts.
-func (s *linkState) memory(now time.Time) float64 {
-	return math.Exp(-max(0, now.Sub(s.observed).Seconds()/recovery.Seconds()))
+// observationWeight is the weight of past observations, which decays over rateRecovery.
+func (s *linkState) observationWeight(now time.Time) float64 {
+	return math.Exp(-max(0, now.Sub(s.observedAt).Seconds()/rateRecovery.Seconds()))
 }
 
-// Report takes in a link's nominal rate and the bytes queued on it.
+// Report records a link's nominal rate and the bytes queued on it.
 func (l *Links) Report(name string, rate float64, queue int64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,65 +68,65 @@
 	if rate > 0 {
 		s.nominal = rate
 	}
-	if end := now.Add(seconds(float64(queue) / s.rate(now))); end.After(s.busy) {
-		s.busy = end
+	if end := now.Add(seconds(float64(queue) / s.rate(now))); end.After(s.busyUntil) {
+		s.busyUntil = end
 	}
 }
 
-// minCounted is the least busy time from which a rate is worked out.
-const minCounted = 50 * time.Millisecond
+// minBusySample is the least busy time from which a rate is computed.
+const minBusySample = 50 * time.Millisecond
 
-// UpdateCounters takes in a link's own counters: the bytes it has moved and for how long
-// it was busy with them. Their growth shows the rate that it really has, before
-// this node has had a transfer over it.
+// UpdateCounters records a link's own counters: the bytes it has transferred and for
+// how long it was busy with them. Their growth gives the real rate even before this
+// node has had a transfer over the link.
 func (l *Links) UpdateCounters(name string, moved int64, busy time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.get(name)
-	bytes, took := moved-s.countedMoved, busy-s.countedBusy
-	if bytes >= 0 && took >= 0 && took < minCounted {
+	bytes, took := moved-s.reportedMoved, busy-s.reportedBusy
+	if bytes >= 0 && took >= 0 && took < minBusySample {
 		return
 	}
-	s.countedMoved, s.countedBusy = moved, busy
+	s.reportedMoved, s.reportedBusy = moved, busy
 	if bytes <= 0 || took <= 0 || bytes == moved {
-		// It has restarted, or this is its first report.
+		// The engine or store has restarted, or this is its first report.
 		return
 	}
-	s.share = min(1, max(slowestShare, float64(bytes)/took.Seconds()/s.nominal))
-	s.observed = now
+	s.rateShare = min(1, max(minRateShare, float64(bytes)/took.Seconds()/s.nominal))
+	s.observedAt = now
 }
 
-// Estimate is by when a transfer over both links should be done, from now: the
-// slower has worked off what is booked and moved the bytes, and it comes as late
-// as transfers lately have. Other nodes book the same links unseen, so a busy
-// link's transfers come late, and their mean lateness is the best sign of it.
+// Estimate is how long a transfer over both links should take: by the slower one, the
+// time for its bookings and for the bytes, extended by the recent lateness of its
+// transfers. This node doesn't know the bookings of other nodes on the same links; the
+// mean lateness is the best indicator of them.
 func (l *Links) Estimate(a, b string, bytes int64, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(l.get(a).cautious(bytes, now), l.get(b).cautious(bytes, now))
+	return max(l.get(a).estimateWithLateness(bytes, now), l.get(b).estimateWithLateness(bytes, now))
 }
 
-func (s *linkState) cautious(bytes int64, now time.Time) time.Duration {
-	late := max(s.late*s.memory(now), s.overdue(now))
-	return time.Duration(float64(s.estimate(bytes, now)) * (1 + late))
+func (s *linkState) estimateWithLateness(bytes int64, now time.Time) time.Duration {
+	lateness := max(s.meanLateness*s.observationWeight(now), s.overdue(now))
+	return time.Duration(float64(s.estimate(bytes, now)) * (1 + lateness))
 }
 
-// overdue is the lateness so far of the latest transfer under way, so that a
-// link that has just become slow is noticed before its first transfer ends.
+// overdue is the largest lateness so far of the transfers under way, so that a link
+// that has just become slow is noticed before its first transfer ends.
 func (s *linkState) overdue(now time.Time) float64 {
 	worst := 0.0
-	for k := range s.open {
-		worst = max(worst, now.Sub(k.begun).Seconds()/max(k.expected.Seconds(), minExpected)-1)
+	for booking := range s.bookings {
+		worst = max(worst, now.Sub(booking.begun).Seconds()/max(booking.expected.Seconds(), minExpectedSeconds)-1)
 	}
 	return min(worst, mostLate)
 }
 
-// minExpected keeps short transfers from looking late for the time that any
-// call takes.
-const minExpected = 0.05
+// minExpectedSeconds is the least expected time against which lateness is measured:
+// any call takes some time, so short transfers would always look late.
+const minExpectedSeconds = 0.05
 
-// Seconds is for how long a transfer occupies the slower of two links, without
-// what is booked.
+// Seconds is for how long a transfer occupies the slower of two links, not counting
+// bookings.
 func (l *Links) Seconds(a, b string, bytes int64, now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,40 +134,40 @@
 }
 
 func (s *linkState) estimate(bytes int64, now time.Time) time.Duration {
-	return max(0, s.busy.Sub(now)) + seconds(float64(bytes)/s.rate(now))
+	return max(0, s.busyUntil.Sub(now)) + seconds(float64(bytes)/s.rate(now))
 }
 
 // Book reserves both links for a transfer; the caller ends the booking.
 func (l *Links) Book(a, b string, bytes int64, now time.Time) *Booking {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := &Booking{links: l, names: [2]string{a, b}, bytes: bytes, begun: now}
-	for i, name := range k.names {
+	booking := &Booking{links: l, names: [2]string{a, b}, bytes: bytes, begun: now}
+	for i, name := range booking.names {
 		s := l.get(name)
-		k.expected = max(k.expected, s.estimate(bytes, now))
-		k.reserved[i] = seconds(float64(bytes) / s.rate(now))
-		if s.busy.Before(now) {
-			s.busy = now
+		booking.expected = max(booking.expected, s.estimate(bytes, now))
+		booking.reserved[i] = seconds(float64(bytes) / s.rate(now))
+		if s.busyUntil.Before(now) {
+			s.busyUntil = now
 		}
-		s.busy = s.busy.Add(k.reserved[i])
-		s.open[k] = struct{}{}
+		s.busyUntil = s.busyUntil.Add(booking.reserved[i])
+		s.bookings[booking] = struct{}{}
 	}
-	return k
+	return booking
 }
 
-// Booked is for how long a link is booked from now.
+// Booked is for how long from now a link is booked.
 func (l *Links) Booked(name string, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.get(name).busy.Sub(now))
+	return max(0, l.get(name).busyUntil.Sub(now))
 }
 
-// LinkStatus is what a dump shows of one link.
+// LinkStatus is the state of one link as shown in dumps.
 type LinkStatus struct {
 	Name   string        `json:"name"`
-	Rate   float64       `json:"rate"` // Bytes a second, as believed now.
+	Rate   float64       `json:"rate"` // Bytes a second, as estimated now.
 	Booked time.Duration `json:"booked_ns"`
-	Moved  int64         `json:"moved"` // Bytes, on this node's orders.
+	Moved  int64         `json:"moved"` // Bytes transferred for this node.
 }
 
 // Status lists all links.
@@ -176,7 +176,7 @@
 	defer l.mu.Unlock()
 	var list []LinkStatus
 	for name, s := range l.links {
-		list = append(list, LinkStatus{Name: name, Rate: s.rate(now), Booked: max(0, s.busy.Sub(now)), Moved: s.moved})
+		list = append(list, LinkStatus{Name: name, Rate: s.rate(now), Booked: max(0, s.busyUntil.Sub(now)), Moved: s.moved})
 	}
 	return list
 }
--- a/pkg/route/memory.go
+++ b/pkg/route/memory.go
@@ -3,51 +3,51 @@
 import "time"
 
 const (
-	// memoryShare is the part of an engine's memory that prompts in flight are
-	// expected to fill without harm: the rest is for what they generate, and for
-	// what other nodes have sent that is not known yet. At 1.05 instead, worth was
-	// 0.745 for 0.758 (three days of four seeds, nine engines).
-	memoryShare = 0.9
-	// startHold is how long a prompt is assumed to hold an engine's memory before
-	// any was measured.
-	startHold = time.Second
-	// mostHold bounds what is learnt: at a node that stood still, or behind a lost
-	// answer, prompts seem to hold memory for much longer than they do.
-	mostHold = 5 * time.Second
+	// usableMemoryShare is the part of an engine's memory that prompts in flight may
+	// fill. The rest is left for generated tokens and for prompts of other nodes
+	// that are not known yet. At 1.05 the benchmark score fell from 0.758 to 0.745
+	// (three days with four seeds each, nine engines).
+	usableMemoryShare = 0.9
+	// initialHoldTime is how long a prompt is assumed to hold an engine's memory
+	// until the first measurement.
+	initialHoldTime = time.Second
+	// maxHoldTime caps measured hold times: if the node was suspended or an answer
+	// was lost, prompts seem to hold memory for much longer than they do.
+	maxHoldTime = 5 * time.Second
 )
 
-// memoryUse is what prompts hold of engines' memory and for how long, learnt from
-// this node's own: the time in which memory that is full turns over.
-type memoryUse struct {
-	tokens  float64 // Of recent prompts, in a decaying sum.
-	seconds float64 // Of the same sum, weighted by tokens.
+// memoryUsage estimates, from this node's own prompts, how much of an engine's
+// memory a prompt holds and for how long.
+type memoryUsage struct {
+	tokens  float64 // Exponentially decaying sum over prompts.
+	seconds float64 // The same sum of hold times, weighted by tokens.
 }
 
-// note takes in a prompt that held tokens for a time. Larger prompts weigh more, as
-// it is they that fill the memory.
-func (u *memoryUse) note(tokens int, held time.Duration) {
+// record adds a prompt that held so many tokens for so long. Larger prompts weigh
+// more, as they fill the memory.
+func (u *memoryUsage) record(tokens int, held time.Duration) {
 	u.tokens = (1-learnShare)*u.tokens + float64(tokens)
-	u.seconds = (1-learnShare)*u.seconds + float64(tokens)*min(held, mostHold).Seconds()
+	u.seconds = (1-learnShare)*u.seconds + float64(tokens)*min(held, maxHoldTime).Seconds()
 }
 
-// mean is the mean of what a prompt holds, in tokens.
-func (u *memoryUse) mean() int { return int(learnShare * u.tokens) }
+// meanTokens is the mean number of tokens that a prompt holds.
+func (u *memoryUsage) meanTokens() int { return int(learnShare * u.tokens) }
 
-// hold is the mean time for which a token is held, in seconds.
-func (u *memoryUse) hold() float64 {
+// meanHoldSeconds is the mean time for which a token is held, in seconds.
+func (u *memoryUsage) meanHoldSeconds() float64 {
 	if u.tokens == 0 {
-		return startHold.Seconds()
+		return initialHoldTime.Seconds()
 	}
 	return u.seconds / u.tokens
 }
 
-// memoryWait is how long a prompt waits at an engine until others have given up the
-// memory that it needs, in seconds. What is let in past an engine's memory has
-// another prompt preempted, and that one is read again.
+// memoryWait is how long a prompt waits at an engine until others have freed the
+// memory that it needs, in seconds. If an engine is sent more than fits into its
+// memory, it preempts another prompt, which is then prefilled again.
 func (p *Pool) memoryWait(m *member, tokens int) float64 {
 	if p.capacity <= 0 || p.without.Memory {
 		return 0
 	}
-	over := float64(m.memory+m.others.Memory+tokens) - memoryShare*float64(p.capacity)
-	return max(0, over) / float64(p.capacity) * p.memory.hold()
+	excess := float64(m.memory+m.others.Memory+tokens) - usableMemoryShare*float64(p.capacity)
+	return max(0, excess) / float64(p.capacity) * p.memory.meanHoldSeconds()
 }
--- a/pkg/route/memory_test.go
+++ b/pkg/route/memory_test.go
@@ -35,5 +35,5 @@
 	assert.DeepEqual(t, p.AppendLoads(nil), []ReplicaLoad{{Key: HashName("r00"), Load: PeerLoad{Requests: 1, Memory: 5050}}})
 	k.End(OutcomeOK, testNow.Add(2*time.Second))
 	assert.Equal(t, len(p.AppendLoads(nil)), 0)
-	assert.Equal(t, p.memory.hold(), 2.0)
+	assert.Equal(t, p.memory.meanHoldSeconds(), 2.0)
 }
--- a/pkg/route/plan.go
+++ b/pkg/route/plan.go
@@ -18,13 +18,13 @@
 	FetchTime time.Duration
 
 	kept  *CacheIndex
-	moves []*keptLink // Over which something is fetched.
+	moves []*fetchLink // Over which something is fetched.
 	saves []plannedSave
 }
 
 // plannedSave is a part that is to be saved at a store.
 type plannedSave struct {
-	store *keptStore
+	store *indexedStore
 	key   partKey
 }
 
@@ -46,7 +46,7 @@
 	p.kept.mu.Lock()
 	defer p.kept.mu.Unlock()
 	for _, s := range p.saves {
-		delete(s.store.saving, s.key)
+		delete(s.store.pendingSaves, s.key)
 	}
 }
 
@@ -60,11 +60,11 @@
 	defer p.kept.mu.Unlock()
 	for _, l := range p.moves {
 		if excess < 0 {
-			l.own.Early++
-			l.shift(-1, now)
+			l.tally.Early++
+			l.adjustLateness(-1, now)
 		} else {
-			l.own.Late++
-			l.shift(1, now)
+			l.tally.Late++
+			l.adjustLateness(1, now)
 		}
 	}
 }
--- a/pkg/route/policy.go
+++ b/pkg/route/policy.go
@@ -12,7 +12,7 @@
 	Place(q *Request, now time.Time) (Decision, error)
 }
 
-// NewPolicy returns the policy of a name in the settings.
+// NewPolicy returns the policy with the given name from the settings.
 func NewPolicy(name string, f *Fleet, l *Links, w CostWeights) Policy {
 	switch name {
 	case config.PolicyRoundRobin:
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -32,7 +32,7 @@
 	failing  float64       // Mean share of failures over all replicas.
 	// late is the mean over all replicas of the time taken over the time expected.
 	late     float64
-	memory   memoryUse
+	memory   memoryUsage
 	capacity int // Of an engine's memory, in tokens; 0 if not known.
 	// coldMost is how many requests a cold replica may get from all nodes in a second, if
 	// coldLimited, and coldShares tells this node's share.
--- a/pkg/route/pool_bench_test.go
+++ b/pkg/route/pool_bench_test.go
@@ -36,10 +36,10 @@
 			for i := range n {
 				stores = append(stores, testStore(fmt.Sprintf("s%d", i), fmt.Sprintf("h%d", i%3), fmt.Sprintf("10.0.%d.%d:1", i/200, 1+i%200), 2_000_000, 4e9))
 			}
-			k := newTestKept(stores...)
+			k := newTestIndex(stores...)
 			for i, s := range stores {
 				for j := range 1000 {
-					k.ApplyStoreChanges(s.Name, site.CacheChanges{Boot: 1, Changes: plus("r", site.Part{ID: fmt.Sprintf("%d-%d", i, j), Tokens: 5000})}, testNow)
+					k.ApplyStoreChanges(s.Name, site.CacheChanges{Boot: 1, Changes: storeChanges("r", site.Part{ID: fmt.Sprintf("%d-%d", i, j), Tokens: 5000})}, testNow)
 				}
 			}
 			now := testNow
@@ -65,7 +65,7 @@
 				for j := range 19 {
 					parts = append(parts, site.Part{ID: fmt.Sprint(i*7 + j), Tokens: 5000})
 				}
-				k.ApplyEngineUpdate(EngineCacheUpdate{Engine: u.ID, Full: true, Changes: held("r", parts...)})
+				k.ApplyEngineUpdate(EngineCacheUpdate{Engine: u.ID, Full: true, Changes: engineChanges("r", parts...)})
 			}
 			realm := func(int64) Realm { return Realm{Name: "r"} }
 			b.ReportAllocs()
--- a/pkg/route/pool_estimate.go
+++ b/pkg/route/pool_estimate.go
@@ -82,7 +82,7 @@
 	reading := float64(m.ahead(n)) * p.perToken
 	slots := 0.0
 	if over := running + 1 - float64(m.Slots); m.Slots > 0 && over > 0 {
-		slots = over / float64(m.Slots) * p.memory.hold()
+		slots = over / float64(m.Slots) * p.memory.meanHoldSeconds()
 	}
 	return (reading+running*runTime.Seconds())*late + slots + p.memoryWait(m, n.Memory) + p.overdue(m, now)
 }
@@ -105,7 +105,7 @@
 
 // ahead is how many tokens are read at a replica before a prompt's.
 func (m *member) ahead(n *PickInput) int {
-	return m.pending.Plus(m.others.Tokens).upTo(bandOf(n.Priority))
+	return m.pending.Plus(m.others.Tokens).sumUpTo(bandOf(n.Priority))
 }
 
 // lateness is how much longer than the others' the replica's answers take.
--- a/pkg/route/pool_views.go
+++ b/pkg/route/pool_views.go
@@ -34,7 +34,7 @@
 func (p *Pool) MedianWait(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := &PickInput{Priority: bands - 1, Memory: p.memory.mean()}
+	n := &PickInput{Priority: bandCount - 1, Memory: p.memory.meanTokens()}
 	var waits []float64
 	for _, m := range p.list {
 		if m.forAll(now) == NotExcluded && !m.passedOver(now) {
--- a/pkg/route/prompt_queue_test.go
+++ b/pkg/route/prompt_queue_test.go
@@ -11,13 +11,13 @@
 )
 
 // room is what fits at the engines, as a test sets it.
-type room struct{ left int }
+type testCapacity struct{ free int }
 
-func (r *room) ask(priority int, limit time.Time) QueueRequest {
-	return QueueRequest{Cost: 1000, Priority: priority, Deadline: limit, Fits: func(bool, time.Time) bool { return r.left > 0 }}
+func (r *testCapacity) request(priority int, deadline time.Time) QueueRequest {
+	return QueueRequest{Cost: 1000, Priority: priority, Deadline: deadline, Fits: func(bool, time.Time) bool { return r.free > 0 }}
 }
 
-func letIn(w *WaitingPrompt) bool {
+func promptAdmitted(w *WaitingPrompt) bool {
 	select {
 	case <-w.Ready():
 		return w.Err() == nil
@@ -26,9 +26,9 @@
 	}
 }
 
-// sent has a prompt that was let in take its room.
-func (r *room) sent(w *WaitingPrompt, now time.Time) {
-	r.left--
+// markSent has a prompt that was let in take its room.
+func (r *testCapacity) markSent(w *WaitingPrompt, now time.Time) {
+	r.free--
 	w.Done(now)
 }
 
@@ -36,7 +36,7 @@
 // refused once, and nobody is forgotten.
 func TestPromptQueueStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q, r, now := NewPromptQueue(), &room{left: 3}, testNow
+		q, r, now := NewPromptQueue(), &testCapacity{free: 3}, testNow
 		var open []*WaitingPrompt
 		settle := func() {
 			for progress := true; progress; {
@@ -45,8 +45,8 @@
 					select {
 					case <-w.Ready():
 						if w.Err() == nil {
-							assert.Assert(t, r.left > 0, "let in without room")
-							r.left--
+							assert.Assert(t, r.free > 0, "let in without room")
+							r.free--
 						}
 						w.Done(now)
 						open = append(open[:i:i], open[i+1:]...)
@@ -58,20 +58,20 @@
 				}
 			}
 			assert.Equal(t, q.Len(), len(open))
-			assert.Assert(t, len(open) == 0 || r.left == 0, "room for somebody, and nobody let in")
+			assert.Assert(t, len(open) == 0 || r.free == 0, "room for somebody, and nobody let in")
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 5).Draw(t, "op") {
 			case 0, 1:
 				limit := now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "limit")) * time.Millisecond)
-				ask := r.ask(rapid.IntRange(0, 3).Draw(t, "priority"), limit)
+				ask := r.request(rapid.IntRange(0, 3).Draw(t, "priority"), limit)
 				ask.Organisation = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation")
 				if w, err := q.Enqueue(ask, now); err == nil {
 					open = append(open, w)
 				}
 			case 2:
-				r.left++
+				r.free++
 				q.Step(now)
 			case 3:
 				if len(open) > 0 {
@@ -97,10 +97,10 @@
 // Prompts that can still be in time go first, then the more urgent, then those of who
 // has had least.
 func TestPromptQueueOrder(t *testing.T) {
-	q, r, now := NewPromptQueue(), &room{}, testNow
+	q, r, now := NewPromptQueue(), &testCapacity{}, testNow
 	limit := now.Add(time.Minute)
 	offer := func(priority int, organisation string) *WaitingPrompt {
-		ask := r.ask(priority, limit)
+		ask := r.request(priority, limit)
 		ask.Organisation = organisation
 		w, err := q.Enqueue(ask, now)
 		assert.NilError(t, err)
@@ -112,42 +112,42 @@
 	urgent := offer(0, "a")
 	late.MarkLate(now)
 	for i, w := range []*WaitingPrompt{urgent, other, second, third, late} {
-		r.left = 1
+		r.free = 1
 		q.Step(now)
-		assert.Assert(t, letIn(w), "number %d", i)
-		r.sent(w, now)
+		assert.Assert(t, promptAdmitted(w), "number %d", i)
+		r.markSent(w, now)
 	}
 }
 
 // What was let in takes its room only once it is sent: until then nobody else is let
 // in on the same room.
 func TestPromptsAreLetInOneAtATime(t *testing.T) {
-	q, r, now := NewPromptQueue(), &room{}, testNow
+	q, r, now := NewPromptQueue(), &testCapacity{}, testNow
 	var list []*WaitingPrompt
 	for range 2 {
-		w, err := q.Enqueue(r.ask(0, now.Add(time.Minute)), now)
+		w, err := q.Enqueue(r.request(0, now.Add(time.Minute)), now)
 		assert.NilError(t, err)
 		list = append(list, w)
 	}
-	r.left = 1
+	r.free = 1
 	q.Step(now)
 	q.Step(now)
-	assert.Assert(t, letIn(list[0]) && !letIn(list[1]))
-	r.sent(list[0], now)
-	assert.Assert(t, !letIn(list[1]))
-	r.left = 1
+	assert.Assert(t, promptAdmitted(list[0]) && !promptAdmitted(list[1]))
+	r.markSent(list[0], now)
+	assert.Assert(t, !promptAdmitted(list[1]))
+	r.free = 1
 	q.Step(now)
-	assert.Assert(t, letIn(list[1]))
+	assert.Assert(t, promptAdmitted(list[1]))
 }
 
 // Engines that begin nothing any more: those that would wait in vain are refused well
 // before their limits, and say when to come back, and new ones at once.
 func TestWhoWouldWaitInVainIsRefused(t *testing.T) {
-	q, r, now := NewPromptQueue(), &room{}, testNow
+	q, r, now := NewPromptQueue(), &testCapacity{}, testNow
 	limit := now.Add(4 * time.Second)
 	var list []*WaitingPrompt
 	for range 5 {
-		w, err := q.Enqueue(r.ask(0, limit), now)
+		w, err := q.Enqueue(r.request(0, limit), now)
 		assert.NilError(t, err)
 		list = append(list, w)
 	}
@@ -162,23 +162,23 @@
 			refused++
 			var err *RefusedError
 			assert.Assert(t, errors.As(w.Err(), &err))
-			assert.Assert(t, err.RetryAfter >= minRetry)
+			assert.Assert(t, err.RetryAfter >= minRetryAfter)
 		default:
 		}
 	}
 	assert.Assert(t, refused >= 3, "%d refused after half of their time", refused)
-	_, err := q.Enqueue(r.ask(0, now.Add(time.Second)), now)
+	_, err := q.Enqueue(r.request(0, now.Add(time.Second)), now)
 	var refusal *RefusedError
 	assert.Assert(t, errors.As(err, &refusal))
 }
 
 // The pace is learnt, so that a queue that moves is joined and one that doesn't is not.
 func TestQueueThatMovesIsJoined(t *testing.T) {
-	q, r, now := NewPromptQueue(), &room{}, testNow
+	q, r, now := NewPromptQueue(), &testCapacity{}, testNow
 	var waiting []*WaitingPrompt
 	for i := range 200 {
 		now = now.Add(10 * time.Millisecond)
-		ask := r.ask(0, now.Add(time.Second))
+		ask := r.request(0, now.Add(time.Second))
 		ask.Organisation = fmt.Sprint(i % 3)
 		w, err := q.Enqueue(ask, now)
 		assert.NilError(t, err, "prompt %d", i)
@@ -186,11 +186,11 @@
 		if i < 20 {
 			continue // A queue of 20 builds up, which takes 200 ms to get through.
 		}
-		r.left = 1
+		r.free = 1
 		q.Step(now)
 		for j, w := range waiting {
-			if letIn(w) {
-				r.sent(w, now)
+			if promptAdmitted(w) {
+				r.markSent(w, now)
 				waiting = append(waiting[:j:j], waiting[j+1:]...)
 				break
 			}
--- a/pkg/route/retry.go
+++ b/pkg/route/retry.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// maxRetryCredit bounds how many retries may be saved up.
+// maxRetryCredit bounds how many unused retries may accumulate.
 const maxRetryCredit = 20
 
-// RetryBudget lets retries be only a share of successes, so that failures can't
-// multiply load.
+// RetryBudget limits retries to a share of the successes, so that failures can't
+// multiply the load.
 type RetryBudget struct {
 	mu     sync.Mutex
 	share  float64
@@ -18,14 +18,14 @@
 	return &RetryBudget{share: share, credit: maxRetryCredit}
 }
 
-// Success adds a success's share.
+// Success records a success, which adds its share of a retry.
 func (b *RetryBudget) Success() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.credit = min(maxRetryCredit, b.credit+b.share)
 }
 
-// Take says whether a retry may be made, and counts it.
+// Take says whether a retry may be made, and counts it if so.
 func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/route/retry_share.go
+++ b/pkg/route/retry_share.go
@@ -6,38 +6,39 @@
 )
 
 // RetryShare is this node's part of a retry budget that all nodes share without
-// talking: each spends only the share of its own requests and its part of the
-// slack, so the sum holds whatever the others do.
+// communicating: each node makes retries only for a share of its own requests plus
+// its part of the slack, so the total stays within the budget.
 type RetryShare struct {
 	mu     sync.Mutex
 	ratio  float64
 	slack  float64
 	window time.Duration
-	base   time.Time // Slots are counted from here, on the steady clock.
+	epoch  time.Time // Start of the slots' numbering, on the monotonic clock.
 	slots  [retrySlots]retrySlot
 }
 
 type retrySlot struct {
-	at       int64 // Which slot of time it counts.
+	index    int64 // Number of the time slot that is counted.
 	requests int
 	retries  int
 }
 
 const (
-	// retrySlots is into how many parts the window is cut.
+	// retrySlots is the number of time slots that the window is divided into.
 	retrySlots = 16
-	// retryCaution is the part of its share that a node spends, for windows
-	// that fall differently and for requests that others count later.
-	retryCaution = 0.7
+	// retrySafetyFactor is the part of its share that a node uses: the window is
+	// observed with other boundaries elsewhere, and some requests are counted
+	// there later.
+	retrySafetyFactor = 0.7
 )
 
 // NewRetryShare returns a budget of ratio retries for each request within any
-// window, and slack more.
+// window, plus the slack set by SetSlack.
 func NewRetryShare(ratio float64, window time.Duration) *RetryShare {
-	return &RetryShare{ratio: ratio, window: window, base: time.Now().Add(-window)}
+	return &RetryShare{ratio: ratio, window: window, epoch: time.Now().Add(-window)}
 }
 
-// SetSlack sets this node's part of the slack, in retries a window.
+// SetSlack sets this node's part of the slack, in retries per window.
 func (b *RetryShare) SetSlack(n float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,19 +52,19 @@
 	b.slot(now).requests++
 }
 
-// Take says whether a retry may be made, and counts it.
+// Take says whether a retry may be made, and counts it if so.
 func (b *RetryShare) Take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.slot(now)
 	requests, retries := 0, 0
 	for i := range b.slots {
-		if b.slots[i].at > s.at-retrySlots {
+		if b.slots[i].index > s.index-retrySlots {
 			requests += b.slots[i].requests
 			retries += b.slots[i].retries
 		}
 	}
-	if float64(retries+1) > retryCaution*(b.ratio*float64(requests)+b.slack) {
+	if float64(retries+1) > retrySafetyFactor*(b.ratio*float64(requests)+b.slack) {
 		return false
 	}
 	s.retries++
@@ -71,10 +72,10 @@
 }
 
 func (b *RetryShare) slot(now time.Time) *retrySlot {
-	at := int64(max(0, now.Sub(b.base)))/max(1, int64(b.window)/(retrySlots-1)) + retrySlots
-	s := &b.slots[at%retrySlots]
-	if s.at != at {
-		*s = retrySlot{at: at}
+	index := int64(max(0, now.Sub(b.epoch)))/max(1, int64(b.window)/(retrySlots-1)) + retrySlots
+	s := &b.slots[index%retrySlots]
+	if s.index != index {
+		*s = retrySlot{index: index}
 	}
 	return s
 }
--- a/pkg/route/traffic.go
+++ b/pkg/route/traffic.go
@@ -6,82 +6,83 @@
 )
 
 const (
-	// trafficMemory is how fast the use of parts is forgotten.
-	trafficMemory = 3 * time.Second
-	// trafficParts bounds the parts that are remembered.
-	trafficParts = 50_000
-	// trafficLeast is the use below which a part is forgotten when there are
-	// too many.
-	trafficLeast = 0.2
+	// usageDecay is the time constant with which counted uses decay.
+	usageDecay = 3 * time.Second
+	// maxTrackedParts is the number of parts from which rarely used ones are removed.
+	maxTrackedParts = 50_000
+	// minTrackedUses is the decayed number of uses below which a part is removed
+	// when there are too many.
+	minTrackedUses = 0.2
 )
 
-// traffic is what this node sees of the use of parts. All nodes see much the
-// same, so it stands for all.
-type traffic struct {
-	parts map[partKey]*decaying
-	// tokens are those of all prompts, which push each other out of replicas.
-	tokens decaying
+// partUsage counts how often parts are used by this node's prompts. The usage at
+// other nodes is assumed to be alike.
+type partUsage struct {
+	parts map[partKey]*decayingCount
+	// totalTokens counts the tokens of all parts that evict others from the replicas.
+	totalTokens decayingCount
 }
 
-// decaying is a count that is forgotten over trafficMemory.
-type decaying struct {
-	n  float64
-	at time.Time
+// decayingCount is a count that decays with the time constant usageDecay.
+type decayingCount struct {
+	value float64
+	at    time.Time
 }
 
-func (d *decaying) add(n float64, now time.Time) { d.n, d.at = d.now(now)+n, now }
+func (d *decayingCount) add(n float64, now time.Time) { d.value, d.at = d.valueAt(now)+n, now }
 
-func (d *decaying) now(now time.Time) float64 {
-	return d.n * math.Exp(-max(0, now.Sub(d.at).Seconds()/trafficMemory.Seconds()))
+func (d *decayingCount) valueAt(now time.Time) float64 {
+	return d.value * math.Exp(-max(0, now.Sub(d.at).Seconds()/usageDecay.Seconds()))
 }
 
-func newTraffic() *traffic { return &traffic{parts: map[partKey]*decaying{}} }
+func newPartUsage() *partUsage { return &partUsage{parts: map[partKey]*decayingCount{}} }
 
-// note takes in the use of a part.
-func (t *traffic) note(key partKey, tokens int, now time.Time) {
+// record counts one use of a part.
+func (t *partUsage) record(key partKey, tokens int, now time.Time) {
 	d, ok := t.parts[key]
 	if !ok {
-		if len(t.parts) >= trafficParts {
+		if len(t.parts) >= maxTrackedParts {
 			t.prune(now)
 		}
-		d = &decaying{}
+		d = &decayingCount{}
 		t.parts[key] = d
 	}
-	t.tokens.add(float64(tokens)*(1-t.held(key, heldCapacity, now)), now)
+	t.totalTokens.add(float64(tokens)*(1-t.heldProbability(key, assumedCapacity, now)), now)
 	d.add(1, now)
 }
 
-// heldCapacity is only used to leave parts that are always held out of the
-// tokens that push others out; its size hardly matters.
-const heldCapacity = 40_000
+// assumedCapacity is the engine capacity, in tokens, by which record leaves parts
+// that are always held out of totalTokens; its exact size hardly matters.
+const assumedCapacity = 40_000
 
-func (t *traffic) prune(now time.Time) {
+func (t *partUsage) prune(now time.Time) {
 	for key, d := range t.parts {
-		if d.now(now) < trafficLeast {
+		if d.valueAt(now) < minTrackedUses {
 			delete(t.parts, key)
 		}
 	}
 }
 
-// held is the chance that a replica of a capacity in tokens still has a part: it
-// keeps a part for as long as it takes other tokens to fill it, and the part is
-// used there by chance. How many nodes and replicas there are cancels out.
-func (t *traffic) held(key partKey, capacity int, now time.Time) float64 {
+// heldProbability is the probability that a replica with the given capacity in
+// tokens still holds a part. A replica evicts a part once as many other tokens have
+// come as it can hold, and uses of the part reach the replicas at random; the
+// numbers of nodes and replicas cancel out.
+func (t *partUsage) heldProbability(key partKey, capacity int, now time.Time) float64 {
 	d, ok := t.parts[key]
 	if !ok {
 		return 0
 	}
-	uses := d.now(now) * float64(capacity) / max(1, t.tokens.now(now))
+	uses := d.valueAt(now) * float64(capacity) / max(1, t.totalTokens.valueAt(now))
 	return 1 - math.Exp(-uses)
 }
 
-// often says whether a part is used so often that it should be kept at a fast
-// store too.
-func (t *traffic) often(key partKey, now time.Time) bool {
+// frequentlyUsed says whether a part is used so often that a copy at a faster store
+// is worth making.
+func (t *partUsage) frequentlyUsed(key partKey, now time.Time) bool {
 	d, ok := t.parts[key]
-	return ok && d.now(now) >= oftenUses
+	return ok && d.valueAt(now) >= frequentUses
 }
 
-// oftenUses is how often a part must lately have been used by this node to be
-// copied to another store.
-const oftenUses = 3
+// frequentUses is the decayed number of uses at this node from which a part is
+// copied to a faster store.
+const frequentUses = 3
