--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -165,18 +165,18 @@
 	},
 	{
 		"fair queues", "pkg/route/admission.go",
-		"		q.finish = max(q.finish, a.virtual) + p.cost/q.Share", "		q.finish = 0",
+		"		q.virtualFinish = max(q.virtualFinish, a.virtualTime) + ticket.cost/q.Share", "		q.virtualFinish = 0",
 		"./pkg/route", "TestLargeOrganisationDoesNotStarveSmallOnes",
 	},
 	{
 		"links are not booked twice", "pkg/route/links.go",
-		"		s.busy = s.busy.Add(k.reserved[i])\n", "",
+		"		s.busyUntil = s.busyUntil.Add(booking.reserved[i])\n", "",
 		"./pkg/route", "TestLinksAreNotOverbooked",
 	},
 	{
 		"no news of a replica is not no load", "pkg/route/fleet.go",
 		"	if polled := f.polled[model]; len(polled) > 0 {", "	if polled := f.polled[model]; false && len(polled) > 0 {",
-		"./pkg/route", "TestPlaceDoesNotTakeNoNewsForNoLoad",
+		"./pkg/route", "TestReplicasWithoutReportsAreNotTakenForIdle",
 	},
 	{
 		"weights are swapped in waves", "service/node/reconcile.go",
@@ -191,7 +191,7 @@
 	{
 		"the first token comes within the patience", "pkg/route/estimator.go",
 		"		if all[i].FirstToken() > fastest+p.weights.Patience {", "		if false && all[i].FirstToken() > fastest+p.weights.Patience {",
-		"./pkg/route", "TestPlaceIsPatientOnlySoLong",
+		"./pkg/route", "TestFirstTokenComesWithinPatience",
 	},
 	{
 		"suspects: the fingerprint covers the organisation", "pkg/site/fingerprint.go",
--- a/pkg/route/booking.go
+++ b/pkg/route/booking.go
@@ -38,10 +38,10 @@
 	elapsed := now.Sub(b.startedAt)
 	for i, name := range b.linkNames {
 		link := b.links.get(name)
-		delete(link.open, b)
+		delete(link.bookings, b)
 		// Release what is left of the reservation.
 		if unused := b.reserved[i] - elapsed; unused > 0 {
-			link.busy = link.busy.Add(-unused)
+			link.busyUntil = link.busyUntil.Add(-unused)
 		}
 		if moved == 0 {
 			continue
@@ -69,8 +69,8 @@
 // weight from 0 to 1; the caller holds the lock.
 func (s *linkState) learn(ratio, weight float64, now time.Time) {
 	lateness := min(maxLateness, max(0, 1/ratio-1))
-	s.late = s.late*s.memory(now)*(1-latenessWeight) + lateness*latenessWeight
+	s.meanLateness = s.meanLateness*s.observationWeight(now)*(1-latenessWeight) + lateness*latenessWeight
 	current := s.rate(now) / s.nominal
-	s.share = min(1, max(slowestShare, current*math.Pow(ratio, weight)))
-	s.observed = now
+	s.rateShare = min(1, max(minRateShare, current*math.Pow(ratio, weight)))
+	s.observedAt = now
 }
--- a/pkg/route/cold_test.go
+++ b/pkg/route/cold_test.go
@@ -82,7 +82,7 @@
 			if !ok {
 				availability := p.Availability(&PickInput{Model: "m", Tokens: 100}, now)
 				assert.Equal(t, availability.Excluded[ExcludedCold], 1)
-				assert.Assert(t, availability.RetryAfter >= minRetryAfter)
+				assert.Assert(t, availability.RetryAfter >= minUnavailableRetryAfter)
 				continue
 			}
 			sent = append(sent, now)
--- a/pkg/route/exclusion.go
+++ b/pkg/route/exclusion.go
@@ -178,14 +178,14 @@
 		}
 	}
 	if known {
-		a.RetryAfter = max(minRetryAfter, wait) + rand.N(retryAfterSpread)
+		a.RetryAfter = max(minUnavailableRetryAfter, wait) + rand.N(retryAfterSpread)
 	}
 	return a
 }
 
 const (
-	// minRetryAfter is the least delay, and retryAfterSpread the random addition to it,
+	// minUnavailableRetryAfter is the least delay, and retryAfterSpread the random addition to it,
 	// after which a request that no replica takes now is to be retried.
-	minRetryAfter    = 250 * time.Millisecond
-	retryAfterSpread = 500 * time.Millisecond
+	minUnavailableRetryAfter = 250 * time.Millisecond
+	retryAfterSpread         = 500 * time.Millisecond
 )
--- a/pkg/route/in_flight_request.go
+++ b/pkg/route/in_flight_request.go
@@ -107,7 +107,7 @@
 		m.pendingTokens[r.priorityBand] -= r.tokens
 	}
 	if o == OutcomeOK && r.memory > 0 {
-		p.memory.note(r.memory, now.Sub(r.startedAt))
+		p.memory.record(r.memory, now.Sub(r.startedAt))
 	}
 	if o == OutcomeOK && r.tokens == 0 {
 		p.meanRequestTime += time.Duration(learnWeight * float64(now.Sub(r.startedAt)-p.meanRequestTime))
--- a/pkg/route/plan.go
+++ b/pkg/route/plan.go
@@ -19,13 +19,13 @@
 	FetchTime time.Duration
 
 	index        *CacheIndex
-	fetchLinks   []*keptLink // Links over which something is fetched.
+	fetchLinks   []*fetchLink // Links over which something is fetched.
 	plannedSaves []plannedSave
 }
 
 // plannedSave is a part that is to be saved at a store.
 type plannedSave struct {
-	store *keptStore
+	store *indexedStore
 	key   partKey
 }
 
@@ -47,7 +47,7 @@
 	p.index.mu.Lock()
 	defer p.index.mu.Unlock()
 	for _, s := range p.plannedSaves {
-		delete(s.store.saving, s.key)
+		delete(s.store.pendingSaves, s.key)
 	}
 }
 
@@ -61,11 +61,11 @@
 	defer p.index.mu.Unlock()
 	for _, l := range p.fetchLinks {
 		if excess < 0 {
-			l.own.Early++
-			l.shift(-1, now)
+			l.tally.Early++
+			l.adjustLateness(-1, now)
 		} else {
-			l.own.Late++
-			l.shift(1, now)
+			l.tally.Late++
+			l.adjustLateness(1, now)
 		}
 	}
 }
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -33,7 +33,7 @@
 	// meanLatencyRatio is the mean of actual over expected time to the first byte, over
 	// all replicas.
 	meanLatencyRatio float64
-	memory           memoryUse
+	memory           memoryUsage
 	engineMemory     int // Memory of one engine, in tokens; 0 if unknown.
 	// coldLimit is the number of requests a second that a cold replica may get from all
 	// nodes, if hasColdLimit is set; coldShares returns this node's share of it.
--- a/pkg/route/pool_estimate.go
+++ b/pkg/route/pool_estimate.go
@@ -84,7 +84,7 @@
 	prefill := float64(m.tokensAhead(in)) * p.secondsPerToken
 	slots := 0.0
 	if over := running + 1 - float64(m.Slots); m.Slots > 0 && over > 0 {
-		slots = over / float64(m.Slots) * p.memory.hold()
+		slots = over / float64(m.Slots) * p.memory.meanHoldSeconds()
 	}
 	return (prefill+running*runningRequestCost.Seconds())*latencyRatio + slots + p.memoryWait(m, in.Memory) + p.overdueSeconds(m, now)
 }
@@ -107,7 +107,7 @@
 
 // tokensAhead is the number of tokens that a replica prefills before a prompt's own.
 func (m *member) tokensAhead(in *PickInput) int {
-	return m.pendingTokens.Plus(m.peerLoad.Tokens).upTo(bandOf(in.Priority))
+	return m.pendingTokens.Plus(m.peerLoad.Tokens).sumUpTo(bandOf(in.Priority))
 }
 
 // relativeLatency is the replica's latency ratio relative to the mean of the pool.
--- a/pkg/route/pool_views.go
+++ b/pkg/route/pool_views.go
@@ -34,7 +34,7 @@
 func (p *Pool) MedianWait(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	in := &PickInput{Priority: bands - 1, Memory: p.memory.mean()}
+	in := &PickInput{Priority: bandCount - 1, Memory: p.memory.meanTokens()}
 	var waits []float64
 	for _, m := range p.members {
 		if m.generalExclusion(now) == NotExcluded && !m.lastResort(now) {
