--- a/service/gateway/control_bench_test.go
+++ b/service/gateway/control_bench_test.go
@@ -22,7 +22,7 @@
 
 // newFleetNode returns what a node of a fleet keeps of the others, without sockets that
 // are used.
-func newFleetNode(b *testing.B, nodeCount, engines int) (*nodes, *holdings) {
+func newFleetNode(b *testing.B, nodeCount, engines int) (*nodes, *engineCacheFollower) {
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: "front-0", DataHall: "hall-0", State: control.MemberAlive, Link: 20}
 	k := route.NewCacheIndex()
@@ -54,7 +54,7 @@
 	n := &nodes{self: self, members: m, beliefs: bel, kept: k, log: log, loads: newLoads(), due: make(chan struct{}, 1), probes: probes}
 	client := peer.NewClient("key")
 	b.Cleanup(client.Close)
-	return n, newHoldings(nil, bel, k, m, client, self, new(replicaClock), log)
+	return n, newEngineCacheFollower(nil, bel, k, m, client, self, new(replicaClock), log)
 }
 
 func engineID(i int) string { return fmt.Sprintf("i-%08x", uint32(i)*2654435761) }
@@ -142,16 +142,16 @@
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
 			_, h := newFleetNode(b, size.nodes, size.engines)
-			h.rank(h.chooseEngines(h.beliefs.Snapshot()))
+			h.rankEngines(h.chooseEngines(h.state.Snapshot()))
 			var answers [][]byte
 			for batch := range 20 {
-				var a heldAnswer
+				var a cacheUpdatesAnswer
 				for i := range size.engines {
 					if _, wanted := h.ranked[engineID(i)]; !wanted {
 						continue
 					}
 					changes := []route.EngineCacheChange{{Part: route.PartHash(i*1000 + batch), Tokens: 3000}, {Part: route.PartHash(i*1000 + (batch+10)%20)}}
-					a.News = append(a.News, packHeld(route.EngineCacheUpdate{Engine: engineID(i), Changes: changes}))
+					a.Updates = append(a.Updates, packCacheUpdate(route.EngineCacheUpdate{Engine: engineID(i), Changes: changes}))
 				}
 				text, err := json.Marshal(a)
 				if err != nil {
@@ -162,11 +162,11 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for _, text := range answers[:10] {
-					var a heldAnswer
+					var a cacheUpdatesAnswer
 					if err := json.Unmarshal(text, &a); err != nil {
 						b.Fatal(err)
 					}
-					h.hear(a.News)
+					h.applyPacked(a.Updates)
 				}
 			}
 		})
@@ -179,11 +179,11 @@
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
 			n, _ := newFleetNode(b, size.nodes, size.engines)
-			r := newReaders(nil, n.self, n.members, nil, n.log)
+			r := newSharedReader(nil, n.self, n.members, nil, n.log)
 			b.ReportAllocs()
 			for b.Loop() {
 				r.reader(site.TableUpstreams)
-				r.mayBeAsked()
+				r.servesPeers()
 			}
 		})
 	}
--- a/service/gateway/holdings_test.go
+++ b/service/gateway/engine_caches_test.go
@@ -19,41 +19,41 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// tellingEngines is one engine whose events a test makes.
-type tellingEngines struct {
+// fakeEngine is one engine whose events a test makes.
+type fakeEngine struct {
 	Engines
 	mu     sync.Mutex
 	events []site.CacheChange
 	from   int64 // Events before it are no longer known.
-	silent bool
+	fail   bool
 	hang   bool // Calls are taken and not answered.
-	asked  int
+	calls  int
 }
 
-func (e *tellingEngines) tell(c ...site.CacheChange) {
+func (e *fakeEngine) add(c ...site.CacheChange) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.events = append(e.events, c...)
 }
 
-func (e *tellingEngines) set(change func()) {
+func (e *fakeEngine) set(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
 }
 
-func (e *tellingEngines) Changes(ctx context.Context, _ netip.AddrPort, since int64, _ time.Duration) (site.CacheChanges, error) {
+func (e *fakeEngine) Changes(ctx context.Context, _ netip.AddrPort, since int64, _ time.Duration) (site.CacheChanges, error) {
 	sleep(ctx, 5*time.Millisecond)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked++
+	e.calls++
 	if e.hang {
 		e.mu.Unlock()
 		<-ctx.Done()
 		e.mu.Lock()
 		return site.CacheChanges{}, ctx.Err()
 	}
-	if e.silent {
+	if e.fail {
 		return site.CacheChanges{}, errors.New("silent")
 	}
 	first := max(since, e.from)
@@ -62,23 +62,23 @@
 	}, nil
 }
 
-// newTestHoldings returns the part of a node that keeps up with one engine, in hall
+// newTestCacheFollower returns the part of a node that keeps up with one engine, in hall
 // "h", as a member of its hall beside others.
-func newTestHoldings(t *testing.T, name string, e Engines, others ...control.Member) *holdings {
+func newTestCacheFollower(t *testing.T, name string, e Engines, others ...control.Member) *engineCacheFollower {
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: name, DataHall: "h", State: control.MemberAlive}
-	k := route.NewCacheIndex()
-	b := NewSiteState(nil, "h", time.Second, k, log)
+	cache := route.NewCacheIndex()
+	state := NewSiteState(nil, "h", time.Second, cache, log)
 	engine := &site.Engine{PlannedFetch: true, MaxWatches: 4, TokenBytes: 1, LinkRate: 1e9, Capacity: 40_000}
-	b.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
-	b.upstreams["e"] = &upstreamEntry{Upstream: site.Upstream{ID: "e", Service: "llm", DataHall: "h", Weights: map[string]int64{"m": 1}}}
-	b.rebuild(time.Now())
-	m := control.NewMembers(self, time.Second, nil, newRand())
+	state.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
+	state.upstreams["e"] = &upstreamEntry{Upstream: site.Upstream{ID: "e", Service: "llm", DataHall: "h", Weights: map[string]int64{"m": 1}}}
+	state.rebuild(time.Now())
+	members := control.NewMembers(self, time.Second, nil, newRand())
 	for _, o := range others {
-		m.Merge([]control.Member{o}, time.Now())
+		members.Merge([]control.Member{o}, time.Now())
 	}
 	client := peer.NewClient("key")
-	h := newHoldings(e, b, k, m, client, self, new(replicaClock), log)
+	h := newEngineCacheFollower(e, state, cache, members, client, self, new(replicaClock), log)
 	t.Cleanup(func() {
 		h.close()
 		client.Close()
@@ -86,8 +86,8 @@
 	return h
 }
 
-func (h *holdings) holds(part string) bool {
-	c := h.kept.EngineContents("e")
+func (h *engineCacheFollower) holds(part string) bool {
+	c := h.cache.EngineContents("e")
 	for _, v := range c.Changes {
 		if v.Part == route.HashPart("m@1", part) && !c.Stale {
 			return true
@@ -111,42 +111,42 @@
 	return site.CacheChange{Realm: "m@1", Part: id, Tokens: tokens}
 }
 
-func TestEngineIsFollowedThroughSilenceAndGaps(t *testing.T) {
-	e := &tellingEngines{}
-	e.tell(part("a", 100), part("b", 100))
-	h := newTestHoldings(t, "n0", e)
+func TestEngineCacheAfterFailedCallsAndLostEvents(t *testing.T) {
+	engine := &fakeEngine{}
+	engine.add(part("a", 100), part("b", 100))
+	h := newTestCacheFollower(t, "n0", engine)
 	h.refresh(t.Context())
 	eventually(t, "both are held", func() bool { return h.holds("a") && h.holds("b") })
-	e.set(func() { e.silent = true })
+	engine.set(func() { engine.fail = true })
 	eventually(t, "nothing is taken for held", func() bool { return !h.holds("a") && !h.holds("b") })
-	e.tell(part("a", 0), part("c", 100))
-	e.set(func() { e.silent = false })
+	engine.add(part("a", 0), part("c", 100))
+	engine.set(func() { engine.fail = false })
 	eventually(t, "changes made meanwhile are known", func() bool { return !h.holds("a") && h.holds("b") && h.holds("c") })
 	// Events are lost: what was known of before may have been dropped meanwhile.
-	e.set(func() {
-		e.events = append(e.events, part("b", 0), part("d", 100))
-		e.from = int64(len(e.events)) - 1
+	engine.set(func() {
+		engine.events = append(engine.events, part("b", 0), part("d", 100))
+		engine.from = int64(len(engine.events)) - 1
 	})
 	eventually(t, "only what was told since is held", func() bool { return !h.holds("b") && !h.holds("c") && h.holds("d") })
 }
 
 // A call that was under way when the machine was suspended may never be answered: the engine
 // is asked anew on waking, and what it dropped meanwhile is known.
-func TestEngineIsFollowedAnewAfterASuspension(t *testing.T) {
-	e := &tellingEngines{}
-	e.tell(part("a", 100), part("b", 100))
-	h := newTestHoldings(t, "n0", e)
+func TestEngineIsAskedAgainAfterSuspension(t *testing.T) {
+	engine := &fakeEngine{}
+	engine.add(part("a", 100), part("b", 100))
+	h := newTestCacheFollower(t, "n0", engine)
 	h.refresh(t.Context())
 	eventually(t, "both are held", func() bool { return h.holds("a") && h.holds("b") })
-	asked := 0
-	e.set(func() { e.hang, asked = true, e.asked })
+	before := 0
+	engine.set(func() { engine.hang, before = true, engine.calls })
 	eventually(t, "a call is under way", func() bool {
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		return e.asked > asked
+		engine.mu.Lock()
+		defer engine.mu.Unlock()
+		return engine.calls > before
 	})
-	e.tell(part("a", 0))
-	e.set(func() { e.hang = false })
+	engine.add(part("a", 0))
+	engine.set(func() { engine.hang = false })
 	time.Sleep(50 * time.Millisecond)
 	assert.Assert(t, h.holds("a"), "the call still hangs")
 	h.restart()
@@ -154,62 +154,62 @@
 }
 
 // The other nodes of a hall ask its teller, at which the engine's events come once.
-func TestHallIsToldByOneNode(t *testing.T) {
-	e := &tellingEngines{}
-	e.tell(part("a", 100))
-	teller := newTestHoldings(t, "n0", e)
+func TestRelayPassesEngineEventsToHall(t *testing.T) {
+	engine := &fakeEngine{}
+	engine.add(part("a", 100))
+	relay := newTestCacheFollower(t, "n0", engine)
 	log := slog.New(slog.DiscardHandler)
 	server, err := peer.NewServer(netip.MustParseAddrPort("127.0.0.1:0"), map[peer.Role]string{peer.RolePeer: "key"}, log)
 	assert.NilError(t, err)
-	server.Handle(peer.RolePeer, methodHeld, teller.serve)
+	server.Handle(peer.RolePeer, methodCacheUpdates, relay.serve)
 	server.Start()
 	t.Cleanup(server.Close)
-	wantTold := toldBy(t, server.Addr())
-	teller.refresh(t.Context())
-	wantTold.refresh(t.Context())
-	eventually(t, "what is held is told on", func() bool { return wantTold.holds("a") })
-	e.tell(part("a", 0), part("b", 100))
-	eventually(t, "changes are told on", func() bool { return !wantTold.holds("a") && wantTold.holds("b") })
+	asker := toldBy(t, server.Addr())
+	relay.refresh(t.Context())
+	asker.refresh(t.Context())
+	eventually(t, "what is held is told on", func() bool { return asker.holds("a") })
+	engine.add(part("a", 0), part("b", 100))
+	eventually(t, "changes are told on", func() bool { return !asker.holds("a") && asker.holds("b") })
 	server.Close()
-	eventually(t, "a lost teller's word is no longer used", func() bool { return !wantTold.holds("b") })
+	eventually(t, "a lost teller's word is no longer used", func() bool { return !asker.holds("b") })
 }
 
 // Whoever asks for news that are no longer kept is told all instead.
-func TestOldNewsAreReplacedByAllThatIsHeld(t *testing.T) {
-	h := newTestHoldings(t, "n0", &tellingEngines{})
-	h.rank(h.chooseEngines(h.beliefs.Snapshot()))
-	h.told = time.Now() // By a node that asked.
-	for i := range 2 * heldMostKept {
-		h.take(heldOf("e", i == 0, site.CacheChanges{Changes: []site.CacheChange{part(fmt.Sprint(i%7), 100)}}))
+func TestRequestForOldUpdatesGetsFullContents(t *testing.T) {
+	h := newTestCacheFollower(t, "n0", &fakeEngine{})
+	h.rankEngines(h.chooseEngines(h.state.Snapshot()))
+	h.lastAsked = time.Now() // By a node that asked.
+	for i := range 2 * maxLoggedUpdates {
+		h.apply(newCacheUpdate("e", i == 0, site.CacheChanges{Changes: []site.CacheChange{part(fmt.Sprint(i%7), 100)}}))
 	}
-	ask := func(q heldRequest) heldAnswer {
+	ask := func(q cacheUpdatesRequest) cacheUpdatesAnswer {
 		text, err := json.Marshal(q)
 		assert.NilError(t, err)
 		a, err := h.serve(t.Context(), text)
 		assert.NilError(t, err)
-		return a.(heldAnswer)
+		return a.(cacheUpdatesAnswer)
 	}
-	for _, q := range []heldRequest{{}, {Epoch: h.news.epoch, From: 5}, {Epoch: h.news.epoch, From: 1 << 40}} {
+	for _, q := range []cacheUpdatesRequest{{}, {Epoch: h.updates.epoch, From: 5}, {Epoch: h.updates.epoch, From: 1 << 40}} {
 		q.Halls = []string{"h"}
 		a := ask(q)
-		assert.Equal(t, len(a.News), 1)
-		assert.Assert(t, a.News[0].Whole)
-		c, err := a.News[0].unpack()
+		assert.Equal(t, len(a.Updates), 1)
+		assert.Assert(t, a.Updates[0].Full)
+		c, err := a.Updates[0].unpack()
 		assert.NilError(t, err)
 		assert.Equal(t, len(c.Changes), 7)
 	}
-	a := ask(heldRequest{Epoch: h.news.epoch, From: h.news.next - 3, Halls: []string{"h"}})
-	assert.Equal(t, len(a.News), 3)
-	assert.Equal(t, len(ask(heldRequest{Halls: []string{"other"}}).News), 0)
+	a := ask(cacheUpdatesRequest{Epoch: h.updates.epoch, From: h.updates.next - 3, Halls: []string{"h"}})
+	assert.Equal(t, len(a.Updates), 3)
+	assert.Equal(t, len(ask(cacheUpdatesRequest{Halls: []string{"other"}}).Updates), 0)
 }
 
-func TestNewsOfHeldStateSurviveTheWire(t *testing.T) {
+func TestPackedCacheUpdateRoundTrip(t *testing.T) {
 	c := route.EngineCacheUpdate{Engine: "e", Full: true, Changes: []route.EngineCacheChange{{Part: 1, Tokens: 0}, {Part: 1 << 63, Tokens: 30_000}}}
-	got, err := packHeld(c).unpack()
+	got, err := packCacheUpdate(c).unpack()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, c)
 	for _, bad := range [][]byte{{1}, make([]byte, 8), append(make([]byte, 8), 0x80)} {
-		_, err := heldNews{Engine: "e", Changes: bad}.unpack()
+		_, err := packedCacheUpdate{Engine: "e", Changes: bad}.unpack()
 		assert.Assert(t, err != nil)
 	}
 }
--- a/service/gateway/follow_test.go
+++ b/service/gateway/follow_test.go
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var away, whole atomic.Int64
 	f := &follower{
-		store: &forgetfulStore{}, table: site.TableUpstreams, name: "upstreams", hold: readerHold,
+		store: &forgetfulStore{}, table: site.TableUpstreams, name: "upstreams", hold: storePollWait,
 		apply: func(_ []site.Row, all bool, _ time.Time) {
 			if all && whole.Add(1) == 1 {
 				time.AfterFunc(50*time.Millisecond, cancel)
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -66,10 +66,10 @@
 	nodes      *nodes
 	peers      *peer.Server
 	client     *peer.Client
-	readers    *readers
-	watchers   *watchers
-	stores     *stores
-	holdings   *holdings
+	readers    *sharedReader
+	watchers   *storeEventRelay
+	stores     *kvStoreFollower
+	holdings   *engineCacheFollower
 	suspects   *suspects.Suspects
 	rateLimits *ratelimit.Limits
 	rollout    *rollout.Rollout
@@ -202,7 +202,7 @@
 	g.every(expireEvery, func(context.Context) { g.beliefs.Expire(boottime.Now()) })
 	g.every(watchEvery, g.stores.refresh)
 	g.every(watchEvery, g.holdings.refresh)
-	g.every(freeEvery, g.stores.free)
+	g.every(freeInterval, g.stores.freeUnused)
 	g.every(rollout.StepInterval, g.rollout.Step)
 	g.every(watchEvery, g.shareBudgets)
 	g.every(suspects.StepInterval, g.suspects.Step)
--- a/service/gateway/grown_configuration_test.go
+++ b/service/gateway/grown_configuration_test.go
@@ -27,7 +27,7 @@
 	// and one more, so that the links are measured and not the processor that the
 	// nodes of a test share.
 	grownNodes = 20
-	fewNodes   = directMost + 2
+	fewNodes   = maxDirectNodes + 2
 	// narrowMbit and wideMbit are the rates of nodes' links in Mbit/s: the store's
 	// answer with 5,640 routes takes a narrow one 1.9 s, a wide one 0.1 s.
 	narrowMbit = 10.0 / grownScale
@@ -131,7 +131,7 @@
 	client  *peer.Client
 	store   Store
 	members *control.Members
-	readers *readers
+	readers *sharedReader
 	beliefs *SiteState
 
 	mu      sync.Mutex
@@ -192,8 +192,8 @@
 	}
 	n.store = platform.NewStore(h.links.connect(h.t, n.link, nil, h.store.Addr()))
 	n.members = control.NewMembers(n.member, time.Second, nil, rand.New(rand.NewPCG(1, 2)))
-	n.readers = newReaders(n.store, n.member, n.members, n.client, log)
-	server.Handle(peer.RolePeer, methodChanges, n.readers.serve)
+	n.readers = newSharedReader(n.store, n.member, n.members, n.client, log)
+	server.Handle(peer.RolePeer, methodTableChanges, n.readers.serve)
 	return n
 }
 
@@ -336,7 +336,7 @@
 
 // begin has the node know what it has read before.
 func (n *grownNode) begin(f *follower, l site.Listing) {
-	n.readers.take(changesRequest{Table: site.TableOperator, Whole: true}, l, true)
+	n.readers.apply(changesRequest{Table: site.TableOperator, Whole: true}, l, true)
 	f.apply(l.Rows, true, time.Now())
 	f.version, f.listed = l.Version, true
 }
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -138,7 +138,7 @@
 // audience are the nodes that this one tells its state: all others of its hall,
 // or the speaker of a large one.
 func (n *nodes) audience(peers []netip.AddrPort) []netip.AddrPort {
-	if len(peers) < directMost {
+	if len(peers) < maxDirectNodes {
 		return peers
 	}
 	speaker, ok := n.speakers()[n.self.DataHall]
@@ -242,7 +242,7 @@
 func (n *nodes) speak() int {
 	speakers := n.speakers()
 	var others []netip.AddrPort
-	if peers := n.inHall(n.self.DataHall); len(peers) >= directMost {
+	if peers := n.inHall(n.self.DataHall); len(peers) >= maxDirectNodes {
 		others = peers
 	}
 	for hall, m := range speakers {
--- a/service/gateway/news.go
+++ b/service/gateway/news.go
@@ -138,7 +138,7 @@
 // newsAudience are the nodes that are told news by this one: all of small halls, and
 // of each large one a node that tells the others, another one at each try.
 func (n *nodes) newsAudience(try int) (direct, relays []netip.AddrPort) {
-	return n.members.View().Recipients(n.self.Name, directMost, newsDuty, try)
+	return n.members.View().Recipients(n.self.Name, maxDirectNodes, newsDuty, try)
 }
 
 // hearNews takes in another node's news, and tells them on if it is asked to.
--- a/service/gateway/nodes_test.go
+++ b/service/gateway/nodes_test.go
@@ -23,7 +23,7 @@
 	self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1}
 	m := control.NewMembers(self, time.Second, nil, rand.New(rand.NewPCG(1, 2)))
 	m.Merge([]control.Member{{Name: "n1", DataHall: "h", Incarnation: 1}}, time.Now())
-	store := &tableStore{fail: true}
+	store := &fakeTableStore{fail: true}
 	var logged bytes.Buffer
 	n := &nodes{
 		self: self, members: m, store: store, announced: true, shares: newColdShares(self, m),
@@ -59,7 +59,7 @@
 	n := newsFleet(3)
 	before := slices.Clone(n.members.Working())
 	n.members.Merge([]control.Member{{Name: "a-1", DataHall: "a", Incarnation: 1, State: control.MemberSuspect}}, time.Now())
-	assert.Equal(t, len(alive(n.members)), len(before)-1)
+	assert.Equal(t, len(aliveMembers(n.members)), len(before)-1)
 	var names []string
 	for _, m := range n.members.Working() {
 		names = append(names, m.Name)
--- a/service/gateway/told_test.go
+++ b/service/gateway/packed_rows_test.go
@@ -36,7 +36,7 @@
 	return b.Bytes()
 }
 
-func TestRowsSurviveThePacking(t *testing.T) {
+func TestPackedRowsRoundTrip(t *testing.T) {
 	rows := func(values ...[]byte) (list []site.Row) {
 		for i, v := range values {
 			list = append(list, site.Row{Key: fmt.Sprint("k", i), Version: int64(i + 1), Value: v})
@@ -64,9 +64,9 @@
 		{"over the window", rows(large), append([]byte("x"), large...)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			told, err := packRows(c.rows, rowRef{Key: "k0", Version: 1}, c.base)
+			packed, err := packRows(c.rows, rowRef{Key: "k0", Version: 1}, c.base)
 			assert.NilError(t, err)
-			got, err := told.unpack(c.base)
+			got, err := packed.unpack(c.base)
 			assert.NilError(t, err)
 			assert.Equal(t, len(got), len(c.rows))
 			for i := range got {
@@ -80,7 +80,7 @@
 }
 
 // What is told grows with what has changed, not with the whole.
-func TestWhatIsToldGrowsWithTheChange(t *testing.T) {
+func TestPackedSizeGrowsWithTheChange(t *testing.T) {
 	size := func(n, more int) int {
 		told, err := packRows([]site.Row{{Key: "c", Version: 2, Value: routesText(2, n+more)}}, rowRef{Key: "c", Version: 1}, routesText(1, n))
 		assert.NilError(t, err)
@@ -98,36 +98,36 @@
 
 // Rows that were packed against a value which this node lacks, or has otherwise, are
 // an error and not other rows.
-func TestRowsPackedAgainstAnotherBaseAreAnError(t *testing.T) {
-	told, err := packRows([]site.Row{{Key: "c", Version: 2, Value: routesText(2, 500)}}, rowRef{Key: "c", Version: 1}, routesText(1, 400))
+func TestUnpackWithWrongBaseFails(t *testing.T) {
+	packed, err := packRows([]site.Row{{Key: "c", Version: 2, Value: routesText(2, 500)}}, rowRef{Key: "c", Version: 1}, routesText(1, 400))
 	assert.NilError(t, err)
-	_, err = told.unpack(nil)
+	_, err = packed.unpack(nil)
 	assert.ErrorIs(t, err, errNoBase)
 	other := routesText(1, 400)
 	other[2000] ^= 1
-	_, err = told.unpack(other)
+	_, err = packed.unpack(other)
 	assert.Assert(t, err != nil)
-	told.Data[len(told.Data)/2] ^= 1
-	_, err = told.unpack(routesText(1, 400))
+	packed.Data[len(packed.Data)/2] ^= 1
+	_, err = packed.unpack(routesText(1, 400))
 	assert.Assert(t, err != nil)
 }
 
 func TestFormerValuesAreBounded(t *testing.T) {
 	var f formerValues
-	for v := range int64(basesKept + 3) {
-		f = f.add(site.Row{Version: v, Value: make([]byte, baseLeast)})
+	for v := range int64(maxFormerValues + 3) {
+		f = f.add(site.Row{Version: v, Value: make([]byte, minBaseSize)})
 	}
-	assert.Equal(t, len(f), basesKept)
-	assert.Assert(t, f.find(basesKept+2) != nil)
+	assert.Equal(t, len(f), maxFormerValues)
+	assert.Assert(t, f.find(maxFormerValues+2) != nil)
 	assert.Assert(t, f.find(0) == nil)
-	f = f.add(site.Row{Version: 100, Value: make([]byte, basesBytes-baseLeast)})
+	f = f.add(site.Row{Version: 100, Value: make([]byte, maxFormerBytes-minBaseSize)})
 	assert.Equal(t, len(f), 2)
-	f = f.add(site.Row{Version: 101, Value: make([]byte, basesBytes+1)})
+	f = f.add(site.Row{Version: 101, Value: make([]byte, maxFormerBytes+1)})
 	assert.Equal(t, len(f), 0)
 }
 
 // One answer to a node, by how many routes there are; "told" is its size.
-func BenchmarkTold(b *testing.B) {
+func BenchmarkPackRows(b *testing.B) {
 	for _, n := range []int{100, 1000, 5600, 20_000} {
 		for _, c := range []struct {
 			name string
@@ -139,19 +139,19 @@
 			{"whole", 0, nil},
 		} {
 			rows := []site.Row{{Key: "c", Version: 2, Value: routesText(2, n+c.more)}}
-			told, err := packRows(rows, rowRef{Key: "c", Version: 1}, c.base)
+			packed, err := packRows(rows, rowRef{Key: "c", Version: 1}, c.base)
 			assert.NilError(b, err)
 			b.Run(fmt.Sprintf("pack/%s/%d", c.name, n), func(b *testing.B) {
 				for b.Loop() {
 					_, err := packRows(rows, rowRef{Key: "c", Version: 1}, c.base)
 					assert.NilError(b, err)
 				}
-				b.ReportMetric(float64(len(told.Data)), "told")
+				b.ReportMetric(float64(len(packed.Data)), "told")
 				b.ReportMetric(float64(len(rows[0].Value)), "value")
 			})
 			b.Run(fmt.Sprintf("unpack/%s/%d", c.name, n), func(b *testing.B) {
 				for b.Loop() {
-					_, err := told.unpack(c.base)
+					_, err := packed.unpack(c.base)
 					assert.NilError(b, err)
 				}
 			})
@@ -161,7 +161,7 @@
 
 // Whatever another node sends, it is an error or rows: a node that has been upgraded, or
 // a fault in its memory, must not end this one.
-func FuzzToldRows(f *testing.F) {
+func FuzzUnpackRows(f *testing.F) {
 	const (
 		mutants = 400 // Of each seed, so that tests without -fuzz see some.
 		most    = 4   // Bytes that differ.
@@ -175,7 +175,7 @@
 	plain, err := packRows([]site.Row{{Key: "c", Version: 2, Value: []byte("abcdefgh")}}, rowRef{}, nil)
 	assert.NilError(f, err)
 	rng := rand.New(rand.NewPCG(1, 2))
-	for _, t := range []toldRows{against, packed, plain} {
+	for _, t := range []packedRows{against, packed, plain} {
 		hasBase := t.Base != rowRef{}
 		f.Add(t.Data, t.Packed, hasBase)
 		for range mutants {
@@ -187,7 +187,7 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte, packed, hasBase bool) {
-		told, known := toldRows{Data: data, Packed: packed}, []byte(nil)
+		told, known := packedRows{Data: data, Packed: packed}, []byte(nil)
 		if hasBase {
 			told.Base, known = rowRef{Key: "c", Version: 1}, base
 		}
--- a/service/gateway/reader_serve.go
+++ b/service/gateway/reader_serve.go
@@ -18,50 +18,50 @@
 	After  int64      `json:"after"`
 	WaitMS int64      `json:"wait_ms"`
 	Whole  bool       `json:"whole"`
-	// Detour says that the node that asks does not reach the store, so that
+	// StoreUnreachable says that the node that asks does not reach the store, so that
 	// older knowledge serves as well.
-	Detour bool `json:"detour"`
-	// Have is a large value that the node that asks has already.
-	Have rowRef `json:"have,omitzero"`
+	StoreUnreachable bool `json:"detour"`
+	// HaveRef is a large value that the node that asks has already.
+	HaveRef rowRef `json:"have,omitzero"`
 
-	have []byte // That value.
+	haveValue []byte // That value.
 }
 
-// oldest is the age from which on an answer is not used.
-func (q changesRequest) oldest() time.Duration {
-	if q.Detour {
-		return detourAge
+// maxAge is the age from which on an answer is not used.
+func (q changesRequest) maxAge() time.Duration {
+	if q.StoreUnreachable {
+		return outageMaxAge
 	}
-	return readerAge
+	return maxReaderAge
 }
 
 type changesAnswer struct {
-	Rows    toldRows `json:"rows,omitzero"`
-	Version int64    `json:"version"`
-	AgeMS   int64    `json:"age_ms"`
-	// Gone says that changes since the version asked for are not known here.
-	Gone bool `json:"gone"`
+	Rows    packedRows `json:"rows,omitzero"`
+	Version int64      `json:"version"`
+	AgeMS   int64      `json:"age_ms"`
+	// HistoryGone says that changes since the version asked for are not known here.
+	HistoryGone bool `json:"gone"`
 }
 
 // serve answers a node that asks; it waits for changes as the store does.
-func (r *readers) serve(ctx context.Context, params json.RawMessage) (any, error) {
+func (r *sharedReader) serve(ctx context.Context, params json.RawMessage) (any, error) {
 	var q changesRequest
 	if err := json.Unmarshal(params, &q); err != nil {
 		return nil, eris.Wrap(err, "bad parameters")
 	}
-	end := time.After(min(askHold, time.Duration(q.WaitMS)*time.Millisecond))
-	r.refresh(ctx, q)
+	end := time.After(min(readerPollWait, time.Duration(q.WaitMS)*time.Millisecond))
+	r.refreshFromStore(ctx, q)
 	for {
-		a, changed, until, err := r.answer(q)
+		a, changed, trustedUntil, err := r.answer(q)
 		if err != nil {
 			return nil, err
 		}
-		if q.Whole || a.Gone || len(a.Rows.Data) > 0 || !boottime.Now().Before(until) {
+		if q.Whole || a.HistoryGone || len(a.Rows.Data) > 0 || !boottime.Now().Before(trustedUntil) {
 			return a, nil
 		}
 		select {
 		case <-changed:
-		case <-time.After(boottime.Until(until)): // The node that asks is to ask another.
+		case <-time.After(boottime.Until(trustedUntil)): // The node that asks is to ask another.
 		case <-end:
 			a, _, _, err = r.answer(q)
 			return a, err
@@ -71,34 +71,34 @@
 	}
 }
 
-// refresh has this node ask the store itself, if it is asked for a table of which it
+// refreshFromStore has this node ask the store itself, if it is asked for a table of which it
 // has not heard lately: another reader has failed, or this node has just started.
 // Turned away instead, a hall would go to the store node by node.
-func (r *readers) refresh(ctx context.Context, q changesRequest) {
-	end := time.After(refreshTime)
+func (r *sharedReader) refreshFromStore(ctx context.Context, q changesRequest) {
+	end := time.After(refreshTimeout)
 	for {
 		r.mu.Lock()
-		x := r.tableAt(q.Table)
-		whole, after, asking := x.rows == nil, x.version, x.asking
-		age, _ := x.age(boottime.Now(), r.store.LastLargeResponse(), q.oldest())
-		fresh := !whole && age <= q.oldest()
-		lost := !r.detours[q.Table].lost.IsZero() || boottime.Since(x.refused) < refreshPause
-		var turn chan struct{}
-		if !fresh && !lost && asking == nil {
-			turn = make(chan struct{})
-			x.asking, x.askedAt = turn, boottime.Now()
+		x := r.table(q.Table)
+		whole, after, inFlight := x.rows == nil, x.version, x.storeCall
+		age, _ := x.age(boottime.Now(), r.store.LastLargeResponse(), q.maxAge())
+		fresh := !whole && age <= q.maxAge()
+		skip := !r.outages[q.Table].since.IsZero() || boottime.Since(x.storeFailedAt) < refreshPause
+		var ownCall chan struct{}
+		if !fresh && !skip && inFlight == nil {
+			ownCall = make(chan struct{})
+			x.storeCall, x.storeCallAt = ownCall, boottime.Now()
 		}
 		r.mu.Unlock()
 		switch {
-		case fresh, lost:
+		case fresh, skip:
 			return
-		case turn != nil:
-			defer close(turn)
-			ctx, cancel := context.WithTimeout(ctx, refreshTime)
+		case ownCall != nil:
+			defer close(ownCall)
+			ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 			defer cancel()
-			_, err := r.own(ctx, changesRequest{Table: q.Table, Whole: whole, After: after}, 0)
+			_, err := r.readStore(ctx, changesRequest{Table: q.Table, Whole: whole, After: after}, 0)
 			if errors.Is(err, site.ErrHistoryGone) {
-				_, err = r.own(ctx, changesRequest{Table: q.Table, Whole: true}, 0)
+				_, err = r.readStore(ctx, changesRequest{Table: q.Table, Whole: true}, 0)
 			}
 			if err != nil {
 				r.log.Warn("store read for peer failed", "table", tableName(q.Table), "err", err)
@@ -106,7 +106,7 @@
 			return
 		}
 		select {
-		case <-asking:
+		case <-inFlight:
 		case <-end:
 			return
 		case <-ctx.Done():
@@ -117,21 +117,21 @@
 
 // answer is what is known of a table, and until when that is trusted; the error is
 // errReaderBehind if that is not enough to answer.
-func (r *readers) answer(q changesRequest) (a changesAnswer, changed chan struct{}, until time.Time, err error) {
+func (r *sharedReader) answer(q changesRequest) (a changesAnswer, changed chan struct{}, trustedUntil time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x := r.tables[q.Table]
 	if x == nil || x.rows == nil {
-		return a, nil, until, errReaderBehind
+		return a, nil, trustedUntil, errReaderBehind
 	}
-	age, until := x.age(boottime.Now(), r.store.LastLargeResponse(), q.oldest())
+	age, trustedUntil := x.age(boottime.Now(), r.store.LastLargeResponse(), q.maxAge())
 	// Rounded down, an age just over the bound was within it: a reader that had been cut
 	// off was asked for another second.
 	ageMS := (age + time.Millisecond - 1).Milliseconds()
-	a = changesAnswer{Version: x.version, AgeMS: ageMS, Gone: !q.Whole && q.After < x.base}
-	if a.Gone {
-		return a, x.changed, until, nil
+	a = changesAnswer{Version: x.version, AgeMS: ageMS, HistoryGone: !q.Whole && q.After < x.historyStart}
+	if a.HistoryGone {
+		return a, x.changed, trustedUntil, nil
 	}
-	a.Rows, err = x.tell(q)
-	return a, x.changed, until, err
+	a.Rows, err = x.packFor(q)
+	return a, x.changed, trustedUntil, err
 }
--- a/service/gateway/silence_test.go
+++ b/service/gateway/silence_test.go
@@ -44,33 +44,33 @@
 // callTime is by when a call that is held by another node for a second must have ended
 // once its connection is silent, and one on a new connection have been answered, with
 // 3 s for a machine that has other things to do.
-const callTime = heldWait + readerSlack + heldRetry + 3*time.Second
+const callTime = cachePollWait + answerSlack + cachePollRetry + 3*time.Second
 
 // What engines hold is told on one connection between two nodes. After it went silent,
 // the node that was told had nothing of that hall's engines for good.
 func TestTellerIsHeardAgainAfterItsConnectionWentSilent(t *testing.T) {
 	eachWay(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
-		e := &tellingEngines{}
-		e.tell(part("a", 100))
-		teller := newTestHoldings(t, "n0", e)
-		p := serveBehind(t, methodHeld, teller.serve)
+		e := &fakeEngine{}
+		e.add(part("a", 100))
+		teller := newTestCacheFollower(t, "n0", e)
+		p := serveBehind(t, methodCacheUpdates, teller.serve)
 		told := toldBy(t, p.Addr())
 		teller.refresh(t.Context())
 		told.refresh(t.Context())
 		eventually(t, "what is held is told on", func() bool { return told.holds("a") })
 		silence(p)
 		begun := time.Now()
-		e.tell(part("b", 100))
+		e.add(part("b", 100))
 		eventually(t, "changes are told on", func() bool { return told.holds("b") })
 		assert.Assert(t, time.Since(begun) < callTime, "%v", time.Since(begun))
 	})
 }
 
 // toldBy returns a node that is told what engines hold by the node at addr.
-func toldBy(t *testing.T, addr netip.AddrPort) *holdings {
+func toldBy(t *testing.T, addr netip.AddrPort) *engineCacheFollower {
 	for i := range 20 { // Find a name for which the teller is not the node itself.
 		owner := control.Member{Name: "n0", DataHall: "h", State: control.MemberAlive, Peer: addr, Incarnation: 1}
-		told := newTestHoldings(t, fmt.Sprintf("told%d", i), nil, owner)
+		told := newTestCacheFollower(t, fmt.Sprintf("told%d", i), nil, owner)
 		if from, ok := told.source("h"); ok && from == addr {
 			return told
 		}
@@ -85,24 +85,24 @@
 	eachWay(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		h := newTestHall(t)
 		h.store.add("a")
-		h.read(t)
+		h.readStore(t)
 		h.store.add("b")
 		_, err := h.reader.Changes(t.Context(), site.TableUpstreams, 1, 0)
 		assert.NilError(t, err)
 		changes := func() {
 			t.Helper()
 			begun := time.Now()
-			l, err := h.asker.Changes(t.Context(), site.TableUpstreams, 1, readerHold)
+			l, err := h.asker.Changes(t.Context(), site.TableUpstreams, 1, storePollWait)
 			assert.NilError(t, err)
 			assert.Equal(t, len(l.Rows), 1)
 			assert.Assert(t, time.Since(begun) < callTime)
 		}
 		changes()
-		silence(h.way)
+		silence(h.proxy)
 		before := h.store.count()
 		changes()
 		assert.Equal(t, h.store.count(), before+1)
-		h.trust()
+		h.clearSkipped()
 		changes()
 		assert.Equal(t, h.store.count(), before+1, "the reader is asked again")
 	})
@@ -111,22 +111,22 @@
 // A store's events are told on by the node that follows it.
 func TestWatcherIsHeardAgainAfterItsConnectionWentSilent(t *testing.T) {
 	eachWay(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
-		follows := newWatchers(nil, control.Member{}, nil, nil)
+		follows := newStoreEventRelay(nil, control.Member{}, nil, nil)
 		batch := site.CacheChanges{Boot: 1, Next: 10, Changes: []site.CacheChange{{Realm: "r", Part: "a", Tokens: 1}}}
-		follows.keep("s", 0, batch)
-		p := serveBehind(t, methodEvents, follows.serve)
+		follows.record("s", 0, batch)
+		p := serveBehind(t, methodStoreEvents, follows.serve)
 		self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1, Link: 10}
 		other := control.Member{Name: "n1", DataHall: "h", Incarnation: 1, Link: 200, Peer: p.Addr()}
 		m := control.NewMembers(self, time.Second, nil, newRand())
 		m.Merge([]control.Member{other}, time.Now())
 		client := peer.NewClient("key")
 		t.Cleanup(client.Close)
-		asks := newWatchers(nil, self, m, client)
+		asks := newStoreEventRelay(nil, self, m, client)
 		store := &site.Service{Name: "s", Store: &site.Store{MaxWatches: spareWatches + 1}}
 		ask := func() (site.CacheChanges, error) {
 			ctx, cancel := context.WithTimeout(t.Context(), callTime)
 			defer cancel()
-			return asks.changes(ctx, store, 1, 0, eventWait)
+			return asks.changes(ctx, store, 1, 0, eventPollWait)
 		}
 		c, err := ask()
 		assert.NilError(t, err)
--- a/service/gateway/watchers.go
+++ b/service/gateway/store_events.go
@@ -19,20 +19,20 @@
 // are more nodes than that, one node of each hall follows a store and the others
 // ask it.
 const (
-	// methodEvents asks a watcher for a store's events.
-	methodEvents = "gateway.events"
-	// methodEventsOf asks it for those of several stores at once: a call for each of 58
+	// methodStoreEvents asks a watcher for a store's events.
+	methodStoreEvents = "gateway.events"
+	// methodEventsOfStores asks it for those of several stores at once: a call for each of 58
 	// stores is some 80 calls a second at each node. The own code of 18 nodes with 35 stores
 	// takes 18.0 s for 22.4 s of a day, and 22.0 for 24.1 of another, one run each.
-	methodEventsOf = "gateway.events_of"
+	methodEventsOfStores = "gateway.events_of"
 	// watchDuty names the duty of following a store for a hall.
 	watchDuty = "watch/"
 	// spareWatches are calls of a store that are left for nodes that start or
 	// take over. What a watcher tells is known later, so each node follows the
 	// stores itself as long as that fits.
 	spareWatches = 2
-	// keptBatches is how many answers of a store a watcher keeps for others.
-	keptBatches = 512
+	// maxKeptBatches is how many answers of a store a watcher keeps for others.
+	maxKeptBatches = 512
 )
 
 // eventsRequest are methodEvents' parameters.
@@ -43,35 +43,35 @@
 	WaitMS int64  `json:"wait_ms"`
 }
 
-// errNotWatched says that a node does not follow the store itself.
-var errNotWatched = errors.New("this node does not follow the store")
+// errNotFollowed says that a node does not follow the store itself.
+var errNotFollowed = errors.New("this node does not follow the store")
 
-// watchedStore is what a watcher keeps of a store's events.
-type watchedStore struct {
+// relayedStore is what a watcher keeps of a store's events.
+type relayedStore struct {
 	batches []site.CacheChanges
-	from    int64 // The events since here are kept.
+	since   int64 // The events since here are kept.
 	lost    bool
 	changed chan struct{}
 }
 
-// watchers follows stores for the nodes of a hall.
-type watchers struct {
+// storeEventRelay follows stores for the nodes of a hall.
+type storeEventRelay struct {
 	engines Engines
 	self    control.Member
 	members *control.Members
 	client  *peer.Client
 
 	mu     sync.Mutex
-	stores map[string]*watchedStore
+	stores map[string]*relayedStore
 }
 
-func newWatchers(e Engines, self control.Member, m *control.Members, c *peer.Client) *watchers {
-	return &watchers{engines: e, self: self, members: m, client: c, stores: map[string]*watchedStore{}}
+func newStoreEventRelay(engines Engines, self control.Member, members *control.Members, client *peer.Client) *storeEventRelay {
+	return &storeEventRelay{engines: engines, self: self, members: members, client: client, stores: map[string]*relayedStore{}}
 }
 
-// watcher is the node that follows a store for this hall; ok is false if this
+// relayFor is the node that follows a store for this hall; ok is false if this
 // node follows it itself.
-func (w *watchers) watcher(v *site.Service) (addr netip.AddrPort, ok bool) {
+func (w *storeEventRelay) relayFor(v *site.Service) (addr netip.AddrPort, ok bool) {
 	if n := len(w.members.Working()); v.Store.MaxWatches <= 0 || n <= v.Store.MaxWatches-spareWatches {
 		return addr, false
 	}
@@ -80,34 +80,34 @@
 }
 
 // changes waits for a store's events since a point of its start boot.
-func (w *watchers) changes(ctx context.Context, v *site.Service, boot, since int64, wait time.Duration) (c site.CacheChanges, err error) {
-	if addr, ok := w.watcher(v); ok {
+func (w *storeEventRelay) changes(ctx context.Context, v *site.Service, boot, since int64, wait time.Duration) (c site.CacheChanges, err error) {
+	if addr, ok := w.relayFor(v); ok {
 		q := eventsRequest{Store: v.Name, Boot: boot, Since: since, WaitMS: wait.Milliseconds()}
-		err = w.client.CallWithin(ctx, wait+readerSlack, addr, methodEvents, q, &c)
+		err = w.client.CallWithin(ctx, wait+answerSlack, addr, methodStoreEvents, q, &c)
 		return c, eris.Wrap(err, "ask watcher")
 	}
 	c, err = w.engines.Changes(ctx, v.Store.Addr, since, wait)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		w.lose(v.Name)
+		w.markLost(v.Name)
 		return c, err
 	}
-	w.keep(v.Name, since, c)
+	w.record(v.Name, since, c)
 	return c, nil
 }
 
-// keep adds an answer to what is kept for others.
-func (w *watchers) keep(name string, since int64, c site.CacheChanges) {
+// record adds an answer to what is kept for others.
+func (w *storeEventRelay) record(name string, since int64, c site.CacheChanges) {
 	s := w.stores[name]
 	if s == nil {
-		s = &watchedStore{changed: make(chan struct{})}
+		s = &relayedStore{changed: make(chan struct{})}
 		w.stores[name] = s
 	}
 	last := len(s.batches) - 1
 	if last < 0 || s.batches[last].Boot != c.Boot || s.batches[last].Next != since || c.Lost {
 		s.batches = nil
-		s.from = since
+		s.since = since
 	}
 	s.lost = false
 	if len(c.Changes) > 0 || len(s.batches) == 0 {
@@ -115,16 +115,16 @@
 	} else {
 		s.batches[last].Next, s.batches[last].Clock = c.Next, c.Clock
 	}
-	if len(s.batches) > keptBatches {
-		s.from = s.batches[0].Next
+	if len(s.batches) > maxKeptBatches {
+		s.since = s.batches[0].Next
 		s.batches = s.batches[1:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// lose notes that a store is not heard; the caller holds mu.
-func (w *watchers) lose(name string) {
+// markLost notes that a store is not heard; the caller holds mu.
+func (w *storeEventRelay) markLost(name string) {
 	if s := w.stores[name]; s != nil {
 		s.lost = true
 		close(s.changed)
@@ -133,12 +133,12 @@
 }
 
 // serve answers a node that asks for a store's events.
-func (w *watchers) serve(ctx context.Context, params json.RawMessage) (any, error) {
+func (w *storeEventRelay) serve(ctx context.Context, params json.RawMessage) (any, error) {
 	var q eventsRequest
 	if err := json.Unmarshal(params, &q); err != nil {
 		return nil, eris.Wrap(err, "bad parameters")
 	}
-	end := time.After(min(eventWait, time.Duration(q.WaitMS)*time.Millisecond))
+	end := time.After(min(eventPollWait, time.Duration(q.WaitMS)*time.Millisecond))
 	for {
 		c, changed, err := w.since(q)
 		if err != nil {
@@ -157,64 +157,64 @@
 	}
 }
 
-// toldEvents is what a watcher tells of one store, or why it can't.
-type toldEvents struct {
+// storeEventsResult is what a watcher tells of one store, or why it can't.
+type storeEventsResult struct {
 	Changes site.CacheChanges `json:"changes"`
 	Err     string            `json:"err,omitempty"`
 }
 
-// told asks a node for the events of several stores, in the same order. A node of the
+// results asks a node for the events of several stores, in the same order. A node of the
 // version before knows the call for one store only.
-func (w *watchers) told(ctx context.Context, addr netip.AddrPort, ask []eventsRequest) (told []toldEvents, err error) {
+func (w *storeEventRelay) results(ctx context.Context, addr netip.AddrPort, requests []eventsRequest) (results []storeEventsResult, err error) {
 	defer func() { err = eris.Wrap(err, "ask watcher") }()
-	err = w.client.CallWithin(ctx, refreshTime, addr, methodEventsOf, ask, &told)
+	err = w.client.CallWithin(ctx, refreshTimeout, addr, methodEventsOfStores, requests, &results)
 	if peer.UnknownMethod(err) {
-		return w.toldOneByOne(ctx, addr, ask)
+		return w.pollOneByOne(ctx, addr, requests)
 	}
-	if err == nil && len(told) != len(ask) {
-		return nil, eris.Errorf("told of %d stores of %d", len(told), len(ask))
+	if err == nil && len(results) != len(requests) {
+		return nil, eris.Errorf("told of %d stores of %d", len(results), len(requests))
 	}
-	return told, err
+	return results, err
 }
 
-func (w *watchers) toldOneByOne(ctx context.Context, addr netip.AddrPort, ask []eventsRequest) ([]toldEvents, error) {
-	told := make([]toldEvents, len(ask))
-	for i, q := range ask {
+func (w *storeEventRelay) pollOneByOne(ctx context.Context, addr netip.AddrPort, requests []eventsRequest) ([]storeEventsResult, error) {
+	results := make([]storeEventsResult, len(requests))
+	for i, q := range requests {
 		q.WaitMS = 0
-		if err := w.client.CallWithin(ctx, refreshTime, addr, methodEvents, q, &told[i].Changes); err != nil {
-			told[i].Err = err.Error()
+		if err := w.client.CallWithin(ctx, refreshTimeout, addr, methodStoreEvents, q, &results[i].Changes); err != nil {
+			results[i].Err = err.Error()
 		}
 	}
-	return told, ctx.Err()
+	return results, ctx.Err()
 }
 
 // serveSeveral answers a node that asks for the events of several stores. It does not
 // wait for any: who asks for so many comes again soon.
-func (w *watchers) serveSeveral(_ context.Context, params json.RawMessage) (any, error) {
-	var ask []eventsRequest
-	if err := json.Unmarshal(params, &ask); err != nil {
+func (w *storeEventRelay) serveSeveral(_ context.Context, params json.RawMessage) (any, error) {
+	var requests []eventsRequest
+	if err := json.Unmarshal(params, &requests); err != nil {
 		return nil, eris.Wrap(err, "bad parameters")
 	}
-	told := make([]toldEvents, len(ask))
-	for i, q := range ask {
+	results := make([]storeEventsResult, len(requests))
+	for i, q := range requests {
 		c, _, err := w.since(q)
 		if err != nil {
-			told[i].Err = err.Error()
+			results[i].Err = err.Error()
 			continue
 		}
-		told[i].Changes = c
+		results[i].Changes = c
 	}
-	return told, nil
+	return results, nil
 }
 
 // since collects what is kept behind a point; with what is no longer kept, it
 // says that some are lost.
-func (w *watchers) since(q eventsRequest) (c site.CacheChanges, changed chan struct{}, err error) {
+func (w *storeEventRelay) since(q eventsRequest) (c site.CacheChanges, changed chan struct{}, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.stores[q.Store]
 	if s == nil || s.lost || len(s.batches) == 0 {
-		return c, nil, errNotWatched
+		return c, nil, errNotFollowed
 	}
 	last := s.batches[len(s.batches)-1]
 	c = site.CacheChanges{Boot: last.Boot, Next: last.Next, Clock: last.Clock}
@@ -222,7 +222,7 @@
 	if q.Boot != last.Boot {
 		since = 0
 	}
-	c.Lost = since < s.from
+	c.Lost = since < s.since
 	first := len(s.batches)
 	for first > 0 && s.batches[first-1].Next > since {
 		first--
--- a/service/gateway/stores.go
+++ b/service/gateway/stores.go
@@ -18,47 +18,47 @@
 )
 
 const (
-	// eventWait is for how long a call for a store's events is held.
-	eventWait = time.Second
-	// eventPause is kept between two calls, so that events come in groups.
-	eventPause = 200 * time.Millisecond
-	// toldPause is kept between two calls to a node that tells of stores: each of many
+	// eventPollWait is for how long a call for a store's events is held.
+	eventPollWait = time.Second
+	// eventPollPause is kept between two calls, so that events come in groups.
+	eventPollPause = 200 * time.Millisecond
+	// relayPollPause is kept between two calls to a node that tells of stores: each of many
 	// nodes makes them.
-	toldPause = 600 * time.Millisecond
-	// toldRetry is kept before a node that does not yet know a store that it is to tell of
+	relayPollPause = 600 * time.Millisecond
+	// relayPollRetry is kept before a node that does not yet know a store that it is to tell of
 	// is asked again, and doubles up to toldPause: nodes that start together choose one that
 	// has only just begun to follow the stores. With toldPause each time, half of 71 nodes
 	// knew what stores have 1.7 s after all had lost power.
-	toldRetry = 40 * time.Millisecond
-	// eventRetry is kept after a failed call.
-	eventRetry = 400 * time.Millisecond
-	// freeEvery is how often a store is looked at for what can be freed.
-	freeEvery = 500 * time.Millisecond
-	// freeMost is how many parts are freed in one call.
-	freeMost = 200
+	relayPollRetry = 40 * time.Millisecond
+	// eventPollRetry is kept after a failed call.
+	eventPollRetry = 400 * time.Millisecond
+	// freeInterval is how often a store is looked at for what can be freed.
+	freeInterval = 500 * time.Millisecond
+	// maxFreedPerCall is how many parts are freed in one call.
+	maxFreedPerCall = 200
 )
 
-// stores follows the events of the stores of kept state, and frees what will not
+// kvStoreFollower follows the events of the stores of kept state, and frees what will not
 // be used again.
-type stores struct {
+type kvStoreFollower struct {
 	engines Engines
-	watch   *watchers
-	beliefs *SiteState
-	kept    *route.CacheIndex
+	relay   *storeEventRelay
+	state   *SiteState
+	cache   *route.CacheIndex
 	members *control.Members
 	self    string
 	clock   *replicaClock
 	log     *slog.Logger
 
-	mu      sync.Mutex
-	at      storeInputs
-	watched map[string]*followedStore
-	tellers map[netip.AddrPort]context.CancelFunc // Nodes that are asked about stores.
-	wg      sync.WaitGroup
+	mu       sync.Mutex
+	inputs   storeFollowInputs
+	followed map[string]*followedStore
+	relays   map[netip.AddrPort]context.CancelFunc // Nodes that are asked about stores.
+	wg       sync.WaitGroup
 }
 
-// storeInputs are what it depends on which stores a node follows and whom it asks.
-type storeInputs struct {
+// storeFollowInputs are what it depends on which stores a node follows and whom it asks.
+type storeFollowInputs struct {
 	view     *control.View
 	snapshot *site.Snapshot
 }
@@ -66,9 +66,9 @@
 // followedStore is how far a store's events are known here; stores.mu guards it.
 type followedStore struct {
 	service *site.Service
-	// teller is the node that tells of the store; it is not set where cancel is, which
+	// relay is the node that tells of the store; it is not set where cancel is, which
 	// ends this node's own following.
-	teller netip.AddrPort
+	relay  netip.AddrPort
 	cancel context.CancelFunc
 	boot   int64
 	since  int64
@@ -77,37 +77,37 @@
 
 // refresh starts following stores that are new and stops following those that are
 // gone; the timer service calls it.
-func (s *stores) refresh(context.Context) {
-	at := storeInputs{view: s.members.View(), snapshot: s.beliefs.Snapshot()}
+func (s *kvStoreFollower) refresh(context.Context) {
+	inputs := storeFollowInputs{view: s.members.View(), snapshot: s.state.Snapshot()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at.snapshot == nil || at == s.at {
+	if inputs.snapshot == nil || inputs == s.inputs {
 		return
 	}
-	s.at = at
-	wanted, tellers := map[string]bool{}, map[netip.AddrPort]bool{}
-	for _, v := range at.snapshot.Stores() {
+	s.inputs = inputs
+	wanted, relays := map[string]bool{}, map[netip.AddrPort]bool{}
+	for _, v := range inputs.snapshot.Stores() {
 		wanted[v.Name] = true
-		f := s.watched[v.Name]
+		f := s.followed[v.Name]
 		if f == nil {
 			f = &followedStore{service: v}
-			s.watched[v.Name] = f
+			s.followed[v.Name] = f
 		}
-		var told bool
-		if f.teller, told = s.watch.watcher(v); told {
-			tellers[f.teller] = true
+		var relayed bool
+		if f.relay, relayed = s.relay.relayFor(v); relayed {
+			relays[f.relay] = true
 			f.stop()
 		} else if f.cancel == nil {
-			s.followOwn(f)
+			s.followDirectly(f)
 		}
 	}
-	for name, f := range s.watched {
+	for name, f := range s.followed {
 		if !wanted[name] {
 			f.stop()
-			delete(s.watched, name)
+			delete(s.followed, name)
 		}
 	}
-	s.ask(tellers)
+	s.setRelays(relays)
 }
 
 // stop ends this node's own following of a store.
@@ -118,116 +118,116 @@
 	}
 }
 
-// followOwn starts following a store itself; the caller holds mu.
-func (s *stores) followOwn(f *followedStore) {
-	f.teller = netip.AddrPort{}
+// followDirectly starts following a store itself; the caller holds mu.
+func (s *kvStoreFollower) followDirectly(f *followedStore) {
+	f.relay = netip.AddrPort{}
 	var ctx context.Context
 	ctx, f.cancel = context.WithCancel(context.Background())
-	s.wg.Go(func() { s.follow(ctx, f) })
+	s.wg.Go(func() { s.followStore(ctx, f) })
 }
 
-// ask starts and stops asking nodes about stores; the caller holds mu.
-func (s *stores) ask(tellers map[netip.AddrPort]bool) {
-	for addr, cancel := range s.tellers {
-		if !tellers[addr] {
+// setRelays starts and stops asking nodes about stores; the caller holds mu.
+func (s *kvStoreFollower) setRelays(relays map[netip.AddrPort]bool) {
+	for addr, cancel := range s.relays {
+		if !relays[addr] {
 			cancel()
-			delete(s.tellers, addr)
+			delete(s.relays, addr)
 		}
 	}
-	for addr := range tellers {
-		if s.tellers[addr] == nil {
+	for addr := range relays {
+		if s.relays[addr] == nil {
 			ctx, cancel := context.WithCancel(context.Background())
-			s.tellers[addr] = cancel
-			s.wg.Go(func() { s.followTeller(ctx, addr) })
+			s.relays[addr] = cancel
+			s.wg.Go(func() { s.pollRelay(ctx, addr) })
 		}
 	}
 }
 
 // restart forgets that it knows what stores have, and follows them anew, as of where it
 // was: what was freed meanwhile is not to be fetched. It says how many there are.
-func (s *stores) restart() int {
+func (s *kvStoreFollower) restart() int {
 	s.mu.Lock()
-	names := slices.Collect(maps.Keys(s.watched))
-	for _, f := range s.watched {
+	names := slices.Collect(maps.Keys(s.followed))
+	for _, f := range s.followed {
 		f.stop()
 	}
-	s.ask(nil)
-	s.at = storeInputs{}
+	s.setRelays(nil)
+	s.inputs = storeFollowInputs{}
 	s.mu.Unlock()
 	for _, name := range names {
-		s.kept.MarkStoreStale(name)
+		s.cache.MarkStoreStale(name)
 	}
 	s.refresh(context.Background())
 	return len(names)
 }
 
-func (s *stores) close() {
+func (s *kvStoreFollower) close() {
 	s.mu.Lock()
-	for _, f := range s.watched {
+	for _, f := range s.followed {
 		f.stop()
 	}
-	s.ask(nil)
+	s.setRelays(nil)
 	s.mu.Unlock()
 	s.wg.Wait()
 }
 
-// follow takes in one store's events until ctx ends.
-func (s *stores) follow(ctx context.Context, f *followedStore) {
+// followStore takes in one store's events until ctx ends.
+func (s *kvStoreFollower) followStore(ctx context.Context, f *followedStore) {
 	for ctx.Err() == nil {
-		q := s.request(f)
-		c, err := s.watch.changes(ctx, f.service, q.Boot, q.Since, eventWait)
+		req := s.request(f)
+		changes, err := s.relay.changes(ctx, f.service, req.Boot, req.Since, eventPollWait)
 		if ctx.Err() != nil {
 			return
 		}
-		pause := eventPause
-		if !s.heard(f, c, err) {
-			pause = eventRetry
+		pause := eventPollPause
+		if !s.applyEvents(f, changes, err) {
+			pause = eventPollRetry
 		}
 		sleep(ctx, pause)
 	}
 }
 
-// followTeller takes in what another node tells of stores until ctx ends.
-func (s *stores) followTeller(ctx context.Context, addr netip.AddrPort) {
-	retry := toldRetry
+// pollRelay takes in what another node tells of stores until ctx ends.
+func (s *kvStoreFollower) pollRelay(ctx context.Context, addr netip.AddrPort) {
+	retry := relayPollRetry
 	for ctx.Err() == nil {
-		var list []*followedStore
-		var ask []eventsRequest
-		for _, f := range s.toldBy(addr) {
-			list, ask = append(list, f), append(ask, s.request(f))
+		var stores []*followedStore
+		var requests []eventsRequest
+		for _, f := range s.relayedBy(addr) {
+			stores, requests = append(stores, f), append(requests, s.request(f))
 		}
-		told, err := s.watch.told(ctx, addr, ask)
+		results, err := s.relay.results(ctx, addr, requests)
 		if ctx.Err() != nil {
 			return
 		}
-		all := true
-		for i, f := range list {
+		complete := true
+		for i, f := range stores {
 			switch {
 			case err != nil:
-				s.heard(f, site.CacheChanges{}, err)
-			case told[i].Err != "":
-				all = false
-				s.heard(f, site.CacheChanges{}, eris.New(told[i].Err))
+				s.applyEvents(f, site.CacheChanges{}, err)
+			case results[i].Err != "":
+				complete = false
+				s.applyEvents(f, site.CacheChanges{}, eris.New(results[i].Err))
 			default:
-				s.heard(f, told[i].Changes, nil)
+				s.applyEvents(f, results[i].Changes, nil)
 			}
 		}
-		if all {
-			retry = toldRetry
-			sleep(ctx, toldPause)
+		if complete {
+			retry = relayPollRetry
+			sleep(ctx, relayPollPause)
 			continue
 		}
 		sleep(ctx, retry)
-		retry = min(toldPause, 2*retry)
+		retry = min(relayPollPause, 2*retry)
 	}
 }
 
-// toldBy lists the stores that a node tells of.
-func (s *stores) toldBy(addr netip.AddrPort) (list []*followedStore) {
+// relayedBy lists the stores that a node tells of.
+func (s *kvStoreFollower) relayedBy(addr netip.AddrPort) (list []*followedStore) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, f := range s.watched {
-		if f.teller == addr {
+	for _, f := range s.followed {
+		if f.relay == addr {
 			list = append(list, f)
 		}
 	}
@@ -235,15 +235,15 @@
 }
 
 // request asks for what is not yet known of a store.
-func (s *stores) request(f *followedStore) eventsRequest {
+func (s *kvStoreFollower) request(f *followedStore) eventsRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return eventsRequest{Store: f.service.Name, Boot: f.boot, Since: f.since, WaitMS: eventWait.Milliseconds()}
+	return eventsRequest{Store: f.service.Name, Boot: f.boot, Since: f.since, WaitMS: eventPollWait.Milliseconds()}
 }
 
-// heard takes in a store's events, or that they were not to be had, and says whether they
+// applyEvents takes in a store's events, or that they were not to be had, and says whether they
 // were.
-func (s *stores) heard(f *followedStore, c site.CacheChanges, err error) bool {
+func (s *kvStoreFollower) applyEvents(f *followedStore, c site.CacheChanges, err error) bool {
 	now, name := boottime.Now(), f.service.Name
 	s.mu.Lock()
 	lost := f.lost
@@ -253,7 +253,7 @@
 	}
 	s.mu.Unlock()
 	if err != nil {
-		s.kept.MarkStoreStale(name)
+		s.cache.MarkStoreStale(name)
 		if !lost {
 			s.log.Warn("store of kept state lost", "store", name, "err", err)
 		}
@@ -263,14 +263,14 @@
 		s.log.Info("store of kept state back", "store", name, "boot", c.Boot)
 	}
 	s.clock.hear(c.Clock, now)
-	s.kept.ApplyStoreChanges(name, c, now)
+	s.cache.ApplyStoreChanges(name, c, now)
 	return true
 }
 
-// free drops what was made under replaced weights from the stores that fall to
+// freeUnused drops what was made under replaced weights from the stores that fall to
 // this node; the timer service calls it.
-func (s *stores) free(ctx context.Context) {
-	snapshot := s.beliefs.Snapshot()
+func (s *kvStoreFollower) freeUnused(ctx context.Context) {
+	snapshot := s.state.Snapshot()
 	if snapshot == nil {
 		return
 	}
@@ -280,7 +280,7 @@
 		if !ok || owner.Name != s.self || !v.Store.Managed {
 			continue
 		}
-		list, boot := s.kept.UnusedParts(v.Name, freeMost, func(realm string) bool { return s.replaced(realm, now) })
+		list, boot := s.cache.UnusedParts(v.Name, maxFreedPerCall, func(realm string) bool { return s.replaced(realm, now) })
 		if len(list) == 0 {
 			continue
 		}
@@ -288,7 +288,7 @@
 			s.log.Warn("parts not freed", "store", v.Name, "parts", len(list), "err", err)
 			continue
 		}
-		s.kept.RemoveFreed(v.Name, boot, list)
+		s.cache.RemoveFreed(v.Name, boot, list)
 		s.log.Info("parts freed", "store", v.Name, "parts", len(list), "boot", boot)
 	}
 }
@@ -296,16 +296,16 @@
 // replaced says whether state of a realm will not be used again: newer weights
 // were named long enough ago that no replica has the old ones and no fetch of
 // it is under way.
-func (s *stores) replaced(realm string, now time.Time) bool {
+func (s *kvStoreFollower) replaced(realm string, now time.Time) bool {
 	model, version, ok := weightsOf(realm)
 	if !ok {
 		return false
 	}
-	newest, since := s.beliefs.Weights(model)
+	newest, since := s.state.Weights(model)
 	if version >= newest || now.Sub(since) < replacedTerm {
 		return false
 	}
-	for _, p := range s.beliefs.Pools() {
+	for _, p := range s.state.Pools() {
 		for _, u := range p.Upstreams() {
 			if u.Weights[model] == version {
 				return false
--- a/service/gateway/stores_test.go
+++ b/service/gateway/stores_test.go
@@ -18,21 +18,21 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// toldStores is a node of a hall that is told of many stores by another node.
-type toldStores struct {
-	*stores
-	follows *watchers // At the other node.
-	calls   map[string]*atomic.Int64
-	names   []string
+// relayedStores is a node of a hall that is told of many stores by another node.
+type relayedStores struct {
+	*kvStoreFollower
+	relayNode *storeEventRelay // At the other node.
+	calls     map[string]*atomic.Int64
+	names     []string
 }
 
-// newToldStores returns such a node; methods are those that the other node knows.
-func newToldStores(t *testing.T, count int, methods ...string) *toldStores {
+// newRelayedStores returns such a node; methods are those that the other node knows.
+func newRelayedStores(t *testing.T, count int, methods ...string) *relayedStores {
 	log := slog.New(slog.DiscardHandler)
-	x := &toldStores{follows: newWatchers(nil, control.Member{}, nil, nil), calls: map[string]*atomic.Int64{}}
+	x := &relayedStores{relayNode: newStoreEventRelay(nil, control.Member{}, nil, nil), calls: map[string]*atomic.Int64{}}
 	server, err := peer.NewServer(netip.MustParseAddrPort("127.0.0.1:0"), map[peer.Role]string{peer.RolePeer: "key"}, log)
 	assert.NilError(t, err)
-	serve := map[string]func(context.Context, json.RawMessage) (any, error){methodEvents: x.follows.serve, methodEventsOf: x.follows.serveSeveral}
+	serve := map[string]func(context.Context, json.RawMessage) (any, error){methodStoreEvents: x.relayNode.serve, methodEventsOfStores: x.relayNode.serveSeveral}
 	for _, method := range methods {
 		n := new(atomic.Int64)
 		x.calls[method] = n
@@ -61,7 +61,7 @@
 	k.Configure(list)
 	b := NewSiteState(nil, "h", time.Second, k, log)
 	b.snapshot.Store(site.NewSnapshot(1, nil, services, site.Limits{}))
-	x.stores = newStores(self, nil, newWatchers(nil, self, m, client), b, k, m, new(replicaClock), log)
+	x.kvStoreFollower = newStores(self, nil, newStoreEventRelay(nil, self, m, client), b, k, m, new(replicaClock), log)
 	t.Cleanup(func() {
 		x.close()
 		client.Close()
@@ -70,15 +70,15 @@
 	return x
 }
 
-func (x *toldStores) keep(name string, since, next int64, parts ...site.CacheChange) {
-	x.follows.mu.Lock()
-	defer x.follows.mu.Unlock()
-	x.follows.keep(name, since, site.CacheChanges{Boot: 1, Next: next, Changes: parts})
+func (x *relayedStores) record(name string, since, next int64, parts ...site.CacheChange) {
+	x.relayNode.mu.Lock()
+	defer x.relayNode.mu.Unlock()
+	x.relayNode.record(name, since, site.CacheChanges{Boot: 1, Next: next, Changes: parts})
 }
 
 // parts counts what is known to be kept at all stores that are heard.
-func (x *toldStores) parts() (parts, heard int) {
-	for _, s := range x.kept.Status() {
+func (x *relayedStores) parts() (parts, heard int) {
+	for _, s := range x.cache.Status() {
 		if s.Connected {
 			heard++
 			parts += s.Parts
@@ -88,40 +88,40 @@
 }
 
 // A call for each of 58 stores is some 80 calls a second at each node.
-func TestNodeIsToldOfManyStoresInOneCall(t *testing.T) {
+func TestManyStoresArePolledInOneCall(t *testing.T) {
 	t.Parallel()
 	const count = 58
-	x := newToldStores(t, count, methodEvents, methodEventsOf)
+	x := newRelayedStores(t, count, methodStoreEvents, methodEventsOfStores)
 	for _, name := range x.names {
-		x.keep(name, 0, 10, part("a", 100))
+		x.record(name, 0, 10, part("a", 100))
 	}
 	begun := time.Now()
 	x.refresh(t.Context())
 	eventually(t, "all stores are told of", func() bool { parts, heard := x.parts(); return parts == count && heard == count })
-	x.keep("s00", 10, 20, part("b", 100))
-	x.keep("s01", 10, 20, part("a", 0))
+	x.record("s00", 10, 20, part("b", 100))
+	x.record("s01", 10, 20, part("a", 0))
 	eventually(t, "and what changes", func() bool {
-		s := x.kept.Status()
+		s := x.cache.Status()
 		return s[0].Parts == 2 && s[1].Parts == 0
 	})
-	assert.Equal(t, x.calls[methodEvents].Load(), int64(0))
-	assert.Assert(t, x.calls[methodEventsOf].Load() <= 1+int64(time.Since(begun)/toldPause))
+	assert.Equal(t, x.calls[methodStoreEvents].Load(), int64(0))
+	assert.Assert(t, x.calls[methodEventsOfStores].Load() <= 1+int64(time.Since(begun)/relayPollPause))
 }
 
 // A store that its follower does not hear is not used, and the others are.
-func TestStoreThatIsNotHeardDoesNotHideTheOthers(t *testing.T) {
+func TestUnreachableStoreDoesNotHideOthers(t *testing.T) {
 	t.Parallel()
-	x := newToldStores(t, 3, methodEvents, methodEventsOf)
-	x.keep("s00", 0, 10, part("a", 100))
-	x.keep("s01", 0, 10, part("a", 100))
+	x := newRelayedStores(t, 3, methodStoreEvents, methodEventsOfStores)
+	x.record("s00", 0, 10, part("a", 100))
+	x.record("s01", 0, 10, part("a", 100))
 	x.refresh(t.Context())
 	eventually(t, "two are heard", func() bool { parts, heard := x.parts(); return parts == 2 && heard == 2 })
-	x.follows.mu.Lock()
-	x.follows.lose("s00")
-	x.follows.mu.Unlock()
+	x.relayNode.mu.Lock()
+	x.relayNode.markLost("s00")
+	x.relayNode.mu.Unlock()
 	eventually(t, "one is no longer", func() bool { _, heard := x.parts(); return heard == 1 })
-	x.keep("s00", 10, 20, part("b", 100))
-	x.keep("s02", 0, 10, part("a", 100))
+	x.record("s00", 10, 20, part("b", 100))
+	x.record("s02", 0, 10, part("a", 100))
 	eventually(t, "all are", func() bool { _, heard := x.parts(); return heard == 3 })
 }
 
@@ -131,29 +131,29 @@
 // that one has only just begun.
 // Cause: it was asked again after the pause that is kept between two answers, and after each
 // change of who follows what as long again: half of 71 nodes knew of the stores after 1.7 s.
-func TestStoreOfWhichNothingIsKnownYetIsAskedForAgainSoon(t *testing.T) {
+func TestRelayWithoutEventsIsAskedAgainSoon(t *testing.T) {
 	t.Parallel()
-	x := newToldStores(t, 3, methodEvents, methodEventsOf)
+	x := newRelayedStores(t, 3, methodStoreEvents, methodEventsOfStores)
 	begun := time.Now()
 	x.refresh(t.Context())
 	const calls = 4
-	eventually(t, "it has asked some times", func() bool { return x.calls[methodEventsOf].Load() >= calls })
-	assert.Assert(t, time.Since(begun) < (calls-1)*toldPause-300*time.Millisecond)
+	eventually(t, "it has asked some times", func() bool { return x.calls[methodEventsOfStores].Load() >= calls })
+	assert.Assert(t, time.Since(begun) < (calls-1)*relayPollPause-300*time.Millisecond)
 	for _, name := range x.names {
-		x.keep(name, 0, 10, part("a", 100))
+		x.record(name, 0, 10, part("a", 100))
 	}
 	eventually(t, "all stores are told of", func() bool { parts, heard := x.parts(); return parts == 3 && heard == 3 })
-	before := x.calls[methodEventsOf].Load()
-	time.Sleep(2 * toldPause)
-	assert.Assert(t, x.calls[methodEventsOf].Load() <= before+3, "then at the usual pace")
+	before := x.calls[methodEventsOfStores].Load()
+	time.Sleep(2 * relayPollPause)
+	assert.Assert(t, x.calls[methodEventsOfStores].Load() <= before+3, "then at the usual pace")
 }
 
 // A node of the version before is asked for one store at a time.
-func TestNodeOfTheVersionBeforeIsAskedForEachStore(t *testing.T) {
+func TestOldRelayIsAskedForEachStore(t *testing.T) {
 	t.Parallel()
-	x := newToldStores(t, 4, methodEvents)
+	x := newRelayedStores(t, 4, methodStoreEvents)
 	for _, name := range x.names {
-		x.keep(name, 0, 10, part("a", 100))
+		x.record(name, 0, 10, part("a", 100))
 	}
 	x.refresh(t.Context())
 	eventually(t, "all stores are told of", func() bool { parts, heard := x.parts(); return parts == 4 && heard == 4 })
@@ -161,17 +161,17 @@
 
 // While the machine was suspended stores may have freed parts, and hold others half
 // written under the same names: nothing is known of them until they are heard again.
-func TestStoresAreHeardAnewAfterASuspension(t *testing.T) {
+func TestStoresArePolledAgainAfterSuspension(t *testing.T) {
 	const count = 3
-	x := newToldStores(t, count, methodEventsOf)
+	x := newRelayedStores(t, count, methodEventsOfStores)
 	for _, name := range x.names {
-		x.keep(name, 0, 10, part("a", 100))
+		x.record(name, 0, 10, part("a", 100))
 	}
 	x.refresh(t.Context())
 	eventually(t, "all stores are heard", func() bool { _, heard := x.parts(); return heard == count })
-	x.keep("s00", 10, 20, part("a", 0)) // Freed meanwhile.
+	x.record("s00", 10, 20, part("a", 0)) // Freed meanwhile.
 	x.mu.Lock()
-	x.ask(nil) // Nothing is told any more.
+	x.setRelays(nil) // Nothing is told any more.
 	x.mu.Unlock()
 	assert.Equal(t, x.restart(), count)
 	parts, heard := x.parts()
--- a/service/gateway/suspension_test.go
+++ b/service/gateway/suspension_test.go
@@ -70,16 +70,16 @@
 func TestAnswerFromBeforeASuspensionIsNotNew(t *testing.T) {
 	self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1}
 	store := &sleepingStore{}
-	r := newReaders(store, self, control.NewMembers(self, time.Second, nil, newRand()), nil, slog.New(slog.DiscardHandler))
+	r := newSharedReader(store, self, control.NewMembers(self, time.Second, nil, newRand()), nil, slog.New(slog.DiscardHandler))
 	q := changesRequest{Table: site.TableOperator, Whole: true}
-	_, err := r.own(t.Context(), q, 0)
+	_, err := r.readStore(t.Context(), q, 0)
 	assert.NilError(t, err)
-	heard := r.tables[site.TableOperator].heard
+	heard := r.tables[site.TableOperator].storeReadAt
 	assert.Assert(t, !heard.IsZero())
 	store.sleep = 8 * time.Second
-	_, err = r.own(t.Context(), q, 0)
+	_, err = r.readStore(t.Context(), q, 0)
 	assert.NilError(t, err)
-	assert.Equal(t, r.tables[site.TableOperator].heard, heard)
+	assert.Equal(t, r.tables[site.TableOperator].storeReadAt, heard)
 }
 
 // sleepingStore answers, and then the machine is suspended.
--- a/service/gateway/wiring.go
+++ b/service/gateway/wiring.go
@@ -30,10 +30,10 @@
 	Nodes    *nodes
 	Peers    *peer.Server
 	Client   *peer.Client
-	Readers  *readers
-	Watchers *watchers
-	Stores   *stores
-	Holdings *holdings
+	Readers  *sharedReader
+	Watchers *storeEventRelay
+	Stores   *kvStoreFollower
+	Holdings *engineCacheFollower
 	Suspects *suspects.Suspects
 	Limits   *ratelimit.Limits
 	Rollout  *rollout.Rollout
@@ -117,15 +117,15 @@
 			u.closed = s.Disabled.Resting
 			return u
 		},
-		func(m *control.Members, c *peer.Client) *readers {
-			r := newReaders(p.Store, self, m, c, log)
-			r.alone = s.Disabled.SharedReading
+		func(m *control.Members, c *peer.Client) *sharedReader {
+			r := newSharedReader(p.Store, self, m, c, log)
+			r.direct = s.Disabled.SharedReading
 			return r
 		},
 		newMetrics,
-		newWatchers,
+		newStoreEventRelay,
 		newStores,
-		newHoldings,
+		newEngineCacheFollower,
 		newNodes,
 		newPeers,
 	}
@@ -173,15 +173,15 @@
 }
 
 // newPeers listens for nodes that ask this one.
-func newPeers(s config.GatewaySettings, r *readers, w *watchers, h *holdings, x *suspects.Suspects, l *ratelimit.Limits, log *slog.Logger) (*peer.Server, error) {
+func newPeers(s config.GatewaySettings, r *sharedReader, w *storeEventRelay, h *engineCacheFollower, x *suspects.Suspects, l *ratelimit.Limits, log *slog.Logger) (*peer.Server, error) {
 	server, err := peer.NewServer(s.Peer.Listen, map[peer.Role]string{peer.RolePeer: s.Peer.Key}, log)
 	if err != nil {
 		return nil, err
 	}
-	server.Handle(peer.RolePeer, methodChanges, r.serve)
-	server.Handle(peer.RolePeer, methodEvents, w.serve)
-	server.Handle(peer.RolePeer, methodEventsOf, w.serveSeveral)
-	server.Handle(peer.RolePeer, methodHeld, h.serve)
+	server.Handle(peer.RolePeer, methodTableChanges, r.serve)
+	server.Handle(peer.RolePeer, methodStoreEvents, w.serve)
+	server.Handle(peer.RolePeer, methodEventsOfStores, w.serveSeveral)
+	server.Handle(peer.RolePeer, methodCacheUpdates, h.serve)
 	server.Handle(peer.RolePeer, suspects.MethodRun, x.ServeRun)
 	server.Handle(peer.RolePeer, suspects.MethodRunEnded, x.ServeRunEnded)
 	server.Handle(peer.RolePeer, ratelimit.MethodTake, peer.Handle(l.ServeTake))
@@ -193,23 +193,23 @@
 func newStores(
 	self control.Member,
 	e Engines,
-	w *watchers,
+	w *storeEventRelay,
 	b *SiteState,
 	k *route.CacheIndex,
 	m *control.Members,
 	c *replicaClock,
 	log *slog.Logger,
-) *stores {
-	return &stores{
-		engines: e,
-		watch:   w,
-		beliefs: b,
-		kept:    k,
-		members: m,
-		self:    self.Name,
-		clock:   c,
-		log:     log,
-		watched: map[string]*followedStore{},
-		tellers: map[netip.AddrPort]context.CancelFunc{},
+) *kvStoreFollower {
+	return &kvStoreFollower{
+		engines:  e,
+		relay:    w,
+		state:    b,
+		cache:    k,
+		members:  m,
+		self:     self.Name,
+		clock:    c,
+		log:      log,
+		followed: map[string]*followedStore{},
+		relays:   map[netip.AddrPort]context.CancelFunc{},
 	}
 }
