--- a/service/gateway/cache_update_log.go
+++ b/service/gateway/cache_update_log.go
@@ -11,13 +11,14 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// packedCacheUpdate is news of what one engine holds, as nodes tell it to each other.
+// packedCacheUpdate is the wire form of route.EngineCacheUpdate, as nodes send it to each
+// other.
 type packedCacheUpdate struct {
 	Engine string `json:"e"`
 	Stale  bool   `json:"s,omitempty"`
 	Full   bool   `json:"w,omitempty"`
-	// Changes has for each change the part's hash, in eight bytes, and the tokens
-	// held, as a varint: a tenth of what the engine's own words take.
+	// Changes holds for each change the part's hash in eight bytes and the cached tokens as a
+	// varint: a tenth of the size of the engine's own JSON.
 	Changes []byte `json:"c,omitempty"`
 }
 
@@ -35,11 +36,11 @@
 	const hashBytes = 8
 	for rest := p.Changes; len(rest) > 0; {
 		if len(rest) <= hashBytes {
-			return c, eris.Errorf("news of %s cut short", p.Engine)
+			return c, eris.Errorf("cache update of %s is truncated", p.Engine)
 		}
 		tokens, used := binary.Uvarint(rest[hashBytes:])
 		if used <= 0 {
-			return c, eris.Errorf("news of %s not understood", p.Engine)
+			return c, eris.Errorf("cache update of %s has a malformed token count", p.Engine)
 		}
 		part := route.PartHash(binary.BigEndian.Uint64(rest))
 		c.Changes = append(c.Changes, route.EngineCacheChange{Part: part, Tokens: int(tokens)})
@@ -48,17 +49,17 @@
 	return c, nil
 }
 
-// maxLoggedUpdates is how many news a node keeps for others. Who asks for older ones is
-// told all that is held instead.
+// maxLoggedUpdates is how many updates a node keeps for its peers. A peer that asks for older
+// ones gets the full contents instead.
 const maxLoggedUpdates = 1024
 
-// cacheUpdateLog has the latest news for nodes that ask, in order.
+// cacheUpdateLog holds the latest cache updates, in order, for peers that poll this node.
 type cacheUpdateLog struct {
-	epoch uint64 // Another after each start.
+	epoch uint64 // A random number that differs after each start.
 
 	mu      sync.Mutex
 	entries []cacheUpdateEntry
-	next    uint64 // Number of the next entry.
+	next    uint64 // Sequence number of the next entry.
 	changed chan struct{}
 }
 
@@ -83,7 +84,7 @@
 	l.changed = make(chan struct{})
 }
 
-// skip notes that there was news that nobody wants.
+// skip advances the sequence for an update that no peer is polling for, and drops the log.
 func (l *cacheUpdateLog) skip() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,8 +92,8 @@
 	l.next++
 }
 
-// since lists the news that are asked for from a point on; ok is false if they are no
-// longer kept. changed is closed at the next news.
+// since lists the updates from q.From on that q asks for; ok is false if the log no longer
+// reaches back that far. changed is closed at the next update.
 func (l *cacheUpdateLog) since(q cacheUpdatesRequest) (updates []packedCacheUpdate, next uint64, changed chan struct{}, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/service/gateway/engine_caches.go
+++ b/service/gateway/engine_caches.go
@@ -15,36 +15,37 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// Nodes know what engines hold by the engines' own events. In each data hall one
-// node, the teller for a hall of engines, has them for all others of its hall: from
-// the engines, if they are of its own hall, and else from the teller of the engines'
-// hall. So each event crosses to another hall once, in short form, however many nodes
-// there are.
+// Nodes learn what engines have in their caches from the engines' event streams. In each data
+// hall one node, the relay for a hall of engines, follows them for all other nodes of its own
+// hall: directly if the engines are in its hall, else through the relay of the engines' hall.
+// So each event crosses to another hall once, in compact form, however many nodes there are.
 const (
-	// methodCacheUpdates asks a teller for news of what engines hold.
+	// methodCacheUpdates asks a relay for updates of engines' cache contents.
 	methodCacheUpdates = "gateway.held"
-	// hallRelayDuty names the duty of telling what the engines of a hall hold.
+	// hallRelayDuty is the prefix of the duty of relaying updates of one hall's engines.
 	hallRelayDuty = "held/"
-	// cachePollWait is for how long a call for news is held.
+	// cachePollWait is how long a long poll for updates is held.
 	cachePollWait = time.Second
-	// cachePollPause is kept between two calls, so that news come in groups, and
-	// heldFarPause where they come from another hall.
+	// cachePollPause is the pause between two polls, so that updates arrive in batches;
+	// remoteCachePollPause is the same for a peer in another hall.
 	cachePollPause       = 100 * time.Millisecond
 	remoteCachePollPause = 200 * time.Millisecond
-	// cachePollRetry is kept after a failed call.
+	// cachePollRetry is the pause after a failed poll.
 	cachePollRetry = 400 * time.Millisecond
-	// maxTrackedEngines is of how many engines a node keeps what they hold, the nearest first.
-	// An engine at work tells some 40 changes a second, 600 bytes, which took each of
-	// 295 nodes 0.012 % of a core an engine: with all of 256 followed 3.1 %, of 2.8 %
-	// that all of control may take.
+	// maxTrackedEngines is how many engines' caches a node tracks, the nearest first. A busy
+	// engine reports some 40 changes a second, 600 bytes, which took each of 295 nodes 0.012 %
+	// of a core per engine: tracking all 256 took 3.1 %, where the whole control plane may
+	// take 2.8 %.
 	maxTrackedEngines = 64
-	// peerInterestTerm is for how long a node keeps news for others after one has asked.
+	// peerInterestTerm is how long a node keeps logging updates for peers after a peer last
+	// asked.
 	peerInterestTerm = 3 * cachePollWait
-	// remoteRelayDuty names the duty of telling a hall what the engines of all others hold.
+	// remoteRelayDuty is the duty of relaying the updates of all other halls' engines to this
+	// hall.
 	remoteRelayDuty = "held-far"
 )
 
-// engineCacheFollower keeps this node's knowledge of what engines hold.
+// engineCacheFollower keeps this node's index of engine cache contents up to date.
 type engineCacheFollower struct {
 	engines Engines
 	state   *SiteState
@@ -58,30 +59,30 @@
 
 	mu           sync.Mutex
 	inputs       followInputs
-	ranked       map[string]rankedEngine       // Those that are kept, by ID.
-	awaitingFull map[string]bool               // Of those, the ones of which nothing was heard yet.
-	followed     map[string]context.CancelFunc // Engines, by ID.
+	ranked       map[string]rankedEngine       // Tracked engines, by ID.
+	awaitingFull map[string]bool               // Tracked engines of which no full update has arrived yet.
+	followed     map[string]context.CancelFunc // Engines that this node follows itself, by ID.
 	sources      map[netip.AddrPort]*updateSource
-	lastAsked    time.Time // When another node last asked this one.
+	lastAsked    time.Time // When a peer last asked this node for updates.
 	wg           sync.WaitGroup
 }
 
-// followInputs are what it depends on which engines a node follows and whom it asks.
+// followInputs determine which engines a node follows itself and which peers it polls.
 type followInputs struct {
 	view     *control.View
 	snapshot *site.Snapshot
 	revision int
 }
 
-// rankedEngine is an engine of which this node keeps what it holds.
+// rankedEngine is the position of a tracked engine.
 type rankedEngine struct {
 	hall string
-	rank int // In its hall.
+	rank int // Within its hall, 0 first.
 }
 
-// updateSource is a node that this one asks for news.
+// updateSource is a peer that this node polls for updates.
 type updateSource struct {
-	maxEngines map[string]int // Engines, by hall.
+	maxEngines map[string]int // Number of engines wanted, by hall.
 	cancel     context.CancelFunc
 }
 
@@ -102,13 +103,14 @@
 	}
 }
 
-// stop ends all following; the caller holds mu.
+// stop cancels all following and polling; the caller holds mu.
 func (h *engineCacheFollower) stop() {
 	h.setFollowed(nil)
 	h.setSources(nil)
 }
 
-// restart follows the engines anew: connections may have ended without a sign.
+// restart drops all connections and follows the engines again: connections may have died
+// unnoticed while the machine was suspended.
 func (h *engineCacheFollower) restart() {
 	h.mu.Lock()
 	h.stop()
@@ -117,7 +119,7 @@
 	h.refresh(context.Background())
 }
 
-// close stops following and waits.
+// close stops all following and polling and waits for it to end.
 func (h *engineCacheFollower) close() {
 	h.mu.Lock()
 	h.stop()
@@ -125,7 +127,7 @@
 	h.wg.Wait()
 }
 
-// refresh finds out which engines this node follows and which nodes it asks; the
+// refresh recomputes which engines this node follows itself and which peers it polls; the
 // timer service calls it.
 func (h *engineCacheFollower) refresh(context.Context) {
 	inputs := followInputs{view: h.members.View(), snapshot: h.state.Snapshot(), revision: h.state.Revision()}
@@ -156,8 +158,8 @@
 	h.setSources(ask)
 }
 
-// chooseEngines lists the engines of which this node keeps what they hold, by hall and
-// in the order of route.SelectTracked.
+// chooseEngines lists the engines that this node tracks, by hall and in the order of
+// route.SelectTracked.
 func (h *engineCacheFollower) chooseEngines(s *site.Snapshot) map[string][]site.Upstream {
 	byHall := map[string][]site.Upstream{}
 	if s == nil || h.state.without.Held {
@@ -171,7 +173,7 @@
 	}
 	for name, p := range pools {
 		var tracked []site.Upstream
-		// Engines that are evacuated are to be sent nothing, these calls included.
+		// Nothing may be sent to evacuated engines, these calls included.
 		usable := slices.DeleteFunc(p.Upstreams(), func(u site.Upstream) bool { return u.Evacuated })
 		for hall, engines := range route.SelectTracked(h.self.DataHall, usable, maxTrackedEngines/len(pools)) {
 			byHall[hall] = append(byHall[hall], engines...)
@@ -182,7 +184,7 @@
 	return byHall
 }
 
-// rankEngines notes the place of each engine in its hall; the caller holds mu.
+// rankEngines records the rank of each engine in its hall; the caller holds mu.
 func (h *engineCacheFollower) rankEngines(engines map[string][]site.Upstream) {
 	old := h.ranked
 	h.ranked = map[string]rankedEngine{}
@@ -201,8 +203,8 @@
 	}
 }
 
-// source is the node that this one asks about the engines of a hall; ok is false if
-// it follows them itself.
+// source is the peer that this node polls about the engines of a hall; ok is false if it
+// follows them itself.
 func (h *engineCacheFollower) source(hall string) (addr netip.AddrPort, ok bool) {
 	duty := remoteRelayDuty
 	if hall == h.self.DataHall {
@@ -218,13 +220,13 @@
 	return remote.Peer, found
 }
 
-// relayFor is the node of a hall to which a duty of telling falls.
+// relayFor is the node of a hall that has a relay duty.
 func (h *engineCacheFollower) relayFor(hall, duty string) (control.Member, bool) {
 	return control.Owner(control.WithWidestLinks(hallMembers(h.members, hall)), duty)
 }
 
-// setFollowed starts following engines that are new to this node, and stops following
-// those that are gone or fall to another; the caller holds mu.
+// setFollowed starts following the engines that are new in wanted and stops following those
+// that are not in it; the caller holds mu.
 func (h *engineCacheFollower) setFollowed(wanted map[string]site.Upstream) {
 	for id, u := range wanted {
 		if h.followed[id] == nil {
@@ -241,7 +243,7 @@
 	}
 }
 
-// setSources starts and stops asking nodes likewise; the caller holds mu.
+// setSources does the same for the peers to poll; the caller holds mu.
 func (h *engineCacheFollower) setSources(wanted map[netip.AddrPort]map[string]int) {
 	for addr, src := range h.sources {
 		if wanted[addr] == nil {
@@ -261,7 +263,7 @@
 	}
 }
 
-// followEngine takes in one engine's events until ctx ends.
+// followEngine applies one engine's events until ctx ends.
 func (h *engineCacheFollower) followEngine(ctx context.Context, u site.Upstream) {
 	boot, since, lost := int64(0), int64(0), false
 	for ctx.Err() == nil {
@@ -303,7 +305,7 @@
 	return update
 }
 
-// apply takes in news.
+// apply applies an update to the index, and logs it if peers poll this node.
 func (h *engineCacheFollower) apply(c route.EngineCacheUpdate) {
 	h.cache.ApplyEngineUpdate(c)
 	h.mu.Lock()
@@ -316,13 +318,13 @@
 		return
 	}
 	if boottime.Since(h.lastAsked) > peerInterestTerm {
-		h.updates.skip() // Packing and keeping them takes most of the time otherwise.
+		h.updates.skip() // Packing and logging is most of the cost of an update.
 		return
 	}
 	h.updates.add(e, packCacheUpdate(c))
 }
 
-// nextRequest is what to ask a node next.
+// nextRequest is the next poll of a source.
 func (h *engineCacheFollower) nextRequest(src *updateSource, epoch, from uint64) cacheUpdatesRequest {
 	q := cacheUpdatesRequest{Epoch: epoch, From: from, WaitMS: cachePollWait.Milliseconds()}
 	h.mu.Lock()
@@ -339,7 +341,7 @@
 	return q
 }
 
-// pollSource takes in another node's news about the engines of some halls until ctx ends.
+// pollSource applies a peer's updates until ctx ends.
 func (h *engineCacheFollower) pollSource(ctx context.Context, addr netip.AddrPort, src *updateSource) {
 	pause := cachePollPause
 	if !slices.Contains(h.hallAddrs(), addr) {
@@ -370,12 +372,12 @@
 	}
 }
 
-func (h *engineCacheFollower) call(ctx context.Context, addr netip.AddrPort, q cacheUpdatesRequest) (a cacheUpdatesAnswer, err error) {
-	err = h.client.CallWithin(ctx, cachePollWait+answerSlack, addr, methodCacheUpdates, q, &a)
-	return a, err
+func (h *engineCacheFollower) call(ctx context.Context, addr netip.AddrPort, req cacheUpdatesRequest) (answer cacheUpdatesAnswer, err error) {
+	err = h.client.CallWithin(ctx, cachePollWait+answerSlack, addr, methodCacheUpdates, req, &answer)
+	return answer, err
 }
 
-// hallAddrs lists the addresses of this hall's nodes.
+// hallAddrs lists the addresses of this hall's live nodes.
 func (h *engineCacheFollower) hallAddrs() (list []netip.AddrPort) {
 	for _, m := range hallMembers(h.members, h.self.DataHall) {
 		list = append(list, m.Peer)
@@ -383,7 +385,7 @@
 	return list
 }
 
-// applyPacked takes in news that another node told.
+// applyPacked applies updates received from a peer.
 func (h *engineCacheFollower) applyPacked(updates []packedCacheUpdate) {
 	for _, p := range updates {
 		c, err := p.unpack()
@@ -395,7 +397,8 @@
 	}
 }
 
-// markSourceStale has what the engines that a node told of hold not be used.
+// markSourceStale marks the contents of all engines that a source reports on as stale, so that
+// they are not used.
 func (h *engineCacheFollower) markSourceStale(src *updateSource) {
 	h.mu.Lock()
 	var ids []string
--- a/service/gateway/engine_caches_serve.go
+++ b/service/gateway/engine_caches_serve.go
@@ -11,21 +11,21 @@
 	"github.com/drumpath/drumpath/pkg/boottime"
 )
 
-// cacheUpdatesRequest are methodHeld's parameters: news from a point on, about the engines of
-// some halls.
+// cacheUpdatesRequest are the parameters of methodCacheUpdates: it asks for the updates from a
+// sequence number on, of the engines of some halls.
 type cacheUpdatesRequest struct {
 	Epoch uint64   `json:"epoch"`
 	From  uint64   `json:"from"`
 	Halls []string `json:"halls"`
-	// MaxEngines is of how many engines of each hall news are wanted, in the order of
-	// route.SelectTracked; without it of all.
+	// MaxEngines limits the engines by rank in each hall, in the order of route.SelectTracked;
+	// nil means all engines of Halls.
 	MaxEngines map[string]int `json:"most,omitempty"`
-	// NeedFull are engines of which the node that asks knows nothing yet.
+	// NeedFull lists engines of which the asking node has no contents yet.
 	NeedFull []string `json:"fresh,omitempty"`
 	WaitMS   int64    `json:"wait_ms"`
 }
 
-// wants says whether news of an engine, of a rank in its hall, are asked for.
+// wants reports whether updates of an engine with this rank in its hall are asked for.
 func (q *cacheUpdatesRequest) wants(hall string, rank int) bool {
 	if q.MaxEngines == nil {
 		return slices.Contains(q.Halls, hall)
@@ -39,7 +39,7 @@
 	Updates []packedCacheUpdate `json:"news"`
 }
 
-// serve answers a node that asks for news.
+// serve handles methodCacheUpdates.
 func (h *engineCacheFollower) serve(ctx context.Context, params json.RawMessage) (any, error) {
 	var q cacheUpdatesRequest
 	if err := json.Unmarshal(params, &q); err != nil {
@@ -56,23 +56,23 @@
 		} else if len(q.NeedFull) > 0 {
 			updates = append(h.fullUpdates(func(id string, _ rankedEngine) bool { return slices.Contains(q.NeedFull, id) }, q), updates...)
 		}
-		a := cacheUpdatesAnswer{Epoch: h.updates.epoch, Next: next, Updates: updates}
+		answer := cacheUpdatesAnswer{Epoch: h.updates.epoch, Next: next, Updates: updates}
 		if len(updates) > 0 {
-			return a, nil
+			return answer, nil
 		}
-		q.Epoch, q.From = a.Epoch, a.Next
+		q.Epoch, q.From = answer.Epoch, answer.Next
 		select {
 		case <-changed:
 		case <-end:
-			return a, nil
+			return answer, nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// all is everything known about those of the engines that are asked for which are meant;
-// nothing of those that have not been heard.
+// fullUpdates returns the full contents of the requested engines that match; engines with
+// stale contents are left out.
 func (h *engineCacheFollower) fullUpdates(match func(id string, e rankedEngine) bool, q cacheUpdatesRequest) (updates []packedCacheUpdate) {
 	h.mu.Lock()
 	var ids []string
--- a/service/gateway/engine_caches_test.go
+++ b/service/gateway/engine_caches_test.go
@@ -19,14 +19,14 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// fakeEngine is one engine whose events a test makes.
+// fakeEngine is an engine whose events the test sets.
 type fakeEngine struct {
 	Engines
 	mu     sync.Mutex
 	events []site.CacheChange
-	from   int64 // Events before it are no longer known.
+	from   int64 // Events before this position are lost.
 	fail   bool
-	hang   bool // Calls are taken and not answered.
+	hang   bool // Calls are accepted and never answered.
 	calls  int
 }
 
@@ -62,8 +62,8 @@
 	}, nil
 }
 
-// newTestCacheFollower returns the part of a node that keeps up with one engine, in hall
-// "h", as a member of its hall beside others.
+// newTestCacheFollower returns the engineCacheFollower of a node in hall "h" that tracks one
+// engine, with others as further members.
 func newTestCacheFollower(t *testing.T, name string, e Engines, others ...control.Member) *engineCacheFollower {
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: name, DataHall: "h", State: control.MemberAlive}
@@ -116,31 +116,31 @@
 	engine.add(part("a", 100), part("b", 100))
 	h := newTestCacheFollower(t, "n0", engine)
 	h.refresh(t.Context())
-	eventually(t, "both are held", func() bool { return h.holds("a") && h.holds("b") })
+	eventually(t, "both parts are cached", func() bool { return h.holds("a") && h.holds("b") })
 	engine.set(func() { engine.fail = true })
-	eventually(t, "nothing is taken for held", func() bool { return !h.holds("a") && !h.holds("b") })
+	eventually(t, "no part counts as cached", func() bool { return !h.holds("a") && !h.holds("b") })
 	engine.add(part("a", 0), part("c", 100))
 	engine.set(func() { engine.fail = false })
 	eventually(t, "changes made meanwhile are known", func() bool { return !h.holds("a") && h.holds("b") && h.holds("c") })
-	// Events are lost: what was known of before may have been dropped meanwhile.
+	// Events are lost: parts known before may have been dropped in the meantime.
 	engine.set(func() {
 		engine.events = append(engine.events, part("b", 0), part("d", 100))
 		engine.from = int64(len(engine.events)) - 1
 	})
-	eventually(t, "only what was told since is held", func() bool { return !h.holds("b") && !h.holds("c") && h.holds("d") })
+	eventually(t, "only parts reported since are cached", func() bool { return !h.holds("b") && !h.holds("c") && h.holds("d") })
 }
 
-// A call that was under way when the machine was suspended may never be answered: the engine
-// is asked anew on waking, and what it dropped meanwhile is known.
+// A call in flight when the machine was suspended may never be answered. On waking the engine
+// is polled again, so that parts it dropped in the meantime are known.
 func TestEngineIsAskedAgainAfterSuspension(t *testing.T) {
 	engine := &fakeEngine{}
 	engine.add(part("a", 100), part("b", 100))
 	h := newTestCacheFollower(t, "n0", engine)
 	h.refresh(t.Context())
-	eventually(t, "both are held", func() bool { return h.holds("a") && h.holds("b") })
+	eventually(t, "both parts are cached", func() bool { return h.holds("a") && h.holds("b") })
 	before := 0
 	engine.set(func() { engine.hang, before = true, engine.calls })
-	eventually(t, "a call is under way", func() bool {
+	eventually(t, "a call is in flight", func() bool {
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
 		return engine.calls > before
@@ -150,10 +150,10 @@
 	time.Sleep(50 * time.Millisecond)
 	assert.Assert(t, h.holds("a"), "the call still hangs")
 	h.restart()
-	eventually(t, "what was dropped is known", func() bool { return !h.holds("a") && h.holds("b") })
+	eventually(t, "the dropped part is known", func() bool { return !h.holds("a") && h.holds("b") })
 }
 
-// The other nodes of a hall ask its teller, at which the engine's events come once.
+// The other nodes of a hall poll its relay, which alone follows the engine.
 func TestRelayPassesEngineEventsToHall(t *testing.T) {
 	engine := &fakeEngine{}
 	engine.add(part("a", 100))
@@ -167,18 +167,18 @@
 	asker := toldBy(t, server.Addr())
 	relay.refresh(t.Context())
 	asker.refresh(t.Context())
-	eventually(t, "what is held is told on", func() bool { return asker.holds("a") })
+	eventually(t, "cached parts are passed on", func() bool { return asker.holds("a") })
 	engine.add(part("a", 0), part("b", 100))
-	eventually(t, "changes are told on", func() bool { return !asker.holds("a") && asker.holds("b") })
+	eventually(t, "changes are passed on", func() bool { return !asker.holds("a") && asker.holds("b") })
 	server.Close()
-	eventually(t, "a lost teller's word is no longer used", func() bool { return !asker.holds("b") })
+	eventually(t, "contents from a lost relay are not used", func() bool { return !asker.holds("b") })
 }
 
-// Whoever asks for news that are no longer kept is told all instead.
+// A peer that asks for updates no longer in the log gets the full contents instead.
 func TestRequestForOldUpdatesGetsFullContents(t *testing.T) {
 	h := newTestCacheFollower(t, "n0", &fakeEngine{})
 	h.rankEngines(h.chooseEngines(h.state.Snapshot()))
-	h.lastAsked = time.Now() // By a node that asked.
+	h.lastAsked = time.Now() // As if a peer had just asked.
 	for i := range 2 * maxLoggedUpdates {
 		h.apply(newCacheUpdate("e", i == 0, site.CacheChanges{Changes: []site.CacheChange{part(fmt.Sprint(i%7), 100)}}))
 	}
@@ -204,10 +204,10 @@
 }
 
 func TestPackedCacheUpdateRoundTrip(t *testing.T) {
-	c := route.EngineCacheUpdate{Engine: "e", Full: true, Changes: []route.EngineCacheChange{{Part: 1, Tokens: 0}, {Part: 1 << 63, Tokens: 30_000}}}
-	got, err := packCacheUpdate(c).unpack()
+	update := route.EngineCacheUpdate{Engine: "e", Full: true, Changes: []route.EngineCacheChange{{Part: 1, Tokens: 0}, {Part: 1 << 63, Tokens: 30_000}}}
+	got, err := packCacheUpdate(update).unpack()
 	assert.NilError(t, err)
-	assert.DeepEqual(t, got, c)
+	assert.DeepEqual(t, got, update)
 	for _, bad := range [][]byte{{1}, make([]byte, 8), append(make([]byte, 8), 0x80)} {
 		_, err := packedCacheUpdate{Engine: "e", Changes: bad}.unpack()
 		assert.Assert(t, err != nil)
--- a/service/gateway/packed_rows.go
+++ b/service/gateway/packed_rows.go
@@ -13,45 +13,44 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// What one node tells another of a table is compressed, against a value that both
-// have: a configuration is one row, and most of it stays as it was. For 1,400 routes
-// more, 5,600 in all, 36 kB go to a node instead of 2.5 MB, which took a link of 10
-// Mbit/s for two seconds.
+// Table rows are compressed between nodes, against a value that both have: a configuration is
+// a single row, of which most stays the same. Adding 1,400 routes to 4,200 sends 36 kB to a
+// node instead of 2.5 MB, which took a link of 10 Mbit/s two seconds.
 const (
-	// minBaseSize is from what size on, in bytes, a value serves as a base: below, the
-	// rest of a message is as large.
+	// minBaseSize is the size in bytes from which a value serves as a base: for smaller ones
+	// the rest of the message is as large.
 	minBaseSize = 4 << 10
-	// maxFormerValues and basesBytes bound the former values of a table that are kept as
-	// bases for nodes that are behind: some changes in a row, and a tenth of the
-	// memory of a small node.
+	// maxFormerValues and maxFormerBytes limit the earlier values of a row that are kept as
+	// bases for nodes that are behind: a few successive changes, and a tenth of the memory of
+	// a small node.
 	maxFormerValues = 4
 	maxFormerBytes  = 8 << 20
-	// minPackSize is from what size on, in bytes, rows without a base are compressed:
-	// less does not pay for its tables of 0.3 MB.
+	// minPackSize is the size in bytes from which rows without a base are compressed: for
+	// less, the 0.3 MB of tables that the compressor allocates don't pay off.
 	minPackSize = 4 << 10
-	// maxPackedAnswers is how many packed answers are kept for further nodes: those of
-	// nodes that have each of the bases, or none.
+	// maxPackedAnswers is how many packed answers are kept for further nodes: one for each
+	// base, and some without a base.
 	maxPackedAnswers = maxFormerValues + 2
-	// Windows of the compression, in bytes: it reaches back over base and rows.
-	// What is larger is told as well, but less of it is found in the base.
+	// Window sizes of the compression, in bytes: the window spans base and rows. Larger inputs
+	// work as well, but less of them is found in the base.
 	minWindow = 1 << 20
 	maxWindow = 32 << 20
-	// maxUnpackedSize bounds what is unpacked, in bytes.
+	// maxUnpackedSize limits the unpacked data, in bytes.
 	maxUnpackedSize = 256 << 20
-	// baseDictID marks what was packed against a base.
+	// baseDictID is the dictionary ID of data that was packed against a base.
 	baseDictID = 1
 )
 
-// rowRef names one value of a row; a zero one names none.
+// rowRef names one value of a row; the zero rowRef names none.
 type rowRef struct {
 	Key     string `json:"key,omitempty"`
 	Version int64  `json:"version,omitempty"`
 }
 
-// packedRows are rows as one node tells them to another.
+// packedRows is the wire form of table rows between nodes.
 type packedRows struct {
 	Data []byte `json:"data,omitempty"`
-	// Packed says that Data is compressed, Base against what, if anything.
+	// Packed says that Data is compressed, and Base against which value, if any.
 	Packed bool   `json:"packed,omitempty"`
 	Base   rowRef `json:"base,omitzero"`
 }
@@ -88,7 +87,7 @@
 	return packedRows{Data: e.EncodeAll(plain.Bytes(), nil), Packed: true, Base: ref}, e.Close()
 }
 
-// windowSize is the least window that reaches over a number of bytes.
+// windowSize is the smallest window that spans n bytes, within the limits.
 func windowSize(n int) int {
 	return min(maxWindow, max(minWindow, 1<<bits.Len(uint(n))))
 }
@@ -128,13 +127,13 @@
 	return d.DecodeAll(p.Data, nil)
 }
 
-// errNoBase says that rows were packed against a value that is not known here.
+// errNoBase is returned for rows that were packed against a value not known here.
 var errNoBase = errors.New("packed against a value that this node does not have")
 
-// formerValues are values that a row had, the newest first.
+// formerValues are earlier values of a row, the newest first.
 type formerValues []site.Row
 
-// add keeps a value, and drops the oldest ones beyond the bounds.
+// add adds a value, and drops the oldest ones beyond the limits.
 func (f formerValues) add(r site.Row) formerValues {
 	f = slices.Insert(f, 0, r)
 	size, keep := 0, 0
@@ -158,9 +157,9 @@
 	return nil
 }
 
-// packedKey tells packed answers of one state of a table apart.
+// packedKey identifies a packed answer for one state of a table.
 type packedKey struct {
 	whole bool
-	first int64 // The lowest version of a row.
+	first int64 // The lowest version among the rows.
 	base  rowRef
 }
--- a/service/gateway/packed_rows_test.go
+++ b/service/gateway/packed_rows_test.go
@@ -11,8 +11,8 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// routesText is the value of a configuration of n routes; more routes begin with the
-// same ones.
+// routesText is the value of a configuration of n routes; a larger configuration begins with
+// the same routes as a smaller one.
 func routesText(version, n int) []byte {
 	rng := rand.New(rand.NewPCG(1, 2))
 	word := func(n int) string {
@@ -47,7 +47,7 @@
 	for i := range noise {
 		noise[i] = byte(rand.IntN(256))
 	}
-	large := bytes.Repeat(routesText(1, 5600), 12) // With its base over the widest window.
+	large := bytes.Repeat(routesText(1, 5600), 12) // Exceeds the largest window together with its base.
 	for _, c := range []struct {
 		name string
 		rows []site.Row
@@ -55,13 +55,13 @@
 	}{
 		{"none", nil, nil},
 		{"small", rows([]byte("a"), nil, []byte("{}")), nil},
-		{"no text", rows(noise), nil},
+		{"random bytes", rows(noise), nil},
 		{"many", rows(routesText(2, 10), routesText(3, 20), noise), nil},
 		{"large", rows(routesText(2, 5600)), nil},
 		{"against a base", rows(routesText(2, 5600)), routesText(1, 4200)},
-		{"against what it does not resemble", rows(routesText(2, 100)), noise},
+		{"against a dissimilar base", rows(routesText(2, 100)), noise},
 		{"against itself", rows(noise), noise},
-		{"over the window", rows(large), append([]byte("x"), large...)},
+		{"larger than the window", rows(large), append([]byte("x"), large...)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			packed, err := packRows(c.rows, rowRef{Key: "k0", Version: 1}, c.base)
@@ -79,12 +79,12 @@
 	}
 }
 
-// What is told grows with what has changed, not with the whole.
+// The packed size grows with the change and not with the whole configuration.
 func TestPackedSizeGrowsWithTheChange(t *testing.T) {
 	size := func(n, more int) int {
-		told, err := packRows([]site.Row{{Key: "c", Version: 2, Value: routesText(2, n+more)}}, rowRef{Key: "c", Version: 1}, routesText(1, n))
+		packed, err := packRows([]site.Row{{Key: "c", Version: 2, Value: routesText(2, n+more)}}, rowRef{Key: "c", Version: 1}, routesText(1, n))
 		assert.NilError(t, err)
-		return len(told.Data)
+		return len(packed.Data)
 	}
 	const perRoute, head = 30, 2000 // Bytes; a route's random characters alone are 13.
 	for _, n := range []int{100, 1400, 5600, 20_000} {
@@ -96,8 +96,8 @@
 	}
 }
 
-// Rows that were packed against a value which this node lacks, or has otherwise, are
-// an error and not other rows.
+// Rows that were packed against a base that this node lacks, or has with another value, give
+// an error and not wrong rows.
 func TestUnpackWithWrongBaseFails(t *testing.T) {
 	packed, err := packRows([]site.Row{{Key: "c", Version: 2, Value: routesText(2, 500)}}, rowRef{Key: "c", Version: 1}, routesText(1, 400))
 	assert.NilError(t, err)
@@ -126,7 +126,7 @@
 	assert.Equal(t, len(f), 0)
 }
 
-// One answer to a node, by how many routes there are; "told" is its size.
+// Packs and unpacks one answer by number of routes; the metric "told" is the packed size.
 func BenchmarkPackRows(b *testing.B) {
 	for _, n := range []int{100, 1000, 5600, 20_000} {
 		for _, c := range []struct {
@@ -159,45 +159,45 @@
 	}
 }
 
-// Whatever another node sends, it is an error or rows: a node that has been upgraded, or
-// a fault in its memory, must not end this one.
+// Any bytes from a peer give rows or an error: a peer of another version, or with faulty
+// memory, must not crash this node.
 func FuzzUnpackRows(f *testing.F) {
 	const (
-		mutants = 400 // Of each seed, so that tests without -fuzz see some.
-		most    = 4   // Bytes that differ.
+		mutants    = 400 // Of each seed, so that tests without -fuzz see some.
+		maxChanged = 4   // Bytes that differ.
 	)
 	base := routesText(1, 400)
 	rows := []site.Row{{Key: "c", Version: 2, Value: routesText(2, 500)}, {Key: "d", Version: 3, Gone: true}}
-	against, err := packRows(rows, rowRef{Key: "c", Version: 1}, base)
+	withBase, err := packRows(rows, rowRef{Key: "c", Version: 1}, base)
 	assert.NilError(f, err)
 	packed, err := packRows(rows, rowRef{}, nil)
 	assert.NilError(f, err)
 	plain, err := packRows([]site.Row{{Key: "c", Version: 2, Value: []byte("abcdefgh")}}, rowRef{}, nil)
 	assert.NilError(f, err)
 	rng := rand.New(rand.NewPCG(1, 2))
-	for _, t := range []packedRows{against, packed, plain} {
+	for _, t := range []packedRows{withBase, packed, plain} {
 		hasBase := t.Base != rowRef{}
 		f.Add(t.Data, t.Packed, hasBase)
 		for range mutants {
 			data := bytes.Clone(t.Data)
-			for range 1 + rng.IntN(most) {
+			for range 1 + rng.IntN(maxChanged) {
 				data[rng.IntN(len(data))] = byte(rng.IntN(256))
 			}
 			f.Add(data[:len(data)-rng.IntN(3)], t.Packed, hasBase)
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte, packed, hasBase bool) {
-		told, known := packedRows{Data: data, Packed: packed}, []byte(nil)
+		input, baseValue := packedRows{Data: data, Packed: packed}, []byte(nil)
 		if hasBase {
-			told.Base, known = rowRef{Key: "c", Version: 1}, base
+			input.Base, baseValue = rowRef{Key: "c", Version: 1}, base
 		}
-		rows, err := told.unpack(known)
+		rows, err := input.unpack(baseValue)
 		if err != nil {
 			return
 		}
-		again, err := packRows(rows, told.Base, known)
+		again, err := packRows(rows, input.Base, baseValue)
 		assert.NilError(t, err)
-		_, err = again.unpack(known)
-		assert.NilError(t, err, "what was taken in can be told on")
+		_, err = again.unpack(baseValue)
+		assert.NilError(t, err, "unpacked rows can be packed again")
 	})
 }
--- a/service/gateway/reader_serve.go
+++ b/service/gateway/reader_serve.go
@@ -12,22 +12,22 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// changesRequest are methodChanges' parameters; Whole asks for the whole table.
+// changesRequest are the parameters of methodTableChanges; Whole asks for the whole table.
 type changesRequest struct {
 	Table  site.Table `json:"table"`
 	After  int64      `json:"after"`
 	WaitMS int64      `json:"wait_ms"`
 	Whole  bool       `json:"whole"`
-	// StoreUnreachable says that the node that asks does not reach the store, so that
-	// older knowledge serves as well.
+	// StoreUnreachable says that the asking node can't reach the store, so that an older copy
+	// is acceptable.
 	StoreUnreachable bool `json:"detour"`
-	// HaveRef is a large value that the node that asks has already.
+	// HaveRef names a large value that the asking node already has.
 	HaveRef rowRef `json:"have,omitzero"`
 
-	haveValue []byte // That value.
+	haveValue []byte // The value that HaveRef names; not sent.
 }
 
-// maxAge is the age from which on an answer is not used.
+// maxAge is the age beyond which an answer is not used.
 func (q changesRequest) maxAge() time.Duration {
 	if q.StoreUnreachable {
 		return outageMaxAge
@@ -39,11 +39,11 @@
 	Rows    packedRows `json:"rows,omitzero"`
 	Version int64      `json:"version"`
 	AgeMS   int64      `json:"age_ms"`
-	// HistoryGone says that changes since the version asked for are not known here.
+	// HistoryGone says that the changes since the requested version are not known here.
 	HistoryGone bool `json:"gone"`
 }
 
-// serve answers a node that asks; it waits for changes as the store does.
+// serve handles methodTableChanges; like the store, it waits for changes.
 func (r *sharedReader) serve(ctx context.Context, params json.RawMessage) (any, error) {
 	var q changesRequest
 	if err := json.Unmarshal(params, &q); err != nil {
@@ -52,28 +52,28 @@
 	end := time.After(min(readerPollWait, time.Duration(q.WaitMS)*time.Millisecond))
 	r.refreshFromStore(ctx, q)
 	for {
-		a, changed, trustedUntil, err := r.answer(q)
+		answer, changed, trustedUntil, err := r.answer(q)
 		if err != nil {
 			return nil, err
 		}
-		if q.Whole || a.HistoryGone || len(a.Rows.Data) > 0 || !boottime.Now().Before(trustedUntil) {
-			return a, nil
+		if q.Whole || answer.HistoryGone || len(answer.Rows.Data) > 0 || !boottime.Now().Before(trustedUntil) {
+			return answer, nil
 		}
 		select {
 		case <-changed:
-		case <-time.After(boottime.Until(trustedUntil)): // The node that asks is to ask another.
+		case <-time.After(boottime.Until(trustedUntil)): // The asking node is to try another one.
 		case <-end:
-			a, _, _, err = r.answer(q)
-			return a, err
+			answer, _, _, err = r.answer(q)
+			return answer, err
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// refreshFromStore has this node ask the store itself, if it is asked for a table of which it
-// has not heard lately: another reader has failed, or this node has just started.
-// Turned away instead, a hall would go to the store node by node.
+// refreshFromStore reads the store if this node is asked for a table whose copy is stale,
+// because another reader failed or this node has just started. If such requests were refused
+// instead, each node of the hall would call the store itself.
 func (r *sharedReader) refreshFromStore(ctx context.Context, q changesRequest) {
 	end := time.After(refreshTimeout)
 	for {
@@ -115,23 +115,23 @@
 	}
 }
 
-// answer is what is known of a table, and until when that is trusted; the error is
-// errReaderBehind if that is not enough to answer.
-func (r *sharedReader) answer(q changesRequest) (a changesAnswer, changed chan struct{}, trustedUntil time.Time, err error) {
+// answer builds the answer from the cached table, and returns until when that copy is trusted;
+// the error is errReaderBehind if there is no copy.
+func (r *sharedReader) answer(q changesRequest) (answer changesAnswer, changed chan struct{}, trustedUntil time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x := r.tables[q.Table]
 	if x == nil || x.rows == nil {
-		return a, nil, trustedUntil, errReaderBehind
+		return answer, nil, trustedUntil, errReaderBehind
 	}
 	age, trustedUntil := x.age(boottime.Now(), r.store.LastLargeResponse(), q.maxAge())
-	// Rounded down, an age just over the bound was within it: a reader that had been cut
-	// off was asked for another second.
+	// Rounded up: rounded down, an age just over the limit would pass, and a cut off reader
+	// would be asked for another second.
 	ageMS := (age + time.Millisecond - 1).Milliseconds()
-	a = changesAnswer{Version: x.version, AgeMS: ageMS, HistoryGone: !q.Whole && q.After < x.historyStart}
-	if a.HistoryGone {
-		return a, x.changed, trustedUntil, nil
+	answer = changesAnswer{Version: x.version, AgeMS: ageMS, HistoryGone: !q.Whole && q.After < x.historyStart}
+	if answer.HistoryGone {
+		return answer, x.changed, trustedUntil, nil
 	}
-	a.Rows, err = x.packFor(q)
-	return a, x.changed, trustedUntil, err
+	answer.Rows, err = x.packFor(q)
+	return answer, x.changed, trustedUntil, err
 }
--- a/service/gateway/reader_table.go
+++ b/service/gateway/reader_table.go
@@ -9,26 +9,26 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// cachedTable is what a node that reads a table has of it.
+// cachedTable is a node's copy of a table.
 type cachedTable struct {
-	rows         map[string]site.Row // Dropped rows included.
-	historyStart int64               // Changes since here are known.
+	rows         map[string]site.Row // Includes deleted rows.
+	historyStart int64               // The changes since this version are known.
 	version      int64
-	storeReadAt  time.Time // When the store itself was last heard.
+	storeReadAt  time.Time // When the store itself last answered.
 	changed      chan struct{}
-	former       map[string]formerValues  // Of large values, by key.
-	packed       map[packedKey]packedRows // Of the rows as they are.
-	// storeCall is closed when this node's own call to the store ends, nil without one;
-	// askedAt is when that was begun.
+	former       map[string]formerValues  // Earlier large values, by row key.
+	packed       map[packedKey]packedRows // Packed answers for the current rows.
+	// storeCall is closed when this node's own call to the store ends, nil if there is none;
+	// storeCallAt is when it began.
 	storeCall     chan struct{}
 	storeCallAt   time.Time
-	storeFailedAt time.Time // When this node's own call last failed.
+	storeFailedAt time.Time // When this node's own call to the store last failed.
 }
 
-// age is how old the knowledge of a table is, and until when that is to be trusted for
-// at most some age. While a large answer to this node's own call is coming in, it is as
-// old as it was when the call began: the answer is waited for, and a hall is not sent
-// to read the store once more over links that are as narrow.
+// age returns the age of the copy, and until when it is trusted given a maximum age. While a
+// large response to this node's own call is arriving, the copy counts as old as when the call
+// began: peers wait for that response, so that the hall doesn't read the store a second time
+// over links that are just as narrow.
 func (x *cachedTable) age(now, lastLarge time.Time, maxAge time.Duration) (age time.Duration, trustedUntil time.Time) {
 	if end := lastLarge.Add(maxReceiveTime); x.storeCall != nil && lastLarge.After(x.storeCallAt) && now.Before(end) {
 		if age = x.storeCallAt.Sub(x.storeReadAt); age <= maxAge {
@@ -38,7 +38,7 @@
 	return now.Sub(x.storeReadAt), x.storeReadAt.Add(maxAge)
 }
 
-// table returns what is known of a table; the caller holds mu.
+// table returns the copy of a table, and creates it if needed; the caller holds mu.
 func (r *sharedReader) table(t site.Table) *cachedTable {
 	x := r.tables[t]
 	if x == nil {
@@ -48,9 +48,9 @@
 	return x
 }
 
-// apply notes an answer for those that ask this node, whoever gave it: with changes
-// left out that came from others, what it tells on would have gaps. own says that
-// the store itself has answered.
+// apply merges an answer into the copy that is served to peers, whether the store or a peer
+// gave it: without the answers of peers, the history served here would have gaps. fromStore is
+// set if the store itself answered.
 func (r *sharedReader) apply(q changesRequest, l site.Listing, fromStore bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,13 +58,13 @@
 	old := x.rows
 	switch {
 	case q.Whole && l.Version < x.version:
-		// The store is behind what it has told before. Taken in, its older rows
-		// would hide newer ones from nodes that ask for changes since then.
+		// The store returned an older table than before. Applying it would hide newer rows
+		// from nodes that ask for the changes since then.
 		return
 	case q.Whole:
 		x.rows, x.historyStart = map[string]site.Row{}, l.Version
 	case q.After > x.version:
-		x.rows = nil // What lies between was never heard.
+		x.rows = nil // The changes in between are missing.
 	}
 	if fromStore {
 		x.storeReadAt = boottime.Now()
@@ -75,7 +75,7 @@
 	for _, row := range l.Rows {
 		former := old[row.Key]
 		if former.Version > row.Version {
-			row = former // Another answer has overtaken this one.
+			row = former // An answer with a newer row arrived first.
 		}
 		if len(former.Value) >= minBaseSize && former.Version < row.Version {
 			x.former[row.Key] = x.former[row.Key].add(former)
@@ -94,8 +94,9 @@
 	}
 }
 
-// packForPeers packs what nodes that are up to date are about to be told: some 13 ms for
-// 5,600 routes, which else come behind the time for which their calls are held.
+// packForPeers packs the changes for peers that are up to date before they ask. Packing takes
+// some 13 ms for 5,600 routes; done on request, it could end after the peers' long polls have
+// timed out.
 func (r *sharedReader) packForPeers(x *cachedTable, since int64, rows []site.Row) {
 	for _, row := range rows {
 		if former := x.former[row.Key]; len(former) > 0 && len(row.Value) >= minBaseSize {
@@ -107,8 +108,8 @@
 	}
 }
 
-// tell packs the rows that a request asks for. Nodes that ask for the same are told
-// the same bytes, packed once: 20 nodes are told in the time of one.
+// packFor packs the rows that a request asks for. Equal requests get the same bytes, packed
+// once, so that answering 20 nodes takes the time of one.
 func (x *cachedTable) packFor(q changesRequest) (p packedRows, err error) {
 	var rows []site.Row
 	key := packedKey{whole: q.Whole}
@@ -141,7 +142,7 @@
 	return p, nil
 }
 
-// baseValue is the value that a node has by its own word, nil if it is not known here.
+// baseValue returns the value that ref names, nil if it is not known here.
 func (x *cachedTable) baseValue(ref rowRef) []byte {
 	if row := x.rows[ref.Key]; row.Version == ref.Version && !row.Gone {
 		return row.Value
--- a/service/gateway/readers.go
+++ b/service/gateway/readers.go
@@ -16,69 +16,71 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// One node reads the platform's store and others ask it for what is new, so that calls
-// to the store, which are paid for, don't grow with the nodes: one node of each large
-// data hall for that hall, and one of all for those of small halls. Whoever finds the
-// reader silent, or behind the store, asks another node and then the store itself;
-// nothing has to be agreed for that.
+// One node reads the platform's store and the others ask it for changes, so that calls to the
+// store, which are paid for, don't grow with the number of nodes: each large data hall has its
+// own reader, and all small halls share one. A node whose reader doesn't answer, or is behind
+// the store, asks another node and then the store itself; this needs no agreement between
+// nodes.
 const (
 	// methodTableChanges asks a reader for changes of a table.
 	methodTableChanges = "gateway.table_changes"
-	// maxDirectNodes is how many nodes each do for themselves what one would do for all:
-	// what that saves is not worth its failures then. Of the reading it is of all nodes,
-	// else of a hall's.
+	// maxDirectNodes is the number of nodes up to which each does for itself what one could do
+	// for all: the savings are not worth the additional failures then. For reading tables it
+	// counts all nodes, else those of a hall.
 	maxDirectNodes = 4
-	// readDuty names the duty of reading a table for a hall.
+	// readDuty is the prefix of the duty of reading a table.
 	readDuty = "read/"
-	// readersPerTable is how many nodes a reader's duty falls to in turn. With one, its
-	// loss sent each node of its hall to the store, where a configuration of 2.5 MB
-	// takes a link of 10 Mbit/s two seconds.
+	// readersPerTable is how many readers are tried in turn. With only one, its loss sent each
+	// node of its hall to the store, where a configuration of 2.5 MB takes a link of 10 Mbit/s
+	// two seconds.
 	readersPerTable = 2
-	// storePollWait is for how long a reader's own call to the store is held, and askHold
-	// for how long one to a reader is. They bound how long a cut off or a frozen reader
-	// goes unnoticed: a change has to be in force within 2 s at sites of a few nodes, and
-	// another node has to be asked in that time.
+	// storePollWait is how long a reader's long poll of the store is held, and readerPollWait
+	// how long a long poll of a reader is. They limit how long a cut off or frozen reader goes
+	// unnoticed: at sites of a few nodes a change has to be in force within 2 s, which
+	// includes asking another node.
 	storePollWait  = 900 * time.Millisecond
 	readerPollWait = 600 * time.Millisecond
-	// minStorePollWait keeps a reader that has rested from asking at once and again.
+	// minStorePollWait keeps a reader that has paused between polls from polling in a tight
+	// loop.
 	minStorePollWait = 300 * time.Millisecond
-	// answerSlack is added for the answer to begin.
+	// answerSlack is added to a call's hold time for the answer to begin.
 	answerSlack = 300 * time.Millisecond
-	// maxReaderAge is the age of a reader's knowledge from which on it is not
-	// trusted, unless it is receiving: its call to the store should have ended long
-	// before.
+	// maxReaderAge is the age of a reader's copy from which it is not trusted, unless the
+	// reader is receiving a response: its call to the store should have ended long before.
 	maxReaderAge = storePollWait + 500*time.Millisecond
-	// secondReaderTimeout is for how long the second reader may take to begin its answer to
-	// what the first did not tell.
+	// secondReaderTimeout limits how long the second reader may take to begin its answer after
+	// the first one failed.
 	secondReaderTimeout = 500 * time.Millisecond
-	// maxReceiveTime is for how long a reader that is receiving a large answer of the store
-	// is waited for: 2.5 MB take a link of 10 Mbit/s two seconds, and another reader
-	// has to be asked within the time that is left.
+	// maxReceiveTime limits how long peers wait for a reader that is receiving a large
+	// response of the store: 2.5 MB take a link of 10 Mbit/s two seconds, and the remaining
+	// time has to suffice for asking another reader.
 	maxReceiveTime = 2200 * time.Millisecond
-	// refreshPause is kept after a failed call of this node until one is made for others.
+	// refreshPause is the pause after a failed call to the store before the next one is made
+	// on behalf of peers.
 	refreshPause = 500 * time.Millisecond
-	// refreshTimeout is for how long a node that is asked and knows too little may
-	// take to ask the store itself.
+	// refreshTimeout limits how long a node whose copy is stale may take to read the store
+	// when it is asked.
 	refreshTimeout = time.Second
-	// readerSkipTerm is for how long a node does without a reader that has failed it.
+	// readerSkipTerm is how long a node does not ask a reader that has failed.
 	readerSkipTerm = 3 * time.Second
 )
 
-// errReaderBehind says that a reader has not heard from the store for too long.
+// errReaderBehind says that a reader's copy of a table is missing or too old.
 var errReaderBehind = errors.New("the reader has not heard from the store lately")
 
-// sharedReader is the store as the nodes of a large hall read it together.
+// sharedReader reads the store's tables through other nodes where possible; its List and
+// Changes have the store's semantics.
 type sharedReader struct {
 	store   Store
 	self    control.Member
 	members *control.Members
 	client  *peer.Client
 	log     *slog.Logger
-	direct  bool // Each node reads for itself.
+	direct  bool // Each node reads the store itself.
 
 	mu           sync.Mutex
 	tables       map[site.Table]*cachedTable
-	skippedUntil map[netip.AddrPort]time.Time // Readers that are not asked until then.
+	skippedUntil map[netip.AddrPort]time.Time // Readers that have failed, and until when they are not asked.
 	plan         readerPlan
 	outages      map[site.Table]storeOutage
 }
@@ -96,15 +98,15 @@
 	}
 }
 
-// readerPlan is who reads for whom while the members are as in one view.
+// readerPlan is the assignment of readers for one view of the members.
 type readerPlan struct {
 	view *control.View
-	// shared says that nodes read for each other at all.
+	// shared is set if nodes read through others at all.
 	shared bool
-	owners map[site.Table][]control.Member // In the order in which they are asked.
+	owners map[site.Table][]control.Member // In the order in which they are tried.
 }
 
-// currentPlan returns the plan for the members as they are; the caller holds mu.
+// currentPlan returns the plan for the current members; the caller holds mu.
 func (r *sharedReader) currentPlan() *readerPlan {
 	view := r.members.View()
 	if r.plan.view != view {
@@ -125,10 +127,10 @@
 	return p
 }
 
-// readerCandidates lists the nodes that may read for this one. They have the widest links: what
-// a hall has to be told is more than narrow ones carry, and a hall without a wide one is
-// told by nodes of others, as a small hall is. With a reader for each small hall, or none,
-// most of what 18 nodes in 5 halls paid for was calls to the store.
+// readerCandidates lists the nodes that may read for this one. They have the widest links:
+// relaying to a whole hall takes more than a narrow link carries. A hall without a wide link,
+// like a small hall, reads through nodes of other halls. With a reader for each small hall, or
+// none, calls to the store were most of the cost of 18 nodes in 5 halls.
 func (r *sharedReader) readerCandidates(view *control.View) []control.Member {
 	wide := control.WithWidestLinks(view.Alive)
 	if len(view.Hall(r.self.DataHall).Alive) <= maxDirectNodes {
@@ -140,8 +142,8 @@
 	return wide
 }
 
-// reader is the node that reads a table for this one; ok is false if this node
-// reads it itself.
+// reader is the node that reads a table for this one; ok is false if this node reads it
+// itself.
 func (r *sharedReader) reader(t site.Table) (addr netip.AddrPort, ok bool) {
 	now := boottime.Now()
 	r.mu.Lock()
@@ -157,7 +159,7 @@
 	return addr, false
 }
 
-// servesPeers says whether other nodes may ask this one: they trust it for a time.
+// servesPeers reports whether peers may ask this node, and so depend on its copy being recent.
 func (r *sharedReader) servesPeers() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,10 +173,10 @@
 	return "operator"
 }
 
-// aliveMembers lists the nodes that are well.
+// aliveMembers lists the live nodes.
 func aliveMembers(m *control.Members) []control.Member { return m.View().Alive }
 
-// hallMembers lists the nodes of a hall that are well.
+// hallMembers lists the live nodes of a hall.
 func hallMembers(m *control.Members, hall string) []control.Member { return m.View().Hall(hall).Alive }
 
 func membersInHall(list []control.Member, hall string) (members []control.Member) {
@@ -186,19 +188,19 @@
 	return members
 }
 
-// List reads a whole table, from a reader if there is one.
+// List reads a whole table, through a reader if there is one.
 func (r *sharedReader) List(ctx context.Context, t site.Table) (l site.Listing, err error) {
 	return r.read(ctx, r.addBase(t, changesRequest{Whole: true}), 0)
 }
 
-// Changes waits for changes of a table, as Store does.
+// Changes waits for changes of a table, as Store.Changes does.
 func (r *sharedReader) Changes(ctx context.Context, t site.Table, after int64, wait time.Duration) (l site.Listing, err error) {
 	q := changesRequest{After: after, WaitMS: min(wait, readerPollWait).Milliseconds()}
 	return r.read(ctx, r.addBase(t, q), r.storeWait(t, wait))
 }
 
-// storeWait is for how long this node's own call for changes is held: what others hear
-// from it must not grow older than they trust, though it may have rested since the last.
+// storeWait is how long this node's own call for changes is held: its copy must not grow older
+// than peers trust, though it may have paused since the last call.
 func (r *sharedReader) storeWait(t site.Table, wait time.Duration) time.Duration {
 	if !r.servesPeers() {
 		return wait
@@ -208,7 +210,8 @@
 	return min(wait, max(minStorePollWait, storePollWait-boottime.Since(r.table(t).storeReadAt)))
 }
 
-// addBase completes a request with the largest value that this node has.
+// addBase adds the largest value that this node has to a request, for the answer to be packed
+// against.
 func (r *sharedReader) addBase(t site.Table, q changesRequest) changesRequest {
 	q.Table = t
 	r.mu.Lock()
@@ -221,8 +224,8 @@
 	return q
 }
 
-// read asks the readers in turn, and then the store. Only the first is asked to hold the
-// call: what it did not tell is wanted at once.
+// read asks the readers in turn, and then the store. Only the first call is a long poll: if it
+// fails, an answer is due at once.
 func (r *sharedReader) read(ctx context.Context, q changesRequest, wait time.Duration) (l site.Listing, err error) {
 	for range readersPerTable {
 		addr, ok := r.reader(q.Table)
@@ -260,20 +263,21 @@
 		}
 		return l, err
 	}
-	// An answer may have come before the machine was suspended: it is not new then.
+	// The response may have arrived before the machine was suspended; then it is not recent.
 	r.apply(q, l, boottime.Refresh()-before < leastSuspension)
 	r.logRows(q, l, sourceStore, begun)
 	return l, nil
 }
 
-// noteStoreCallFailed notes that this node's own call has failed, before those that wait for it go on.
+// noteStoreCallFailed records that this node's own call failed, before the requests that wait
+// for it continue.
 func (r *sharedReader) noteStoreCallFailed(t site.Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table(t).storeFailedAt = boottime.Now()
 }
 
-// beginStoreCall notes that this node's own call to the store is under way; the returned
+// beginStoreCall records that this node's own call to the store is in flight; the returned
 // function ends that.
 func (r *sharedReader) beginStoreCall(t site.Table) func() {
 	call := make(chan struct{})
@@ -291,10 +295,10 @@
 	}
 }
 
-// sourceStore names the store where a log line tells who told something.
+// sourceStore stands for the store as the source in log lines.
 const sourceStore = "store"
 
-// logRows logs what came of the operator's table, which is seldom and may be large.
+// logRows logs received rows of the operator's table, which changes seldom and may be large.
 func (r *sharedReader) logRows(q changesRequest, l site.Listing, source string, begun time.Time) {
 	if q.Table != site.TableOperator || len(l.Rows) == 0 {
 		return
@@ -307,7 +311,7 @@
 		"bytes", size, "by", source, "after", boottime.Since(begun))
 }
 
-// skipReader has a reader that has failed by err done without for a while.
+// skipReader keeps a reader that failed with err from being asked for a while.
 func (r *sharedReader) skipReader(t site.Table, addr netip.AddrPort, begun time.Time, err error) {
 	r.log.Warn("table read through peer failed", "table", tableName(t), "peer", addr, "after", boottime.Since(begun), "err", err)
 	r.mu.Lock()
@@ -321,7 +325,7 @@
 	var answer changesAnswer
 	timeout := time.Duration(q.WaitMS)*time.Millisecond + answerSlack
 	if q.WaitMS == 0 {
-		timeout = secondReaderTimeout // It may have to ask the store first.
+		timeout = secondReaderTimeout // The node may have to read the store first.
 	}
 	if err := r.client.CallWithin(ctx, timeout, addr, methodTableChanges, q, &answer); err != nil {
 		return l, err
--- a/service/gateway/readers_bench_test.go
+++ b/service/gateway/readers_bench_test.go
@@ -17,8 +17,8 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// The cost of passing one changed configuration on from a reader to one node, by the
-// number of routes: both ends' processor time, and bytes on the link.
+// Measures passing one changed configuration from a reader to one node, by number of routes:
+// CPU time of both ends, and bytes on the link.
 func BenchmarkRelayConfiguration(b *testing.B) {
 	for _, n := range []int{100, 1000, 5600, 20_000} {
 		values := [2][]byte{newConfigurationValue(b, n), newConfigurationValue(b, n+1)}
@@ -33,11 +33,11 @@
 	return value
 }
 
-// unlimitedMbit is more than a test's processor can fill.
+// unlimitedMbit is more than the CPU can fill.
 const unlimitedMbit = 1e6
 
-// relayChange passes one of two values on as often as the benchmark wants, each time as a
-// change to the other; known says whether the node that asks has that.
+// relayChange passes two values on in turn, each as a change to the other; withBase says
+// whether the asking node has the previous value.
 func relayChange(b *testing.B, values [2][]byte, withBase bool) {
 	log := slog.New(slog.DiscardHandler)
 	server, err := peer.NewServer(netip.MustParseAddrPort("127.0.0.1:0"), map[peer.Role]string{peer.RolePeer: "key"}, log)
--- a/service/gateway/readers_test.go
+++ b/service/gateway/readers_test.go
@@ -24,12 +24,12 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// fakeTableStore is the platform's store with one table that grows.
+// fakeTableStore is the platform's store with one table.
 type fakeTableStore struct {
 	mu           sync.Mutex
 	rows         []site.Row
 	version      int64
-	historyStart int64 // Changes up to here are no longer told.
+	historyStart int64 // Changes up to this version are no longer available.
 	calls        int
 	fail         bool
 }
@@ -83,13 +83,12 @@
 	return s.calls
 }
 
-// testHall is the nodes of one hall, of which two are real: one that reads a table
-// and one that asks it.
+// testHall has two real nodes of one hall: a reader and a node that asks it.
 type testHall struct {
 	store         *fakeTableStore
 	reader, asker *sharedReader
 	server        *peer.Server
-	proxy         *netproxy.Proxy // To the reader.
+	proxy         *netproxy.Proxy // In front of the reader.
 }
 
 func newTestHall(t *testing.T) *testHall {
@@ -137,26 +136,26 @@
 	return h
 }
 
-// clearSkipped has the asker no longer do without its hall's reader.
+// clearSkipped lets the asker ask its hall's reader again.
 func (h *testHall) clearSkipped() {
 	h.asker.mu.Lock()
 	defer h.asker.mu.Unlock()
 	clear(h.asker.skippedUntil)
 }
 
-// skipReader has the asker do without its hall's reader.
+// skipReader keeps the asker from asking its hall's reader.
 func (h *testHall) skipReader() {
 	h.asker.skipReader(site.TableUpstreams, h.proxy.Addr(), time.Now(), errReaderBehind)
 }
 
-// makeReaderStale has the reader not have heard from the store for long.
+// makeReaderStale makes the reader's copy too old.
 func (h *testHall) makeReaderStale() {
 	h.reader.mu.Lock()
 	defer h.reader.mu.Unlock()
 	h.reader.tables[site.TableUpstreams].storeReadAt = time.Now().Add(-2 * maxReaderAge)
 }
 
-// readStore has the reader hear from the store.
+// readStore has the reader read the store.
 func (h *testHall) readStore(t *testing.T) {
 	t.Helper()
 	_, err := h.reader.List(t.Context(), site.TableUpstreams)
@@ -185,7 +184,7 @@
 	assert.Equal(t, got.Rows[len(got.Rows)-1].Key, "b")
 }
 
-// A reader that does not reach the store itself any more is not trusted.
+// A reader that can't reach the store itself is not trusted.
 func TestStaleReaderIsSkipped(t *testing.T) {
 	h := newTestHall(t)
 	h.store.add("a")
@@ -199,11 +198,11 @@
 	before := h.store.count()
 	_, err = h.asker.List(t.Context(), site.TableUpstreams)
 	assert.NilError(t, err)
-	assert.Equal(t, h.store.count(), before+1, "and is for a while")
+	assert.Equal(t, h.store.count(), before+1, "and for a while after that")
 }
 
-// A node that is asked though it has not heard from the store lately, as another was
-// the reader until now, asks the store for all of them.
+// A node that is asked while its copy is stale, as another was the reader until now, reads the
+// store once for all askers.
 func TestStaleReaderReadsStoreOnceForAllAskers(t *testing.T) {
 	h := newTestHall(t)
 	h.store.add("a")
@@ -216,11 +215,10 @@
 	h.store.mu.Lock()
 	h.store.historyStart = h.store.version
 	h.store.mu.Unlock()
-	h.readOnceForAll(t, 2) // The changes since then, and the whole.
+	h.readOnceForAll(t, 2) // A call for the changes, and one for the whole table.
 }
 
-// readOnceForAll has several nodes read all rows at once, for so many calls to the
-// store.
+// readOnceForAll reads the table 8 times at once, and checks the number of calls to the store.
 func (h *testHall) readOnceForAll(t *testing.T, calls int) {
 	t.Helper()
 	before := h.store.count()
@@ -262,7 +260,7 @@
 	assert.ErrorIs(t, err, site.ErrHistoryGone)
 }
 
-// fleetReaders are the readers of a fleet of so many nodes in so many halls, by name.
+// fleetReaders returns the sharedReader of each node of a fleet, by node name.
 func fleetReaders(count, halls int) map[string]*sharedReader {
 	var list []control.Member
 	for i := range count {
@@ -285,14 +283,14 @@
 		for _, r := range fleetReaders(count, 2) {
 			_, ok := r.reader(site.TableUpstreams)
 			assert.Assert(t, !ok)
-			assert.Assert(t, !r.servesPeers(), "nobody is kept waiting for it")
+			assert.Assert(t, !r.servesPeers(), "its copy is not read by peers")
 		}
 	}
 }
 
-// Calls to the store were four tenths of what 18 nodes in 5 halls paid, when halls of up
-// to four nodes had no reader. Now one node of all reads each table for them, and in large
-// halls one of each hall.
+// Calls to the store were 40 % of the cost of 18 nodes in 5 halls when halls of up to four
+// nodes had no reader. Now one node reads each table for all small halls, and one of each
+// large hall.
 func TestReadersPerHallSize(t *testing.T) {
 	for _, c := range []struct{ nodes, halls, readers int }{{5, 3, 1}, {7, 3, 1}, {9, 3, 1}, {18, 5, 1}, {20, 5, 1}, {25, 5, 5}, {59, 3, 3}, {295, 5, 5}} {
 		for _, table := range []site.Table{site.TableOperator, site.TableUpstreams} {
@@ -311,14 +309,13 @@
 	}
 }
 
-// A store that has dropped its history may answer with a table as it was before:
-// nodes that ask the reader must not miss what it had heard meanwhile. Found by the
-// soak, seed 129.
+// A store that has dropped its history may answer with an older state of a table; nodes that
+// ask the reader must not miss changes it had already received. Found by the soak, seed 129.
 func TestReaderIgnoresOlderWholeTable(t *testing.T) {
 	h := newTestHall(t)
 	h.store.add("a")
 	h.readStore(t)
-	h.store.add("a") // Anew.
+	h.store.add("a") // Again.
 	_, err := h.reader.Changes(t.Context(), site.TableUpstreams, 1, 0)
 	assert.NilError(t, err)
 	h.store.mu.Lock()
@@ -336,8 +333,8 @@
 	assert.Equal(t, l.Rows[0].Version, int64(2))
 }
 
-// A node that heard of a change from another tells it on when it reads the store
-// again, though the store does not tell it once more. Found by the soak, seed 129.
+// A node that received a change from a peer passes it on after it goes back to reading the
+// store, which does not report it again. Found by the soak, seed 129.
 func TestChangesHeardFromPeersArePassedOn(t *testing.T) {
 	h := newTestHall(t)
 	h.store.add("a")
@@ -353,7 +350,7 @@
 	l, err := h.asker.Changes(t.Context(), site.TableUpstreams, 2, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, l.Rows[0].Key, "c")
-	h.skipReader() // It reads the store itself from now on.
+	h.skipReader() // The asker reads the store itself from now on.
 	h.store.add("d")
 	_, err = h.asker.Changes(t.Context(), site.TableUpstreams, l.Version, 0)
 	assert.NilError(t, err)
@@ -365,7 +362,7 @@
 	assert.Equal(t, len(rows), 2, "c and d")
 }
 
-// An answer that another has overtaken does not take its rows back.
+// An answer that arrives after a newer one does not revert rows.
 func TestLateAnswerDoesNotRevertRow(t *testing.T) {
 	h := newTestHall(t)
 	h.store.add("a")
@@ -383,7 +380,7 @@
 	assert.DeepEqual(t, rows, row(3).Rows)
 }
 
-// Where changes were missed, nothing is told on until the whole table is read.
+// After missed changes a node serves nothing until it has read the whole table.
 func TestReaderWithMissedChangesDoesNotAnswer(t *testing.T) {
 	h := newTestHall(t)
 	h.store.add("a")
@@ -394,7 +391,7 @@
 	h.readStore(t)
 }
 
-// A node that the store turns away hears from others what they have heard.
+// A node that the store refuses reads from its peers.
 func TestNodeWithoutStoreReadsFromPeers(t *testing.T) {
 	h := newTestHall(t)
 	h.store.add("a")
@@ -405,7 +402,7 @@
 	h.asker.log = slog.New(slog.NewTextHandler(&logged, nil))
 	h.skipReader() // Its hall's reader has failed it.
 	others := func() {
-		// All others of the hall answer at the address of the one that is real.
+		// All other members of the hall get the address of the one real node.
 		var list []control.Member
 		for _, m := range h.asker.members.All() {
 			if m.Name != h.asker.self.Name {
@@ -426,24 +423,24 @@
 	l, err = h.asker.Changes(t.Context(), site.TableUpstreams, l.Version, time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, l.Rows[0].Key, "b")
-	assert.Equal(t, failing.count(), calls, "the store is left alone for a while")
+	assert.Equal(t, failing.count(), calls, "the store is not called for a while")
 	h.asker.mu.Lock()
-	d := h.asker.outages[site.TableUpstreams]
-	d.retryAt = time.Time{}
-	h.asker.outages[site.TableUpstreams] = d
+	outage := h.asker.outages[site.TableUpstreams]
+	outage.retryAt = time.Time{}
+	h.asker.outages[site.TableUpstreams] = outage
 	h.asker.mu.Unlock()
 	failing.mu.Lock()
 	failing.fail, failing.version, failing.rows = false, l.Version, nil
 	failing.mu.Unlock()
 	_, err = h.asker.Changes(t.Context(), site.TableUpstreams, l.Version, 0)
 	assert.NilError(t, err)
-	assert.Assert(t, failing.count() > calls, "and then tried again")
+	assert.Assert(t, failing.count() > calls, "then it is tried again")
 	assert.Assert(t, !h.asker.storeUnreachable(site.TableUpstreams))
-	assert.Equal(t, strings.Count(logged.String(), "store not reached"), 1, "one line for the loss")
-	assert.Equal(t, strings.Count(logged.String(), "store reached again"), 1, "and one for the return")
+	assert.Equal(t, strings.Count(logged.String(), "store not reached"), 1, "one line when it is lost")
+	assert.Equal(t, strings.Count(logged.String(), "store reached again"), 1, "and one when it is back")
 }
 
-// With the store away from all, no node passes on what it heard long ago.
+// While no node reaches the store, none serves an old copy.
 func TestStaleTableIsNotServedDuringOutage(t *testing.T) {
 	h := newTestHall(t)
 	h.readStore(t)
@@ -457,8 +454,8 @@
 	assert.ErrorContains(t, err, "down")
 }
 
-// What is told to a whole hall is more than a narrow link carries: a configuration
-// of some 60 kB for 20 nodes holds one of 10 Mbit/s up for a second.
+// Relaying to a whole hall takes more than a narrow link carries: a configuration of some 60
+// kB for 20 nodes occupies a link of 10 Mbit/s for a second.
 func TestRelayDutiesGoToWidestLinks(t *testing.T) {
 	wide := control.Member{Name: "wide", DataHall: "h", Incarnation: 1, Link: 200, Peer: netip.MustParseAddrPort("127.0.0.1:1")}
 	self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1, Link: 10}
@@ -521,20 +518,20 @@
 	w.markLost("s")
 	w.mu.Unlock()
 	_, err = ask(2, 5)
-	assert.ErrorIs(t, err, errNotFollowed, "a store that its watcher does not hear is not told of")
+	assert.ErrorIs(t, err, errNotFollowed, "the events of a lost store are not served")
 }
 
-// cutOffIn is within what time a node has to know of a change though its reader is cut
-// off, or all that read for it are frozen: a site of a few nodes has a change in force
-// within 2 s. receivedIn is that while a reader receives for long, which takes links as
-// narrow and configurations as large as larger sites have: the rest of inForceWithin is
-// for putting it in force.
+// cutOffLimit is the time within which a node has to hear of a change though its reader is cut
+// off, or all its readers are frozen: a site of a few nodes has a change in force within 2 s.
+// slowReceiveLimit is the same while a reader receives a response slowly, which takes links as
+// narrow and configurations as large as larger sites have; the rest of inForceWithin is for
+// applying the change.
 const (
 	cutOffLimit      = 1900 * time.Millisecond
 	slowReceiveLimit = 2600 * time.Millisecond
 )
 
-// timeToHear returns how long the asker takes to hear of a change that the store has now.
+// timeToHear returns how long the asker takes to hear of a change that the store already has.
 func (h *testHall) timeToHear(t *testing.T, after int64) time.Duration {
 	t.Helper()
 	begun := time.Now()
@@ -546,8 +543,8 @@
 	}
 }
 
-// fillBoth has both nodes know the one row of the store, the reader from the store itself
-// and just now.
+// fillBoth adds a row to the store and has both nodes read it, the reader from the store
+// itself and just now.
 func (h *testHall) fillBoth(t *testing.T) {
 	t.Helper()
 	h.store.add("a")
@@ -557,10 +554,10 @@
 	h.readStore(t)
 }
 
-// blackholeStore is the store behind a link that is cut: calls end at their limit.
+// blackholeStore is the store behind a cut link: calls end at their timeout.
 type blackholeStore struct{ *fakeTableStore }
 
-// callTimeout is by how much a call's limit exceeds the time for which it is held.
+// callTimeout is by how much a call's timeout exceeds its hold time.
 const callTimeout = 700 * time.Millisecond
 
 func (s blackholeStore) Changes(ctx context.Context, _ site.Table, _ int64, wait time.Duration) (site.Listing, error) {
@@ -568,16 +565,11 @@
 	return site.Listing{}, fmt.Errorf("timeout")
 }
 
-// Symptom: nodes of a hall had a change 3.0 s after the store and later, where 3 s are
-// allowed for it to be in force.
-// Sequence: the hall's reader lost its link to the store, and not those to the hall. Its
-// calls to the store went on until their limits, one after the other, and it answered
-// the hall meanwhile that it had heard of nothing.
-// Cause: while a reader's own call was under way, its knowledge counted as no older than
-// at the call's beginning, for 3.5 s and whether anything came or not; a node that asked
-// was held for a second more each time.
-// What settled it: with nothing but such calls under way, the change was heard of after
-// 4.0 s.
+// Nodes of a hall had a change 3.0 s and more after the store, where it has to be in force
+// within 3 s. The hall's reader had lost its link to the store, but not to the hall. While its
+// own calls to the store ran into their timeouts, its copy counted as no older than at the
+// call's beginning, for 3.5 s and whether anything arrived or not, so it held each peer's call
+// for another second and answered that nothing had changed.
 func TestCutOffReaderIsSkippedInTime(t *testing.T) {
 	t.Parallel()
 	h := newTestHall(t)
@@ -588,15 +580,14 @@
 			_, _ = h.reader.readStore(t.Context(), changesRequest{Table: site.TableUpstreams, After: 1}, storePollWait) // It fails.
 		}
 	}()
-	time.Sleep(20 * time.Millisecond) // The first call is under way.
+	time.Sleep(20 * time.Millisecond) // The first call is in flight.
 	h.store.add("b")
 	took := h.timeToHear(t, 1)
 	t.Logf("heard after %v", took)
 	assert.Assert(t, took < cutOffLimit, "%v", took)
 }
 
-// slowStore is the store behind a link that carries little: a large answer has begun
-// and goes on coming.
+// slowStore is the store behind a slow link: a large response has begun and keeps arriving.
 type slowStore struct {
 	*fakeTableStore
 	largeAt time.Time
@@ -609,13 +600,9 @@
 	return site.Listing{}, ctx.Err()
 }
 
-// Symptom: nodes of a hall had a change 4.0 s after the store.
-// Sequence: the hall's reader was receiving the store's answer over a link that carried
-// less than usual; the hall waited for it though their own links were free.
-// Cause: a reader's call to the store was waited for for 3.5 s, which leaves no time to
-// ask another.
-// What settled it: with nothing but a call that never ended under way, the change was
-// heard of after 4.0 s.
+// Nodes of a hall had a change 4.0 s after the store. The hall's reader was receiving the
+// response over a link slower than usual, and peers waited 3.5 s for it, which left no time to
+// ask another node, though their own links were free.
 func TestSlowlyReceivingReaderIsSkippedInTime(t *testing.T) {
 	t.Parallel()
 	h := newTestHall(t)
@@ -624,21 +611,17 @@
 	go func() {
 		_, _ = h.reader.readStore(t.Context(), changesRequest{Table: site.TableUpstreams, After: 1}, storePollWait) // It never ends.
 	}()
-	time.Sleep(50 * time.Millisecond) // The call is under way.
+	time.Sleep(50 * time.Millisecond) // The call is in flight.
 	h.store.add("b")
 	took := h.timeToHear(t, 1)
 	t.Logf("heard after %v", took)
 	assert.Assert(t, took < slowReceiveLimit, "%v", took)
 }
 
-// Symptom: a node that had lost the store or its reader once never had a large change
-// again; its link was full meanwhile, 18 MB in 15 s for an answer of 2 MB.
-// Sequence: its follower's call had failed. The next one, to a node of its hall, was
-// ended before the answer was whole, which counted as a failure; so on from there.
-// Cause: a call after a failed one had a limit on the whole, of 0.6 to 1.3 s, which a
-// large answer over a link of 10 Mbit/s takes alone.
-// What settled it: with the follower's last call noted as failed and nothing else out of
-// order, the answer did not come.
+// A node that had once lost the store or its reader never received a large change again; its
+// link was full meanwhile, 18 MB in 15 s for an answer of 2 MB. A call after a failed one had
+// a timeout of 0.6 to 1.3 s for the whole answer, which a large one over a link of 10 Mbit/s
+// exceeds; that counted as the next failure, and so on.
 func TestLargeAnswerArrivesAfterFailedCall(t *testing.T) {
 	t.Parallel()
 	const (
@@ -667,7 +650,7 @@
 		assert.Check(t, err == nil || ctx.Err() != nil, "%v", err)
 	}
 	read(1)
-	_, _, _, err := h.reader.answer(changesRequest{Table: site.TableUpstreams, After: 1}) // It is packed.
+	_, _, _, err := h.reader.answer(changesRequest{Table: site.TableUpstreams, After: 1}) // Packs the answer.
 	assert.NilError(t, err)
 	got := make(chan int, 1)
 	f := &follower{
@@ -680,7 +663,7 @@
 	defer wg.Wait()
 	defer cancel()
 	wg.Go(func() {
-		for ctx.Err() == nil { // The reader goes on hearing from the store.
+		for ctx.Err() == nil { // The reader keeps reading the store.
 			sleep(ctx, storePollWait/4)
 			read(2)
 		}
@@ -693,14 +676,14 @@
 		t.Logf("came after %v, %d bytes over the link", took, link.got.Load())
 		assert.Equal(t, n, size)
 		assert.Assert(t, took < inForceWithin, "%v", took)
-		assert.Assert(t, link.got.Load() > size, "the reader told it")
+		assert.Assert(t, link.got.Load() > size, "the answer came from the reader")
 		assert.Assert(t, link.got.Load() < 2*size, "it was sent once: %d bytes", link.got.Load())
 	case <-time.After(2 * inForceWithin):
 		t.Fatalf("not within %v: %d bytes over the link", time.Since(begun), link.got.Load())
 	}
 }
 
-// setReaderAddr has the asker reach the hall's reader at another address.
+// setReaderAddr gives the reader another address at the asker.
 func (h *testHall) setReaderAddr(addr netip.AddrPort) {
 	var list []control.Member
 	for _, m := range h.asker.members.All() {
@@ -712,12 +695,9 @@
 	h.asker.members.Merge(list, time.Now())
 }
 
-// Symptom: nodes of a hall had a change 2.8 s after the store.
-// Sequence: both nodes to which the duty of reading fell were frozen; the call to each
-// lasted for 1.4 s, one after the other.
-// Cause: the second reader, too, was asked to hold the call for a second, though what the
-// first had not told was wanted at once.
-// What settled it: the time was that of two calls that are held, 1.4 s each.
+// Nodes of a hall had a change 2.8 s after the store when both readers of the table were
+// frozen: the second one, too, was long-polled, so that the two calls took 1.4 s each, though
+// an answer was due at once after the first had failed.
 func TestTwoFrozenReadersAreSkippedInTime(t *testing.T) {
 	t.Parallel()
 	h := newTestHall(t)
@@ -747,13 +727,9 @@
 	assert.Assert(t, took < cutOffLimit, "%v", took)
 }
 
-// Symptom: a store that turned callers away was called 20 times at once, each call paid
-// for, by one node.
-// Sequence: 20 nodes of a hall asked a node that had not heard from the store lately. It
-// asked the store for the first, failed, and did so again for each of the others.
-// Cause: those that waited for a call which was under way began one of their own when it
-// had failed, one after the other.
-// What settled it: 20 calls at the store for 20 nodes that asked at once.
+// One node called a store that refused calls 20 times at once, each call paid for. 20 nodes of
+// a hall had asked it while its copy was stale; each request that waited for the call in
+// flight made one of its own after that had failed.
 func TestFailingStoreIsNotCalledForEachAsker(t *testing.T) {
 	t.Parallel()
 	const nodes = 20
@@ -768,7 +744,7 @@
 		for range nodes {
 			wg.Go(func() {
 				_, err := h.asker.askNode(t.Context(), h.server.Addr(), changesRequest{Table: site.TableUpstreams, After: 1, WaitMS: 100})
-				assert.Check(t, err != nil, "what is known is old")
+				assert.Check(t, err != nil, "the copy is stale")
 			})
 		}
 		wg.Wait()
@@ -785,13 +761,9 @@
 	assert.Assert(t, failing.count() <= maxCalls(), "%d calls in %v", failing.count(), time.Since(begun))
 }
 
-// Symptom: a row was missing from the whole table that a node told to others, until it
-// changed again.
-// Sequence: the node had heard of the row's change before it took in a whole table that
-// was read earlier, in which the row was older.
-// Cause: a row that was older than what was known was left out of the new table, instead
-// of what was known taken over.
-// What settled it: the row in the answer before the whole table and in none after.
+// A row was missing from the whole table that a node served, until it changed again. The node
+// had heard of the row's change before it applied a whole table that was read earlier: the
+// older row was skipped without carrying the newer one over.
 func TestWholeTableKeepsNewerRow(t *testing.T) {
 	h := newTestHall(t)
 	q := changesRequest{Table: site.TableUpstreams, Whole: true}
@@ -805,12 +777,9 @@
 	assert.DeepEqual(t, rows, newer)
 }
 
-// Symptom: nodes whose held calls ended just as a configuration of 5,600 routes came had
-// it a call later.
-// Sequence: the reader took the change in, woke the calls that were held, and packed it
-// for the first of them, 13 ms; calls that ended meanwhile were behind it.
-// Cause: what nodes are told was packed when the first of them was answered.
-// What settled it: no packed answer is there when a change has been taken in.
+// Nodes whose long polls ended just as a configuration of 5,600 routes arrived had it only
+// with their next poll: the change was packed, in 13 ms, only when the first of them was
+// answered.
 func TestChangeIsPackedBeforePeersAsk(t *testing.T) {
 	h := newTestHall(t)
 	row := func(version int64, routes int) site.Listing {
@@ -823,24 +792,20 @@
 	a, _, _, err := h.reader.answer(changesRequest{Table: site.TableOperator, After: 1, HaveRef: rowRef{Key: operatorKey, Version: 1}})
 	assert.NilError(t, err)
 	assert.Equal(t, a.Rows.Base, rowRef{Key: operatorKey, Version: 1})
-	assert.Equal(t, len(x.packed), 1, "it is what a node that is up to date is told")
+	assert.Equal(t, len(x.packed), 1, "the answer was packed before")
 }
 
-// Symptom: a node that was told to stop waited for 11.4 s for what it was reading.
-// Sequence: the store's answer came in small pieces, each in time, and went on coming.
-// Cause: an answer was waited for for 10 s more than its limit, which is longer than a
-// stop may take.
-// What settled it: the follower was in the call to the store all the while; it ended when
-// the call did.
+// A node took 11.4 s to stop while the store's answer arrived in small pieces: an answer was
+// waited for up to 10 s beyond its timeout, which is longer than a stop may take.
 func TestStopDoesNotWaitForSlowStore(t *testing.T) {
 	t.Parallel()
 	const (
 		interval = 200 * time.Millisecond // Between the pieces of the answer.
-		limit    = 6 * time.Second        // A call's own limit and 4 s are 4.8 s.
+		limit    = 6 * time.Second        // A call's own timeout and 4 s are 4.8 s.
 	)
 	started := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, _ = w.Write([]byte(`{"rows":[`)) // A caller that has gone needs none.
+		_, _ = w.Write([]byte(`{"rows":[`)) // The error doesn't matter once the caller has gone.
 		w.(http.Flusher).Flush()
 		close(started)
 		for r.Context().Err() == nil {
--- a/service/gateway/store_events.go
+++ b/service/gateway/store_events.go
@@ -15,27 +15,28 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// A store of kept state serves so many calls for its events at once. Where there
-// are more nodes than that, one node of each hall follows a store and the others
-// ask it.
+// A KV cache store accepts a limited number of concurrent calls for its events. With more
+// nodes than that, one node of each data hall, the relay, follows a store, and the others poll
+// the relay.
 const (
-	// methodStoreEvents asks a watcher for a store's events.
+	// methodStoreEvents asks a relay for one store's events.
 	methodStoreEvents = "gateway.events"
 	// methodEventsOfStores asks it for those of several stores at once: a call for each of 58
-	// stores is some 80 calls a second at each node. The own code of 18 nodes with 35 stores
-	// takes 18.0 s for 22.4 s of a day, and 22.0 for 24.1 of another, one run each.
+	// stores is some 80 calls a second at each node. With it, the CPU time of 18 nodes with 35
+	// stores was 18.0 s instead of 22.4 s in one simulated day, and 22.0 s instead of 24.1 s
+	// in another, one run each.
 	methodEventsOfStores = "gateway.events_of"
-	// watchDuty names the duty of following a store for a hall.
+	// watchDuty is the prefix of the duty of following a store for a hall.
 	watchDuty = "watch/"
-	// spareWatches are calls of a store that are left for nodes that start or
-	// take over. What a watcher tells is known later, so each node follows the
-	// stores itself as long as that fits.
+	// spareWatches are the concurrent calls of a store that are left for nodes that start or
+	// take over. Relayed events arrive later, so each node follows the stores itself as long
+	// as that fits.
 	spareWatches = 2
-	// maxKeptBatches is how many answers of a store a watcher keeps for others.
+	// maxKeptBatches is how many event batches of a store a relay keeps for other nodes.
 	maxKeptBatches = 512
 )
 
-// eventsRequest are methodEvents' parameters.
+// eventsRequest are the parameters of methodStoreEvents.
 type eventsRequest struct {
 	Store  string `json:"store"`
 	Boot   int64  `json:"boot"`
@@ -43,18 +44,18 @@
 	WaitMS int64  `json:"wait_ms"`
 }
 
-// errNotFollowed says that a node does not follow the store itself.
+// errNotFollowed is returned by a node that does not follow the store itself, or has lost it.
 var errNotFollowed = errors.New("this node does not follow the store")
 
-// relayedStore is what a watcher keeps of a store's events.
+// relayedStore holds the events of one store that a relay keeps for other nodes.
 type relayedStore struct {
 	batches []site.CacheChanges
-	since   int64 // The events since here are kept.
+	since   int64 // The position from which on events are kept.
 	lost    bool
 	changed chan struct{}
 }
 
-// storeEventRelay follows stores for the nodes of a hall.
+// storeEventRelay reads stores' events and keeps them for the other nodes of its hall.
 type storeEventRelay struct {
 	engines Engines
 	self    control.Member
@@ -69,8 +70,8 @@
 	return &storeEventRelay{engines: engines, self: self, members: members, client: client, stores: map[string]*relayedStore{}}
 }
 
-// relayFor is the node that follows a store for this hall; ok is false if this
-// node follows it itself.
+// relayFor is the node that follows a store for this hall; ok is false if this node follows it
+// itself.
 func (w *storeEventRelay) relayFor(v *site.Service) (addr netip.AddrPort, ok bool) {
 	if n := len(w.members.Working()); v.Store.MaxWatches <= 0 || n <= v.Store.MaxWatches-spareWatches {
 		return addr, false
@@ -79,12 +80,12 @@
 	return owner.Peer, found && owner.Name != w.self.Name
 }
 
-// changes waits for a store's events since a point of its start boot.
+// changes waits for a store's events after position since of its start boot.
 func (w *storeEventRelay) changes(ctx context.Context, v *site.Service, boot, since int64, wait time.Duration) (c site.CacheChanges, err error) {
 	if addr, ok := w.relayFor(v); ok {
 		q := eventsRequest{Store: v.Name, Boot: boot, Since: since, WaitMS: wait.Milliseconds()}
 		err = w.client.CallWithin(ctx, wait+answerSlack, addr, methodStoreEvents, q, &c)
-		return c, eris.Wrap(err, "ask watcher")
+		return c, eris.Wrap(err, "ask store event relay")
 	}
 	c, err = w.engines.Changes(ctx, v.Store.Addr, since, wait)
 	w.mu.Lock()
@@ -97,7 +98,7 @@
 	return c, nil
 }
 
-// record adds an answer to what is kept for others.
+// record adds an answer of the store to the events kept for other nodes; the caller holds mu.
 func (w *storeEventRelay) record(name string, since int64, c site.CacheChanges) {
 	s := w.stores[name]
 	if s == nil {
@@ -123,7 +124,7 @@
 	s.changed = make(chan struct{})
 }
 
-// markLost notes that a store is not heard; the caller holds mu.
+// markLost records that a store can't be reached; the caller holds mu.
 func (w *storeEventRelay) markLost(name string) {
 	if s := w.stores[name]; s != nil {
 		s.lost = true
@@ -132,7 +133,7 @@
 	}
 }
 
-// serve answers a node that asks for a store's events.
+// serve handles methodStoreEvents.
 func (w *storeEventRelay) serve(ctx context.Context, params json.RawMessage) (any, error) {
 	var q eventsRequest
 	if err := json.Unmarshal(params, &q); err != nil {
@@ -157,22 +158,22 @@
 	}
 }
 
-// storeEventsResult is what a watcher tells of one store, or why it can't.
+// storeEventsResult holds the events of one store, or why there are none.
 type storeEventsResult struct {
 	Changes site.CacheChanges `json:"changes"`
 	Err     string            `json:"err,omitempty"`
 }
 
-// results asks a node for the events of several stores, in the same order. A node of the
-// version before knows the call for one store only.
-func (w *storeEventRelay) results(ctx context.Context, addr netip.AddrPort, requests []eventsRequest) (results []storeEventsResult, err error) {
-	defer func() { err = eris.Wrap(err, "ask watcher") }()
+// pollSeveral asks a relay for the events of several stores; the results are in the same
+// order. A relay of the previous version only knows the call for one store.
+func (w *storeEventRelay) pollSeveral(ctx context.Context, addr netip.AddrPort, requests []eventsRequest) (results []storeEventsResult, err error) {
+	defer func() { err = eris.Wrap(err, "ask store event relay") }()
 	err = w.client.CallWithin(ctx, refreshTimeout, addr, methodEventsOfStores, requests, &results)
 	if peer.UnknownMethod(err) {
 		return w.pollOneByOne(ctx, addr, requests)
 	}
 	if err == nil && len(results) != len(requests) {
-		return nil, eris.Errorf("told of %d stores of %d", len(results), len(requests))
+		return nil, eris.Errorf("relay answered for %d of %d stores", len(results), len(requests))
 	}
 	return results, err
 }
@@ -188,8 +189,8 @@
 	return results, ctx.Err()
 }
 
-// serveSeveral answers a node that asks for the events of several stores. It does not
-// wait for any: who asks for so many comes again soon.
+// serveSeveral handles methodEventsOfStores. It doesn't wait for events: callers poll again
+// soon.
 func (w *storeEventRelay) serveSeveral(_ context.Context, params json.RawMessage) (any, error) {
 	var requests []eventsRequest
 	if err := json.Unmarshal(params, &requests); err != nil {
@@ -207,19 +208,19 @@
 	return results, nil
 }
 
-// since collects what is kept behind a point; with what is no longer kept, it
-// says that some are lost.
-func (w *storeEventRelay) since(q eventsRequest) (c site.CacheChanges, changed chan struct{}, err error) {
+// since returns the kept events after a position; Lost is set if the kept events don't reach
+// back that far.
+func (w *storeEventRelay) since(req eventsRequest) (c site.CacheChanges, changed chan struct{}, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := w.stores[q.Store]
+	s := w.stores[req.Store]
 	if s == nil || s.lost || len(s.batches) == 0 {
 		return c, nil, errNotFollowed
 	}
 	last := s.batches[len(s.batches)-1]
 	c = site.CacheChanges{Boot: last.Boot, Next: last.Next, Clock: last.Clock}
-	since := q.Since
-	if q.Boot != last.Boot {
+	since := req.Since
+	if req.Boot != last.Boot {
 		since = 0
 	}
 	c.Lost = since < s.since
--- a/service/gateway/store_outage.go
+++ b/service/gateway/store_outage.go
@@ -12,44 +12,43 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// A node that the platform's store turns away, or that is cut off from it, asks
-// other nodes for what they have heard: the configuration, keys that are taken
-// away and replicas that leave hold for it as for them.
+// A node that the platform's store refuses, or that can't reach it, reads the tables from
+// other nodes, so that configuration changes, revoked keys and leaving replicas take effect on
+// it as well.
 const (
-	// storeRetryInterval is for how long others are asked before the store is tried
-	// again.
+	// storeRetryInterval is how long peers are asked before the store is tried again.
 	storeRetryInterval = 2 * time.Second
-	// storeRetryTimeout bounds a call that finds out whether the store can be reached
-	// again: nothing is heard meanwhile.
+	// storeRetryTimeout limits a call that tests whether the store is reachable again; the
+	// node hears nothing during the call.
 	storeRetryTimeout = 400 * time.Millisecond
-	// outageMaxAge is the age from which on another node's knowledge is not used:
-	// its held call to the store should have ended before.
+	// outageMaxAge is the age from which a peer's copy of a table is not used: the peer's long
+	// poll of the store should have ended before.
 	outageMaxAge = 3500 * time.Millisecond
 )
 
-// storeOutage is how a node that does not reach the store keeps up with one table.
+// storeOutage is the state of one table while the store can't be reached.
 type storeOutage struct {
-	since      time.Time // Since when the store is not reached, zero if it is.
-	retryAt    time.Time // Others are asked until then.
-	peersAsked int       // Others that were asked.
-	logged     bool      // Whether it was logged.
+	since      time.Time // When the store was first not reached; zero if it is reachable.
+	retryAt    time.Time // Peers are asked until then.
+	peersAsked int       // Number of calls to peers.
+	logged     bool
 }
 
-// readsFromPeers says whether others are to be asked for a table.
+// readsFromPeers reports whether peers are to be asked for a table before the store.
 func (r *sharedReader) readsFromPeers(t site.Table) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return boottime.Now().Before(r.outages[t].retryAt)
 }
 
-// storeUnreachable says whether the store was not reached lately.
+// storeUnreachable reports whether the last call to the store for a table failed.
 func (r *sharedReader) storeUnreachable(t site.Table) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.outages[t].since.IsZero()
 }
 
-// noteStoreUnreachable notes that the store was not reached.
+// noteStoreUnreachable records that a call to the store failed.
 func (r *sharedReader) noteStoreUnreachable(t site.Table) {
 	now := boottime.Now()
 	r.mu.Lock()
@@ -62,8 +61,8 @@
 	r.outages[t] = o
 }
 
-// logServedByPeer notes that another node told what the store, which failed by err, did
-// not. Where no node does, whoever follows the table logs that.
+// logServedByPeer logs, once per outage, that a peer answered in place of the store, which
+// failed with err. If no peer answers either, the caller logs the failure.
 func (r *sharedReader) logServedByPeer(t site.Table, err error) {
 	r.mu.Lock()
 	o := r.outages[t]
@@ -76,7 +75,7 @@
 	}
 }
 
-// noteStoreReached notes that the store was reached.
+// noteStoreReached ends the outage of a table.
 func (r *sharedReader) noteStoreReached(t site.Table) {
 	r.mu.Lock()
 	o := r.outages[t]
@@ -87,8 +86,7 @@
 	}
 }
 
-// readStoreOrPeer reads a table from the store, or from another node while the store is
-// not reached.
+// readStoreOrPeer reads a table from the store, or from a peer while the store is unreachable.
 func (r *sharedReader) readStoreOrPeer(ctx context.Context, q changesRequest, read func(context.Context) (site.Listing, error)) (l site.Listing, err error) {
 	if r.readsFromPeers(q.Table) {
 		if l, err = r.askPeer(ctx, q); err == nil || errors.Is(err, site.ErrHistoryGone) {
@@ -111,7 +109,7 @@
 	return fromPeer, peerErr
 }
 
-// callStore makes one call to the store, a short one if the last did not reach it.
+// callStore calls the store once, with a short timeout if the last call failed.
 func (r *sharedReader) callStore(ctx context.Context, t site.Table, read func(context.Context) (site.Listing, error)) (site.Listing, error) {
 	if r.storeUnreachable(t) {
 		var cancel context.CancelFunc
@@ -121,10 +119,10 @@
 	return read(ctx)
 }
 
-// errNoPeer says that there is no other node to ask.
+// errNoPeer is returned if no other node is known.
 var errNoPeer = errors.New("no other node is known")
 
-// askPeer asks one of the other nodes, by turns one of the same hall and any.
+// askPeer asks one other node, alternating between this data hall and all halls.
 func (r *sharedReader) askPeer(ctx context.Context, q changesRequest) (l site.Listing, err error) {
 	r.mu.Lock()
 	o := r.outages[q.Table]
@@ -139,7 +137,7 @@
 	return r.askNode(ctx, addr, q)
 }
 
-// pickPeer picks a node that is well, of this hall if there is one and near is set.
+// pickPeer picks a random live node, of this data hall if sameHall is set and it has one.
 func (r *sharedReader) pickPeer(sameHall bool) (addr netip.AddrPort, ok bool) {
 	var peers, hallPeers []control.Member
 	for _, m := range r.members.All() {
--- a/service/gateway/stores.go
+++ b/service/gateway/stores.go
@@ -18,28 +18,27 @@
 )
 
 const (
-	// eventPollWait is for how long a call for a store's events is held.
+	// eventPollWait is how long a long poll for a store's events is held.
 	eventPollWait = time.Second
-	// eventPollPause is kept between two calls, so that events come in groups.
+	// eventPollPause is the pause between two polls, so that events arrive in batches.
 	eventPollPause = 200 * time.Millisecond
-	// relayPollPause is kept between two calls to a node that tells of stores: each of many
-	// nodes makes them.
+	// relayPollPause is the pause between two polls of a relay: many nodes poll each relay.
 	relayPollPause = 600 * time.Millisecond
-	// relayPollRetry is kept before a node that does not yet know a store that it is to tell of
-	// is asked again, and doubles up to toldPause: nodes that start together choose one that
-	// has only just begun to follow the stores. With toldPause each time, half of 71 nodes
-	// knew what stores have 1.7 s after all had lost power.
+	// relayPollRetry is the first pause before a relay that doesn't know a store's contents
+	// yet is polled again; it doubles up to relayPollPause. Nodes that start together choose a
+	// relay that has only just begun to follow the stores: with relayPollPause each time, half
+	// of 71 nodes knew the stores' contents only 1.7 s after all had lost power.
 	relayPollRetry = 40 * time.Millisecond
-	// eventPollRetry is kept after a failed call.
+	// eventPollRetry is the pause after a failed poll.
 	eventPollRetry = 400 * time.Millisecond
-	// freeInterval is how often a store is looked at for what can be freed.
+	// freeInterval is how often stores are checked for parts that can be freed.
 	freeInterval = 500 * time.Millisecond
-	// maxFreedPerCall is how many parts are freed in one call.
+	// maxFreedPerCall limits the parts that are freed in one call.
 	maxFreedPerCall = 200
 )
 
-// kvStoreFollower follows the events of the stores of kept state, and frees what will not
-// be used again.
+// kvStoreFollower follows the events of the KV cache stores, and frees parts that will not be
+// used again.
 type kvStoreFollower struct {
 	engines Engines
 	relay   *storeEventRelay
@@ -53,21 +52,21 @@
 	mu       sync.Mutex
 	inputs   storeFollowInputs
 	followed map[string]*followedStore
-	relays   map[netip.AddrPort]context.CancelFunc // Nodes that are asked about stores.
+	relays   map[netip.AddrPort]context.CancelFunc // Relays that this node polls.
 	wg       sync.WaitGroup
 }
 
-// storeFollowInputs are what it depends on which stores a node follows and whom it asks.
+// storeFollowInputs determine which stores a node follows itself and which relays it polls.
 type storeFollowInputs struct {
 	view     *control.View
 	snapshot *site.Snapshot
 }
 
-// followedStore is how far a store's events are known here; stores.mu guards it.
+// followedStore is how far this node has read a store's events; kvStoreFollower.mu guards it.
 type followedStore struct {
 	service *site.Service
-	// relay is the node that tells of the store; it is not set where cancel is, which
-	// ends this node's own following.
+	// relay is the node that passes on the store's events. It is zero while this node follows
+	// the store itself; cancel ends that.
 	relay  netip.AddrPort
 	cancel context.CancelFunc
 	boot   int64
@@ -75,8 +74,8 @@
 	lost   bool
 }
 
-// refresh starts following stores that are new and stops following those that are
-// gone; the timer service calls it.
+// refresh starts following new stores and stops following removed ones; the timer service
+// calls it.
 func (s *kvStoreFollower) refresh(context.Context) {
 	inputs := storeFollowInputs{view: s.members.View(), snapshot: s.state.Snapshot()}
 	s.mu.Lock()
@@ -118,7 +117,7 @@
 	}
 }
 
-// followDirectly starts following a store itself; the caller holds mu.
+// followDirectly starts following a store without a relay; the caller holds mu.
 func (s *kvStoreFollower) followDirectly(f *followedStore) {
 	f.relay = netip.AddrPort{}
 	var ctx context.Context
@@ -126,7 +125,7 @@
 	s.wg.Go(func() { s.followStore(ctx, f) })
 }
 
-// setRelays starts and stops asking nodes about stores; the caller holds mu.
+// setRelays starts polling new relays and stops polling those not listed; the caller holds mu.
 func (s *kvStoreFollower) setRelays(relays map[netip.AddrPort]bool) {
 	for addr, cancel := range s.relays {
 		if !relays[addr] {
@@ -143,8 +142,8 @@
 	}
 }
 
-// restart forgets that it knows what stores have, and follows them anew, as of where it
-// was: what was freed meanwhile is not to be fetched. It says how many there are.
+// restart marks the contents of all stores as stale and follows them again from the last known
+// position: parts freed in the meantime must not be fetched. It returns the number of stores.
 func (s *kvStoreFollower) restart() int {
 	s.mu.Lock()
 	names := slices.Collect(maps.Keys(s.followed))
@@ -171,7 +170,7 @@
 	s.wg.Wait()
 }
 
-// followStore takes in one store's events until ctx ends.
+// followStore applies one store's events until ctx ends.
 func (s *kvStoreFollower) followStore(ctx context.Context, f *followedStore) {
 	for ctx.Err() == nil {
 		req := s.request(f)
@@ -187,7 +186,7 @@
 	}
 }
 
-// pollRelay takes in what another node tells of stores until ctx ends.
+// pollRelay applies the events that a relay passes on until ctx ends.
 func (s *kvStoreFollower) pollRelay(ctx context.Context, addr netip.AddrPort) {
 	retry := relayPollRetry
 	for ctx.Err() == nil {
@@ -196,7 +195,7 @@
 		for _, f := range s.relayedBy(addr) {
 			stores, requests = append(stores, f), append(requests, s.request(f))
 		}
-		results, err := s.relay.results(ctx, addr, requests)
+		results, err := s.relay.pollSeveral(ctx, addr, requests)
 		if ctx.Err() != nil {
 			return
 		}
@@ -222,7 +221,7 @@
 	}
 }
 
-// relayedBy lists the stores that a node tells of.
+// relayedBy lists the stores whose events come from a relay.
 func (s *kvStoreFollower) relayedBy(addr netip.AddrPort) (list []*followedStore) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,15 +233,15 @@
 	return list
 }
 
-// request asks for what is not yet known of a store.
+// request asks for the events after the last known position of a store.
 func (s *kvStoreFollower) request(f *followedStore) eventsRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return eventsRequest{Store: f.service.Name, Boot: f.boot, Since: f.since, WaitMS: eventPollWait.Milliseconds()}
 }
 
-// applyEvents takes in a store's events, or that they were not to be had, and says whether they
-// were.
+// applyEvents applies a store's events, or marks its contents as stale if err is set; it
+// reports whether there was no error.
 func (s *kvStoreFollower) applyEvents(f *followedStore, c site.CacheChanges, err error) bool {
 	now, name := boottime.Now(), f.service.Name
 	s.mu.Lock()
@@ -267,8 +266,8 @@
 	return true
 }
 
-// freeUnused drops what was made under replaced weights from the stores that fall to
-// this node; the timer service calls it.
+// freeUnused frees parts made under replaced weights in the stores that this node is
+// responsible for; the timer service calls it.
 func (s *kvStoreFollower) freeUnused(ctx context.Context) {
 	snapshot := s.state.Snapshot()
 	if snapshot == nil {
@@ -293,9 +292,8 @@
 	}
 }
 
-// replaced says whether state of a realm will not be used again: newer weights
-// were named long enough ago that no replica has the old ones and no fetch of
-// it is under way.
+// replaced reports whether KV cache of a realm will not be used again: newer weights were
+// named long enough ago that no replica has the old ones and no fetch for them is in flight.
 func (s *kvStoreFollower) replaced(realm string, now time.Time) bool {
 	model, version, ok := weightsOf(realm)
 	if !ok {
@@ -315,5 +313,6 @@
 	return true
 }
 
-// replacedTerm is twice the longest fetch, and more for nodes that hear late.
+// replacedTerm is twice the longest fetch, plus a margin for nodes that hear of new weights
+// late.
 const replacedTerm = 2*fetchTerm + time.Second
--- a/service/gateway/stores_test.go
+++ b/service/gateway/stores_test.go
@@ -18,15 +18,15 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// relayedStores is a node of a hall that is told of many stores by another node.
+// relayedStores is a node that gets the events of many stores from a relay of its hall.
 type relayedStores struct {
 	*kvStoreFollower
-	relayNode *storeEventRelay // At the other node.
+	relayNode *storeEventRelay // On the relay.
 	calls     map[string]*atomic.Int64
 	names     []string
 }
 
-// newRelayedStores returns such a node; methods are those that the other node knows.
+// newRelayedStores returns such a node; methods are those that the relay serves.
 func newRelayedStores(t *testing.T, count int, methods ...string) *relayedStores {
 	log := slog.New(slog.DiscardHandler)
 	x := &relayedStores{relayNode: newStoreEventRelay(nil, control.Member{}, nil, nil), calls: map[string]*atomic.Int64{}}
@@ -76,18 +76,18 @@
 	x.relayNode.record(name, since, site.CacheChanges{Boot: 1, Next: next, Changes: parts})
 }
 
-// parts counts what is known to be kept at all stores that are heard.
-func (x *relayedStores) parts() (parts, heard int) {
+// parts counts the known parts in connected stores.
+func (x *relayedStores) parts() (parts, connected int) {
 	for _, s := range x.cache.Status() {
 		if s.Connected {
-			heard++
+			connected++
 			parts += s.Parts
 		}
 	}
-	return parts, heard
+	return parts, connected
 }
 
-// A call for each of 58 stores is some 80 calls a second at each node.
+// A call for each of 58 stores would be some 80 calls a second at each node.
 func TestManyStoresArePolledInOneCall(t *testing.T) {
 	t.Parallel()
 	const count = 58
@@ -97,10 +97,10 @@
 	}
 	begun := time.Now()
 	x.refresh(t.Context())
-	eventually(t, "all stores are told of", func() bool { parts, heard := x.parts(); return parts == count && heard == count })
+	eventually(t, "the parts of all stores are known", func() bool { parts, connected := x.parts(); return parts == count && connected == count })
 	x.record("s00", 10, 20, part("b", 100))
 	x.record("s01", 10, 20, part("a", 0))
-	eventually(t, "and what changes", func() bool {
+	eventually(t, "changes are known", func() bool {
 		s := x.cache.Status()
 		return s[0].Parts == 2 && s[1].Parts == 0
 	})
@@ -108,47 +108,45 @@
 	assert.Assert(t, x.calls[methodEventsOfStores].Load() <= 1+int64(time.Since(begun)/relayPollPause))
 }
 
-// A store that its follower does not hear is not used, and the others are.
+// A store that the relay can't reach is not used; the others are.
 func TestUnreachableStoreDoesNotHideOthers(t *testing.T) {
 	t.Parallel()
 	x := newRelayedStores(t, 3, methodStoreEvents, methodEventsOfStores)
 	x.record("s00", 0, 10, part("a", 100))
 	x.record("s01", 0, 10, part("a", 100))
 	x.refresh(t.Context())
-	eventually(t, "two are heard", func() bool { parts, heard := x.parts(); return parts == 2 && heard == 2 })
+	eventually(t, "two stores are connected", func() bool { parts, connected := x.parts(); return parts == 2 && connected == 2 })
 	x.relayNode.mu.Lock()
 	x.relayNode.markLost("s00")
 	x.relayNode.mu.Unlock()
-	eventually(t, "one is no longer", func() bool { _, heard := x.parts(); return heard == 1 })
+	eventually(t, "one store is connected", func() bool { _, connected := x.parts(); return connected == 1 })
 	x.record("s00", 10, 20, part("b", 100))
 	x.record("s02", 0, 10, part("a", 100))
-	eventually(t, "all are", func() bool { _, heard := x.parts(); return heard == 3 })
+	eventually(t, "all stores are connected", func() bool { _, connected := x.parts(); return connected == 3 })
 }
 
-// Symptom: after all nodes had lost power, prompts were read whole for over a second, though
-// the stores had most of their parts.
-// Sequence: nodes start together; each asks the one that is to follow the stores for it, and
-// that one has only just begun.
-// Cause: it was asked again after the pause that is kept between two answers, and after each
-// change of who follows what as long again: half of 71 nodes knew of the stores after 1.7 s.
+// After all nodes had lost power, prompts were recomputed whole for over a second, though the
+// stores had most of their parts. Nodes that start together poll a relay that has only just
+// begun to follow the stores. They polled it again after the usual pause, once more after each
+// change of relay: half of 71 nodes knew the stores' contents only after 1.7 s.
 func TestRelayWithoutEventsIsAskedAgainSoon(t *testing.T) {
 	t.Parallel()
 	x := newRelayedStores(t, 3, methodStoreEvents, methodEventsOfStores)
 	begun := time.Now()
 	x.refresh(t.Context())
 	const calls = 4
-	eventually(t, "it has asked some times", func() bool { return x.calls[methodEventsOfStores].Load() >= calls })
+	eventually(t, "the relay was polled several times", func() bool { return x.calls[methodEventsOfStores].Load() >= calls })
 	assert.Assert(t, time.Since(begun) < (calls-1)*relayPollPause-300*time.Millisecond)
 	for _, name := range x.names {
 		x.record(name, 0, 10, part("a", 100))
 	}
-	eventually(t, "all stores are told of", func() bool { parts, heard := x.parts(); return parts == 3 && heard == 3 })
+	eventually(t, "the parts of all stores are known", func() bool { parts, connected := x.parts(); return parts == 3 && connected == 3 })
 	before := x.calls[methodEventsOfStores].Load()
 	time.Sleep(2 * relayPollPause)
-	assert.Assert(t, x.calls[methodEventsOfStores].Load() <= before+3, "then at the usual pace")
+	assert.Assert(t, x.calls[methodEventsOfStores].Load() <= before+3, "then at the usual interval")
 }
 
-// A node of the version before is asked for one store at a time.
+// A relay of the previous version is asked for one store at a time.
 func TestOldRelayIsAskedForEachStore(t *testing.T) {
 	t.Parallel()
 	x := newRelayedStores(t, 4, methodStoreEvents)
@@ -156,11 +154,11 @@
 		x.record(name, 0, 10, part("a", 100))
 	}
 	x.refresh(t.Context())
-	eventually(t, "all stores are told of", func() bool { parts, heard := x.parts(); return parts == 4 && heard == 4 })
+	eventually(t, "the parts of all stores are known", func() bool { parts, connected := x.parts(); return parts == 4 && connected == 4 })
 }
 
-// While the machine was suspended stores may have freed parts, and hold others half
-// written under the same names: nothing is known of them until they are heard again.
+// While the machine was suspended, stores may have freed parts, or hold others half written
+// under the same names: their contents count as unknown until they answer again.
 func TestStoresArePolledAgainAfterSuspension(t *testing.T) {
 	const count = 3
 	x := newRelayedStores(t, count, methodEventsOfStores)
@@ -168,16 +166,16 @@
 		x.record(name, 0, 10, part("a", 100))
 	}
 	x.refresh(t.Context())
-	eventually(t, "all stores are heard", func() bool { _, heard := x.parts(); return heard == count })
-	x.record("s00", 10, 20, part("a", 0)) // Freed meanwhile.
+	eventually(t, "all stores are connected", func() bool { _, connected := x.parts(); return connected == count })
+	x.record("s00", 10, 20, part("a", 0)) // Freed during the suspension.
 	x.mu.Lock()
-	x.setRelays(nil) // Nothing is told any more.
+	x.setRelays(nil) // The relay is no longer polled.
 	x.mu.Unlock()
 	assert.Equal(t, x.restart(), count)
-	parts, heard := x.parts()
-	assert.Assert(t, heard < count || parts == count-1, "%d parts, %d heard", parts, heard)
-	eventually(t, "they are heard anew, as of where they were", func() bool {
-		parts, heard := x.parts()
-		return heard == count && parts == count-1
+	parts, connected := x.parts()
+	assert.Assert(t, connected < count || parts == count-1, "%d parts, %d connected", parts, connected)
+	eventually(t, "events since the last position are known", func() bool {
+		parts, connected := x.parts()
+		return connected == count && parts == count-1
 	})
 }
