--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -290,7 +290,7 @@
 	},
 	{
 		"suspended: what is over is not sent again", "service/gateway/exchange.go",
-		"	x.g.look()\n	if !x.g.awake() || boottime.Until(x.limit) < timeLeft {", "	if boottime.Until(x.limit) < timeLeft {",
+		"	x.g.checkSuspension()\n	if !x.g.synced() || boottime.Until(x.deadline) < minTimeLeft {", "	if boottime.Until(x.deadline) < minTimeLeft {",
 		"./internal/standin/onplatform", "TestRequestWhoseTimePassedWhileSuspendedIsNotSentAgain",
 	},
 	{
@@ -325,7 +325,7 @@
 	},
 	{
 		"drain: an answer's word is read", "service/gateway/exchange_limits.go",
-		"	if a.answer.Draining {", "	if false && a.answer.Draining {",
+		"	if a.info.Draining {", "	if false && a.info.Draining {",
 		"./internal/standin/onplatform", "TestDrainingReplicaIsSentNothingOnceItsAnswerSaysSo",
 	},
 	{
--- a/service/gateway/attempt_test.go
+++ b/service/gateway/attempt_test.go
@@ -18,7 +18,7 @@
 
 // A client may leave while the connection to a replica is being made, which takes a
 // round trip: the replica is not to get its request then.
-func TestAttemptWhoseClientLeftWhileItConnectedSendsNothing(t *testing.T) {
+func TestNothingIsSentIfClientLeavesDuringDial(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, ln.Close()) }()
@@ -28,23 +28,23 @@
 	defer func() { assert.NilError(t, near.Close()) }()
 	defer func() { assert.NilError(t, far.Close()) }()
 	x := &exchange{
-		g:      &Gateway{suspension: newSuspension()},
-		limit:  boottime.Now().Add(time.Minute),
-		out:    &clientWriter{conn: near},
-		head:   &http1.Head{Method: "GET", Target: "/x"},
-		terms:  site.RequestInfo{ID: "r"},
-		route:  &site.Route{},
-		cancel: leave,
+		g:        &Gateway{suspension: newSuspension()},
+		deadline: boottime.Now().Add(time.Minute),
+		out:      &clientWriter{conn: near},
+		head:     &http1.Head{Method: "GET", Target: "/x"},
+		info:     site.RequestInfo{ID: "r"},
+		route:    &site.Route{},
+		cancel:   leave,
 	}
 	for range 20 {
 		a := &attempt{
-			conns:   newUpstreamConns(),
-			codec:   platform.Codec{},
-			choice:  route.Choice{Upstream: site.Upstream{ID: "a", Addr: ln.Addr().(*net.TCPAddr).AddrPort()}},
-			writing: make(chan struct{}),
+			conns:     newUpstreamConns(),
+			codec:     platform.Codec{},
+			choice:    route.Choice{Upstream: site.Upstream{ID: "a", Addr: ln.Addr().(*net.TCPAddr).AddrPort()}},
+			writeDone: make(chan struct{}),
 		}
-		_, _ = a.begin(ctx, x, &site.Dispatch{Instance: "a"}) // What arrives tells.
-		a.finish()
+		_, _ = a.sendRequest(ctx, x, &site.Dispatch{Instance: "a"}) // What arrives tells.
+		a.releaseConn()
 		conn, err := ln.Accept()
 		assert.NilError(t, err)
 		got, err := io.ReadAll(conn)
--- a/service/gateway/client_conn.go
+++ b/service/gateway/client_conn.go
@@ -33,12 +33,12 @@
 	r    *bufio.Reader
 	// mu keeps the end of a rest and its hurrying apart: a deadline that is set
 	// once a request is served would look as if its client had left.
-	mu      sync.Mutex
-	state   connState
-	entered time.Time // The state.
-	hurried bool      // The rest is ending.
-	// next tells when the first byte of the next request has come.
-	next chan error
+	mu         sync.Mutex
+	state      connState
+	stateSince time.Time // The state.
+	endingIdle bool      // The rest is ending.
+	// firstByte tells when the first byte of the next request has come.
+	firstByte chan error
 }
 
 // connState is what a connection carries.
@@ -46,68 +46,68 @@
 
 // States of connections.
 const (
-	connResting connState = iota
-	connHeading
-	connBodying
+	connIdle connState = iota
+	connReadingHead
+	connReadingBody
 	connServing
 	connRefused
-	connStates // How many there are.
+	connStateCount // How many there are.
 )
 
 const (
-	clientBuffer = 4 << 10
-	// writeSlack is how long after a request's limit its answer may be written.
-	writeSlack = 2 * time.Second
-	// lingerTime is for how long a client that is refused is read on, so that it
+	clientBufferSize = 4 << 10
+	// writeGrace is how long after a request's limit its answer may be written.
+	writeGrace = 2 * time.Second
+	// lingerTimeout is for how long a client that is refused is read on, so that it
 	// sees the answer and not a reset.
-	lingerTime = 500 * time.Millisecond
-	// leaveEvery is how often it is looked whether a client has left that has sent
+	lingerTimeout = 500 * time.Millisecond
+	// closeCheckInterval is how often it is looked whether a client has left that has sent
 	// more: a fifth of the half second within which a replica is to stop.
-	leaveEvery = 100 * time.Millisecond
-	// bodyTime bounds a body whose head tells no limit.
-	bodyTime = 10 * time.Second
+	closeCheckInterval = 100 * time.Millisecond
+	// defaultBodyTimeout bounds a body whose head tells no limit.
+	defaultBodyTimeout = 10 * time.Second
 )
 
 func newClientConn(g *Gateway, conn net.Conn) *clientConn {
 	return &clientConn{
-		g:       g,
-		conn:    conn,
-		r:       bufio.NewReaderSize(conn, clientBuffer),
-		entered: time.Now(),
-		next:    make(chan error, 1),
+		g:          g,
+		conn:       conn,
+		r:          bufio.NewReaderSize(conn, clientBufferSize),
+		stateSince: time.Now(),
+		firstByte:  make(chan error, 1),
 	}
 }
 
 // serve carries requests until the connection ends.
 func (c *clientConn) serve() {
 	defer c.close()
-	c.await(context.Background(), nil)
-	for c.rest() {
-		if !c.one() {
+	c.awaitFirstByte(context.Background(), nil)
+	for c.awaitRequest() {
+		if !c.serveRequest() {
 			return
 		}
 	}
 }
 
-// await waits for the next byte beside whatever else is done until ctx ends; left is
+// awaitFirstByte waits for the next byte beside whatever else is done until ctx ends; left is
 // called if the connection ends instead, or behind that byte.
-func (c *clientConn) await(ctx context.Context, left context.CancelCauseFunc) {
+func (c *clientConn) awaitFirstByte(ctx context.Context, onClose context.CancelCauseFunc) {
 	go func() {
 		_, err := c.r.Peek(1)
-		if err != nil && left != nil {
-			left(leaveCause(err))
+		if err != nil && onClose != nil {
+			onClose(closeCause(err))
 		}
-		c.next <- err
-		if err == nil && left != nil {
-			c.watch(ctx, left)
+		c.firstByte <- err
+		if err == nil && onClose != nil {
+			c.watchForClose(ctx, onClose)
 		}
 	}()
 }
 
 // watch looks whether the client leaves. Bytes of its next request, which nobody reads
 // yet, keep a read from telling so.
-func (c *clientConn) watch(ctx context.Context, left context.CancelCauseFunc) {
-	t := time.NewTicker(leaveEvery)
+func (c *clientConn) watchForClose(ctx context.Context, onClose context.CancelCauseFunc) {
+	t := time.NewTicker(closeCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -115,126 +115,126 @@
 			return
 		case <-t.C:
 		}
-		if err := clientLeft(c.conn); err != nil {
-			left(err)
+		if err := closeReason(c.conn); err != nil {
+			onClose(err)
 			return
 		}
 	}
 }
 
-// clientLeft is why a client's connection carries no answer any more, nil if it does.
-func clientLeft(conn net.Conn) error {
-	left, err := http1.PeerClosed(conn)
+// closeReason is why a client's connection carries no answer any more, nil if it does.
+func closeReason(conn net.Conn) error {
+	closed, err := http1.PeerClosed(conn)
 	switch {
 	case err != nil:
-		return leaveCause(err)
-	case left:
+		return closeCause(err)
+	case closed:
 		return errClientLeft
 	default:
 		return nil
 	}
 }
 
-// leaveCause tells a connection that the node has closed from one that its client has.
-func leaveCause(err error) error {
+// closeCause tells a connection that the node has closed from one that its client has.
+func closeCause(err error) error {
 	if errors.Is(err, net.ErrClosed) {
-		return errStopped
+		return errNodeStopped
 	}
 	return errClientLeft
 }
 
-// rest waits for the next request and says whether there is one.
-func (c *clientConn) rest() bool {
-	c.setReadLimit(c.g.limits().IdleTimeout)
-	c.enter(connResting)
-	defer c.enter(connHeading)
+// awaitRequest waits for the next request and says whether there is one.
+func (c *clientConn) awaitRequest() bool {
+	c.setReadTimeout(c.g.limits().IdleTimeout)
+	c.setState(connIdle)
+	defer c.setState(connReadingHead)
 	if !c.g.serving() {
-		c.hurry()
+		c.endIdle()
 	}
-	return <-c.next == nil
+	return <-c.firstByte == nil
 }
 
-func (c *clientConn) enter(s connState) {
+func (c *clientConn) setState(s connState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state, c.entered, c.hurried = s, time.Now(), false
+	c.state, c.stateSince, c.endingIdle = s, time.Now(), false
 }
 
-func (c *clientConn) carries() connState {
+func (c *clientConn) currentState() connState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state
 }
 
-// restsSince is when the connection came to rest; ok is false if it does not rest, or
+// idleSince is when the connection came to rest; ok is false if it does not rest, or
 // its rest is ending.
-func (c *clientConn) restsSince() (t time.Time, ok bool) {
+func (c *clientConn) idleSince() (t time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.entered, c.state == connResting && !c.hurried
+	return c.stateSince, c.state == connIdle && !c.endingIdle
 }
 
-// hurry ends a rest, and says whether the connection rests.
-func (c *clientConn) hurry() bool {
+// endIdle ends a rest, and says whether the connection rests.
+func (c *clientConn) endIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state != connResting {
+	if c.state != connIdle {
 		return false
 	}
-	c.hurried = true
+	c.endingIdle = true
 	_ = c.conn.SetReadDeadline(time.Now()) // A closed one has ended its rest.
 	return true
 }
 
-func (c *clientConn) setReadLimit(d time.Duration) {
+func (c *clientConn) setReadTimeout(d time.Duration) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(d)) // The next read tells.
 }
 
-// one serves one request and says whether another may follow.
-func (c *clientConn) one() bool {
+// serveRequest serves one request and says whether another may follow.
+func (c *clientConn) serveRequest() bool {
 	limits := c.g.limits()
-	c.setReadLimit(limits.HeadTimeout)
+	c.setReadTimeout(limits.HeadTimeout)
 	head, err := http1.ReadRequest(c.r, limits.HeadBytes)
 	if err != nil {
 		c.refuseRead(err)
 		return false
 	}
-	c.enter(connBodying)
-	c.g.look()
-	came := boottime.Now()
-	terms, termsErr := c.g.codec.RequestInfo(head)
-	body, err := c.readBody(head, &terms, limits, came)
+	c.setState(connReadingBody)
+	c.g.checkSuspension()
+	receivedAt := boottime.Now()
+	info, infoErr := c.g.codec.RequestInfo(head)
+	body, err := c.readBody(head, &info, limits, receivedAt)
 	if err != nil {
 		c.refuseRead(err)
 		return false
 	}
-	c.enter(connServing)
+	c.setState(connServing)
 	_ = c.conn.SetReadDeadline(time.Time{}) // The next read tells.
-	last := head.Close()
+	clientCloses := head.Close()
 	w := &clientWriter{
-		conn:     c.conn,
-		headless: head.Method == http.MethodHead,
-		old:      head.Minor == 0,
-		closing:  func() bool { return last || c.g.stopping() },
+		conn:        c.conn,
+		noBody:      head.Method == http.MethodHead,
+		http10:      head.Minor == 0,
+		shouldClose: func() bool { return clientCloses || c.g.stopping() },
 	}
-	_ = c.conn.SetWriteDeadline(boottime.Monotonic(came.Add(c.g.holdMost(&terms) + writeSlack))) // The next write tells.
+	_ = c.conn.SetWriteDeadline(boottime.Monotonic(receivedAt.Add(c.g.holdMost(&info) + writeGrace))) // The next write tells.
 	c.g.inFlight.Add(1)
 	defer c.g.inFlight.Add(-1)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	c.await(ctx, cancel)
-	x := &exchange{g: c.g, out: w, head: head, body: body, terms: terms, came: came, cancel: cancel}
-	if termsErr != nil {
-		x.limit = came
+	c.awaitFirstByte(ctx, cancel)
+	x := &exchange{g: c.g, out: w, head: head, body: body, info: info, receivedAt: receivedAt, cancel: cancel}
+	if infoErr != nil {
+		x.deadline = receivedAt
 		x.refuse(refuse(http.StatusBadRequest, reasonBadRequest))
 	} else {
 		x.serve(ctx)
 	}
-	return w.ended && !w.last()
+	return w.ended && !w.closesConn()
 }
 
 // readBody reads a request's body within the time that the request has.
-func (c *clientConn) readBody(h *http1.Head, t *site.RequestInfo, l site.Limits, came time.Time) ([]byte, error) {
+func (c *clientConn) readBody(h *http1.Head, info *site.RequestInfo, limits site.Limits, receivedAt time.Time) ([]byte, error) {
 	b, err := http1.RequestBody(h, c.r)
 	if err != nil || b.Done() {
 		return nil, err
@@ -244,18 +244,18 @@
 			return nil, err
 		}
 	}
-	within := bodyTime
-	if t.ClientTimeout > 0 {
-		within = t.ClientTimeout
+	timeout := defaultBodyTimeout
+	if info.ClientTimeout > 0 {
+		timeout = info.ClientTimeout
 	}
-	_ = c.conn.SetReadDeadline(boottime.Monotonic(came.Add(within))) // The next read tells.
-	return http1.ReadAll(b, l.BodyBytes)
+	_ = c.conn.SetReadDeadline(boottime.Monotonic(receivedAt.Add(timeout))) // The next read tells.
+	return http1.ReadAll(b, limits.BodyBytes)
 }
 
 // refuseRead answers what could not be read as a request; a connection that has
 // broken is only closed.
 func (c *clientConn) refuseRead(err error) {
-	c.enter(connRefused)
+	c.setState(connRefused)
 	f := refusal{}
 	switch {
 	case errors.Is(err, http1.ErrMalformed):
@@ -270,8 +270,8 @@
 		return
 	}
 	c.g.metrics.refusal(f.reason)
-	_ = c.conn.SetWriteDeadline(time.Now().Add(lingerTime)) // The next write tells.
-	if _, err := c.conn.Write(f.message(c.g.codec, "", true)); err != nil {
+	_ = c.conn.SetWriteDeadline(time.Now().Add(lingerTimeout)) // The next write tells.
+	if _, err := c.conn.Write(f.encode(c.g.codec, "", true)); err != nil {
 		return
 	}
 	c.linger()
@@ -283,8 +283,8 @@
 	if t, ok := c.conn.(*net.TCPConn); ok {
 		_ = t.CloseWrite() // What is read on is dropped either way.
 	}
-	c.setReadLimit(lingerTime)
-	buf := make([]byte, clientBuffer)
+	c.setReadTimeout(lingerTimeout)
+	buf := make([]byte, clientBufferSize)
 	for {
 		if _, err := c.conn.Read(buf); err != nil {
 			return
--- a/service/gateway/client_conns.go
+++ b/service/gateway/client_conns.go
@@ -11,8 +11,8 @@
 
 // clientConns are the open connections of clients.
 type clientConns struct {
-	most int
-	wg   sync.WaitGroup
+	limit int
+	wg    sync.WaitGroup
 
 	mu       sync.Mutex
 	open     map[*clientConn]struct{}
@@ -20,13 +20,13 @@
 	drained  chan struct{} // Closed once none is left then.
 }
 
-func newClientConns(most int) *clientConns {
-	return &clientConns{open: map[*clientConn]struct{}{}, most: most, drained: make(chan struct{})}
+func newClientConns(limit int) *clientConns {
+	return &clientConns{open: map[*clientConn]struct{}{}, limit: limit, drained: make(chan struct{})}
 }
 
-// leastRest is how long a connection must have rested to give way to another: the next
+// minIdleToEvict is how long a connection must have rested to give way to another: the next
 // request of one that rests for less, or is new, is likely on its way.
-const leastRest = 100 * time.Millisecond
+const minIdleToEvict = 100 * time.Millisecond
 
 // accept serves connections until the listener is closed.
 func (s *clientConns) accept(g *Gateway, ln net.Listener) (err error) {
@@ -51,7 +51,7 @@
 func (s *clientConns) add(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.draining || len(s.open) >= s.most && !s.makeRoom(time.Now()) {
+	if s.draining || len(s.open) >= s.limit && !s.evictIdle(time.Now()) {
 		return false
 	}
 	s.open[c] = struct{}{}
@@ -59,18 +59,18 @@
 	return true
 }
 
-// makeRoom ends the connection that has rested longest, and says whether there is one
+// evictIdle ends the connection that has rested longest, and says whether there is one
 // that has rested for long enough. Clients that keep connections without using them
 // would else keep all others out.
-func (s *clientConns) makeRoom(now time.Time) bool {
+func (s *clientConns) evictIdle(now time.Time) bool {
 	var longest *clientConn
-	since := now.Add(-leastRest)
+	idleBefore := now.Add(-minIdleToEvict)
 	for c := range s.open {
-		if t, ok := c.restsSince(); ok && t.Before(since) {
-			longest, since = c, t
+		if t, ok := c.idleSince(); ok && t.Before(idleBefore) {
+			longest, idleBefore = c, t
 		}
 	}
-	return longest != nil && longest.hurry()
+	return longest != nil && longest.endIdle()
 }
 
 func (s *clientConns) remove(c *clientConn) {
@@ -85,7 +85,7 @@
 // drain takes no connection any more, ends those that rest, and waits until none
 // is left or ctx ends.
 func (s *clientConns) drain(ctx context.Context) {
-	if s.endResting() {
+	if s.closeIdle() {
 		return
 	}
 	// A wait for a count of requests would miss those that are still being read;
@@ -96,34 +96,34 @@
 	}
 }
 
-// endResting ends all connections that carry no request, and says whether there
+// closeIdle ends all connections that carry no request, and says whether there
 // were none at all.
-func (s *clientConns) endResting() (none bool) {
+func (s *clientConns) closeIdle() (none bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 	for c := range s.open {
-		c.hurry()
+		c.endIdle()
 	}
 	return len(s.open) == 0
 }
 
 // cutRequests are the requests that a stop has cut, by how far they were.
-type cutRequests struct{ heading, bodying, serving int }
+type cutRequests struct{ readingHead, readingBody, serving int }
 
-func (r cutRequests) sum() int { return r.heading + r.bodying + r.serving }
+func (r cutRequests) sum() int { return r.readingHead + r.readingBody + r.serving }
 
 // closeAll closes all connections, waits for their ends, and tells what they
 // still carried.
 func (s *clientConns) closeAll() cutRequests {
-	var by [connStates]int
+	var counts [connStateCount]int
 	s.mu.Lock()
 	s.draining = true
 	for c := range s.open {
-		by[c.carries()]++
+		counts[c.currentState()]++
 		_ = c.conn.Close() // Its goroutine notices.
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
-	return cutRequests{heading: by[connHeading], bodying: by[connBodying], serving: by[connServing]}
+	return cutRequests{readingHead: counts[connReadingHead], readingBody: counts[connReadingBody], serving: counts[connServing]}
 }
--- a/service/gateway/directory.go
+++ b/service/gateway/directory.go
@@ -67,8 +67,8 @@
 		q := c.QueryArgs()
 		hall, region := string(q.Peek(g.platform.Paths.DataHall)), string(q.Peek(g.platform.Paths.Region))
 		addrs := g.nodes.entries(hall, region, g.homesOf(string(q.Peek(g.platform.Paths.Host))))
-		g.look()
-		if len(addrs) == 0 || !g.awake() {
+		g.checkSuspension()
+		if len(addrs) == 0 || !g.synced() {
 			c.SetStatusCode(http.StatusServiceUnavailable)
 			return
 		}
--- a/service/gateway/dispatch_test.go
+++ b/service/gateway/dispatch_test.go
@@ -11,10 +11,10 @@
 
 // A fetch behind others on a busy link is thrown away only long after the answer
 // was due: the prompt would be read later still.
-func TestLateFetchIsWaitedFor(t *testing.T) {
+func TestFetchTimeoutExceedsTargetAndExpectedTime(t *testing.T) {
 	term := func(target, expected time.Duration) time.Duration {
 		x := &exchange{route: &site.Route{Target: target}}
-		return x.fetchTerm(expected)
+		return x.fetchTimeout(expected)
 	}
 	assert.Assert(t, term(500*time.Millisecond, 100*time.Millisecond) >= time.Second)
 	assert.Assert(t, term(100*time.Millisecond, 900*time.Millisecond) > 900*time.Millisecond, "longer than expected")
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -14,13 +14,13 @@
 
 // exchange is one request of a client and its way to an answer.
 type exchange struct {
-	g     *Gateway
-	out   *clientWriter
-	head  *http1.Head
-	body  []byte
-	terms site.RequestInfo
-	came  time.Time
-	limit time.Time // By when the final answer is given.
+	g          *Gateway
+	out        *clientWriter
+	head       *http1.Head
+	body       []byte
+	info       site.RequestInfo
+	receivedAt time.Time
+	deadline   time.Time // By when the final answer is given.
 	// cancel ends the request because its client's connection has ended.
 	cancel context.CancelCauseFunc
 
@@ -28,23 +28,23 @@
 	organisation *site.Organisation
 	service      *site.Service
 	pool         *route.Pool
-	need         route.PickInput
+	pickInput    route.PickInput
 
-	place *route.WaitingPrompt // In the queue, or let in.
-	// lateFrom is from when on the answer can't come in good time if the prompt is
+	waiting *route.WaitingPrompt // In the queue, or let in.
+	// lateAfter is from when on the answer can't come in good time if the prompt is
 	// not sent yet, and sendBy by when it must be sent to be answered at all.
-	lateFrom time.Time
-	sendBy   time.Time
-	ran      int // Attempts that may have run.
-	refused  int // Attempts that were refused, or could not be sent.
-	// held is a failure that a replica answered, kept while another is tried.
-	held *wholeAnswer
+	lateAfter   time.Time
+	sendBy      time.Time
+	mayHaveRun  int // Attempts that may have run.
+	notRunCount int // Attempts that were refused, or could not be sent.
+	// failedAnswer is a failure that a replica answered, kept while another is tried.
+	failedAnswer *wholeAnswer
 	// stream is the answer's stream once it has begun.
 	stream *relay
 
-	hashed  bool
-	content site.Fingerprint // Set once hashed is.
-	watched bool             // The attempt under way was let run by the request's owner.
+	fingerprinted bool
+	content       site.Fingerprint // Set once hashed is.
+	suspectRun    bool             // The attempt under way was let run by the request's owner.
 }
 
 // wholeAnswer is a replica's answer that has been read to its end.
@@ -55,86 +55,86 @@
 
 // Causes of contexts whose connection has ended.
 var (
-	errClientLeft = errors.New("the client has gone")
-	errStopped    = errors.New("the node has closed the connection at its stop")
+	errClientLeft  = errors.New("the client has gone")
+	errNodeStopped = errors.New("the node has closed the connection at its stop")
 )
 
 const (
-	// mostRefusals is how often a request that was not run is offered to
+	// maxRefusals is how often a request that was not run is offered to
 	// another replica.
-	mostRefusals = 3
-	// timeLeft is the least time for which another replica is worth trying.
-	timeLeft = 20 * time.Millisecond
-	// noReplicaRetry is when to come back when no replica is there.
-	noReplicaRetry = 500 * time.Millisecond
-	// fullRetry is when to come back when those that were asked were full.
-	fullRetry = 150 * time.Millisecond
-	// startRetry is when to come back to a node that has just started.
-	startRetry = 300 * time.Millisecond
+	maxRefusals = 3
+	// minTimeLeft is the least time for which another replica is worth trying.
+	minTimeLeft = 20 * time.Millisecond
+	// noReplicaRetryAfter is when to come back when no replica is there.
+	noReplicaRetryAfter = 500 * time.Millisecond
+	// fullRetryAfter is when to come back when those that were asked were full.
+	fullRetryAfter = 150 * time.Millisecond
+	// startRetryAfter is when to come back to a node that has just started.
+	startRetryAfter = 300 * time.Millisecond
 )
 
 // serve answers the request.
 func (x *exchange) serve(ctx context.Context) {
-	if !x.g.awake() {
-		x.refuse(comeBack(reasonSuspended, startRetry))
+	if !x.g.synced() {
+		x.refuse(retryLater(reasonSuspended, startRetryAfter))
 		return
 	}
 	if f, ok := x.admit(); !ok {
 		x.refuse(f)
 		return
 	}
-	if f, yes := x.blocked(); yes {
+	if f, blocked := x.refusalIfBlocked(); blocked {
 		x.refuse(f)
 		return
 	}
-	x.g.budget(x.service.Name).Request(x.came)
-	ctx, cancel := context.WithTimeout(ctx, boottime.Until(x.limit))
+	x.g.budget(x.service.Name).Request(x.receivedAt)
+	ctx, cancel := context.WithTimeout(ctx, boottime.Until(x.deadline))
 	defer cancel()
 	defer func() { x.leaveQueue(boottime.Now()) }()
 	if f, ok := x.enqueue(ctx); !ok {
-		x.conclude(ctx, f)
+		x.endRequest(ctx, f)
 		return
 	}
 	for {
 		if again, f := x.try(ctx); !again {
-			x.conclude(ctx, f)
+			x.endRequest(ctx, f)
 			return
 		}
 	}
 }
 
-// conclude ends a request that is not tried again: with f, if its status is set and
+// endRequest ends a request that is not tried again: with f, if its status is set and
 // there is somebody to tell and nothing better to say.
-func (x *exchange) conclude(ctx context.Context, f refusal) {
+func (x *exchange) endRequest(ctx context.Context, f refusal) {
 	switch {
 	case context.Cause(ctx) == errClientLeft:
 		x.g.metrics.left.Add(1)
-		x.g.log.Info("client left", "request", x.terms.ID, "route", x.route.Name, "after", boottime.Since(x.came), "attempts", x.ran)
-		x.out.fail()
-	case context.Cause(ctx) == errStopped:
-		x.g.log.Warn("cut by a stop", "request", x.terms.ID, "route", x.route.Name, "after", boottime.Since(x.came), "attempts", x.ran)
-		x.out.fail()
+		x.g.log.Info("client left", "request", x.info.ID, "route", x.route.Name, "after", boottime.Since(x.receivedAt), "attempts", x.mayHaveRun)
+		x.out.abort()
+	case context.Cause(ctx) == errNodeStopped:
+		x.g.log.Warn("cut by a stop", "request", x.info.ID, "route", x.route.Name, "after", boottime.Since(x.receivedAt), "attempts", x.mayHaveRun)
+		x.out.abort()
 	case f.status == 0:
 	case x.stream != nil:
-		x.g.log.Info("stream cut", "request", x.terms.ID, "route", x.route.Name, "reason", f.reason)
-		x.out.fail()
-	case x.held != nil:
-		x.writeWhole(x.held)
+		x.g.log.Info("stream cut", "request", x.info.ID, "route", x.route.Name, "reason", f.reason)
+		x.out.abort()
+	case x.failedAnswer != nil:
+		x.writeWhole(x.failedAnswer)
 	default:
 		x.refuse(f)
 	}
 }
 
-// over says whether there is nobody to send the request for any more. It looks at the
+// abandoned says whether there is nobody to send the request for any more. It looks at the
 // connection itself: a client's close may have come, and the goroutine that waits for
 // it not have run. It looks at the clock, too: of a machine that has been suspended
 // nothing is sent on until the node has heard what holds now.
-func (x *exchange) over(ctx context.Context) bool {
-	x.g.look()
-	if !x.g.awake() || boottime.Until(x.limit) < timeLeft {
+func (x *exchange) abandoned(ctx context.Context) bool {
+	x.g.checkSuspension()
+	if !x.g.synced() || boottime.Until(x.deadline) < minTimeLeft {
 		return true
 	}
-	if err := clientLeft(x.out.conn); err != nil {
+	if err := closeReason(x.out.conn); err != nil {
 		x.cancel(err)
 	}
 	return ctx.Err() != nil
@@ -143,190 +143,190 @@
 // try makes one attempt. It says whether another is to be made; otherwise the
 // request was answered, or f is what to answer if its status is set.
 func (x *exchange) try(ctx context.Context) (again bool, f refusal) {
-	if x.over(ctx) {
-		return false, x.outOfTime()
+	if x.abandoned(ctx) {
+		return false, x.deadlineRefusal()
 	}
-	if f, ok := x.cleared(ctx); !ok {
+	if f, ok := x.awaitClearance(ctx); !ok {
 		return false, f
 	}
 	choice, ok := x.pickToSend(ctx)
 	if !ok {
-		x.sent(false)
-		return false, x.noneLeft()
+		x.endSuspectRun(false)
+		return false, x.noReplicaRefusal()
 	}
 	now := boottime.Now()
 	dispatch, plan := x.dispatch(choice, now)
 	a := newAttempt(x, choice, plan, now)
 	a.realm = dispatch.Realm
 	x.leaveQueue(now)
-	if x.need.Tokens > 0 {
+	if x.pickInput.Tokens > 0 {
 		x.g.nodes.soon()
 	}
-	fate, err := a.begin(ctx, x, dispatch)
+	result, err := a.sendRequest(ctx, x, dispatch)
 	defer func() {
-		x.sent(a.answered)
-		a.finish()
+		x.endSuspectRun(a.answered)
+		a.releaseConn()
 	}()
 	now = boottime.Now()
-	if fate == fateAnswered || fate == fateNotRun {
-		x.learn(a, now)
+	if result == resultAnswered || result == resultNotRun {
+		x.recordAnswerInfo(a, now)
 	}
-	switch fate {
-	case fateAnswered:
-		if x.need.Model != "" && a.answer.Weights > 0 {
-			x.pool.RecordWeights(route.RefOf(&choice.Upstream), x.need.Model, a.answer.Weights)
+	switch result {
+	case resultAnswered:
+		if x.pickInput.Model != "" && a.info.Weights > 0 {
+			x.pool.RecordWeights(route.RefOf(&choice.Upstream), x.pickInput.Model, a.info.Weights)
 		}
-		return x.take(ctx, a)
-	case fateNotRun:
-		return x.notRun(a, now)
-	case fateUnsent:
-		return x.unsent(ctx, a, err, now)
-	case fateOver, fateWithdrawn:
+		return x.deliver(ctx, a)
+	case resultNotRun:
+		return x.handleNotRun(a, now)
+	case resultUnsent:
+		return x.handleUnsent(ctx, a, err, now)
+	case resultAbandoned, resultReplicaWithdrawn:
 		a.end(route.OutcomeNeutral, now)
 		a.plan.Cancel()
-		return fate == fateWithdrawn, x.outOfTime()
+		return result == resultReplicaWithdrawn, x.deadlineRefusal()
 	default:
-		return x.unknown(ctx, a, err, now)
+		return x.handleUnknown(ctx, a, err, now)
 	}
 }
 
-// unsent goes on after a connection that could not be made.
-func (x *exchange) unsent(ctx context.Context, a *attempt, err error, now time.Time) (bool, refusal) {
+// handleUnsent goes on after a connection that could not be made.
+func (x *exchange) handleUnsent(ctx context.Context, a *attempt, err error, now time.Time) (bool, refusal) {
 	a.end(route.OutcomeFailed, now)
 	a.plan.Cancel()
-	x.notReached(&a.choice.Upstream, err, now)
-	x.g.log.Warn("replica not reached", "request", x.terms.ID, "replica", a.choice.ID, "addr", a.choice.Addr, "err", err)
-	x.need.Exclude = append(x.need.Exclude, a.choice.ID)
-	x.refused++
-	if x.refused > mostRefusals || ctx.Err() != nil {
-		return false, x.noneLeft()
+	x.recordNotReached(&a.choice.Upstream, err, now)
+	x.g.log.Warn("replica not reached", "request", x.info.ID, "replica", a.choice.ID, "addr", a.choice.Addr, "err", err)
+	x.pickInput.Exclude = append(x.pickInput.Exclude, a.choice.ID)
+	x.notRunCount++
+	if x.notRunCount > maxRefusals || ctx.Err() != nil {
+		return false, x.noReplicaRefusal()
 	}
 	return true, refusal{}
 }
 
-// doubtTerm is for how long nothing is fetched from an engine that was not reached.
-const doubtTerm = 2 * time.Second
+// unreachableFetchPause is for how long nothing is fetched from an engine that was not reached.
+const unreachableFetchPause = 2 * time.Second
 
-// lost notes that a replica can't be reached.
-func (x *exchange) lost(u *site.Upstream, now time.Time) {
+// recordUnreachable notes that a replica can't be reached.
+func (x *exchange) recordUnreachable(u *site.Upstream, now time.Time) {
 	if x.pool.RecordUnreachable(u.ID, now) {
 		x.g.nodes.doubt(route.RefOf(u))
 	}
-	x.g.conns.lost(u.ID)
-	x.g.kept.AvoidEngine(u.ID, now.Add(doubtTerm))
+	x.g.conns.closeIdle(u.ID)
+	x.g.kept.AvoidEngine(u.ID, now.Add(unreachableFetchPause))
 }
 
-// notRun goes on after a replica that refused.
-func (x *exchange) notRun(a *attempt, now time.Time) (bool, refusal) {
+// handleNotRun goes on after a replica that refused.
+func (x *exchange) handleNotRun(a *attempt, now time.Time) (bool, refusal) {
 	a.end(route.OutcomeNeutral, now)
 	a.plan.Cancel()
-	x.learnRefusal(a, now)
-	x.need.Exclude = append(x.need.Exclude, a.choice.ID)
-	x.refused++
+	x.recordRefusal(a, now)
+	x.pickInput.Exclude = append(x.pickInput.Exclude, a.choice.ID)
+	x.notRunCount++
 	x.g.metrics.notRun.Add(1)
-	x.g.log.Info("replica refused", "request", x.terms.ID, "replica", a.choice.ID, "status", a.head.Status,
-		"weights", a.choice.Weights, "newest", x.need.NewestVersion, "limit", a.answer.Limit.String(),
-		"draining", a.answer.Draining, "backoff", a.answer.Backoff, "not_run", x.refused)
-	if x.refused > mostRefusals || !x.mayRetry(now) {
-		return false, x.noneLeft()
+	x.g.log.Info("replica refused", "request", x.info.ID, "replica", a.choice.ID, "status", a.head.Status,
+		"weights", a.choice.Weights, "newest", x.pickInput.NewestVersion, "limit", a.info.Limit.String(),
+		"draining", a.info.Draining, "backoff", a.info.Backoff, "not_run", x.notRunCount)
+	if x.notRunCount > maxRefusals || !x.mayRetry(now) {
+		return false, x.noReplicaRefusal()
 	}
 	return true, refusal{}
 }
 
 const (
-	// fullTerm is for how long a replica that was full is passed over.
-	fullTerm = 60 * time.Millisecond
-	// otherTerm is for how long one is that is likely changing its weights.
-	otherTerm = 400 * time.Millisecond
-	// goneTerm is for how long one is at whose address another answers: its entry
+	// fullPause is for how long a replica that was full is passed over.
+	fullPause = 60 * time.Millisecond
+	// weightsSwapPause is for how long one is that is likely changing its weights.
+	weightsSwapPause = 400 * time.Millisecond
+	// reusedAddressPause is for how long one is at whose address another answers: its entry
 	// in the list lasts up to three heartbeats, some seconds, after its end. At 0.4 s
 	// the retry budget was spent on it, and 24 large prompts a day were refused or
 	// failed where now 4 are (engines that crash and come back, four seeds).
-	goneTerm = 4 * time.Second
+	reusedAddressPause = 4 * time.Second
 )
 
-// learnRefusal takes from a refusal what it says of the replica.
-func (x *exchange) learnRefusal(a *attempt, now time.Time) {
+// recordRefusal takes from a refusal what it says of the replica.
+func (x *exchange) recordRefusal(a *attempt, now time.Time) {
 	if a.head.Status != http.StatusMisdirectedRequest {
-		term := fullTerm
-		if x.need.NewestVersion > a.choice.Weights && a.choice.Weights > 0 {
+		pause := fullPause
+		if x.pickInput.NewestVersion > a.choice.Weights && a.choice.Weights > 0 {
 			// It is likely changing its weights.
-			term = otherTerm
+			pause = weightsSwapPause
 		}
-		x.pool.Avoid(a.choice.ID, now.Add(term))
+		x.pool.Avoid(a.choice.ID, now.Add(pause))
 		return
 	}
-	if x.need.NewestVersion > a.choice.Weights && a.choice.Weights > 0 {
-		x.pool.RecordWeights(route.RefOf(&a.choice.Upstream), x.need.Model, x.need.NewestVersion)
+	if x.pickInput.NewestVersion > a.choice.Weights && a.choice.Weights > 0 {
+		x.pool.RecordWeights(route.RefOf(&a.choice.Upstream), x.pickInput.Model, x.pickInput.NewestVersion)
 		return
 	}
-	x.pool.Avoid(a.choice.ID, now.Add(goneTerm))
-	x.g.kept.AvoidEngine(a.choice.ID, now.Add(goneTerm))
+	x.pool.Avoid(a.choice.ID, now.Add(reusedAddressPause))
+	x.g.kept.AvoidEngine(a.choice.ID, now.Add(reusedAddressPause))
 }
 
-// unknown goes on after a connection that was lost while the request may have
+// handleUnknown goes on after a connection that was lost while the request may have
 // run: only a repeatable one may be sent again.
-func (x *exchange) unknown(ctx context.Context, a *attempt, err error, now time.Time) (bool, refusal) {
-	x.ran++
-	x.lostRun(ctx, a, err, now)
+func (x *exchange) handleUnknown(ctx context.Context, a *attempt, err error, now time.Time) (bool, refusal) {
+	x.mayHaveRun++
+	x.recordLostRun(ctx, a, err, now)
 	if ctx.Err() != nil {
 		a.end(route.OutcomeNeutral, now)
-		x.dropResting(a, now)
-		return false, x.outOfTime()
+		x.closeIdleAfterSilence(a, now)
+		return false, x.deadlineRefusal()
 	}
 	a.end(route.OutcomeFailed, now)
-	if lostPeer(err) {
-		x.lost(&a.choice.Upstream, now)
+	if isUnreachable(err) {
+		x.recordUnreachable(&a.choice.Upstream, now)
 	} else {
 		x.pool.RecordDisconnect(a.choice.ID, now)
 	}
-	x.g.log.Warn("answer lost", "request", x.terms.ID, "content", x.fingerprint(), "replica", a.choice.ID, "attempts", x.ran, "err", err)
-	return x.repeat(a.choice.ID, now)
+	x.g.log.Warn("answer lost", "request", x.info.ID, "content", x.fingerprint(), "replica", a.choice.ID, "attempts", x.mayHaveRun, "err", err)
+	return x.mayRepeat(a.choice.ID, now)
 }
 
-// repeat says whether a request that may have run is sent again.
-func (x *exchange) repeat(failed string, now time.Time) (bool, refusal) {
-	x.need.Exclude = append(x.need.Exclude, failed)
-	if !x.route.Repeatable() || x.ran >= x.route.MaxAttempts || !x.mayRetry(now) {
-		return false, refuse(http.StatusBadGateway, reasonLost)
+// mayRepeat says whether a request that may have run is sent again.
+func (x *exchange) mayRepeat(failed string, now time.Time) (bool, refusal) {
+	x.pickInput.Exclude = append(x.pickInput.Exclude, failed)
+	if !x.route.Repeatable() || x.mayHaveRun >= x.route.MaxAttempts || !x.mayRetry(now) {
+		return false, refuse(http.StatusBadGateway, reasonAnswerLost)
 	}
 	return true, refusal{}
 }
 
 // mayRetry says whether time and budget allow another attempt.
 func (x *exchange) mayRetry(now time.Time) bool {
-	if x.limit.Sub(now) < timeLeft {
+	if x.deadline.Sub(now) < minTimeLeft {
 		return false
 	}
 	return x.g.budget(x.service.Name).Take(now)
 }
 
-// outOfTime is the answer at the limit: it depends on whether the request may
+// deadlineRefusal is the answer at the limit: it depends on whether the request may
 // have run.
-func (x *exchange) outOfTime() refusal {
-	if x.ran == 0 && !x.g.awake() {
-		return comeBack(reasonSuspended, startRetry)
+func (x *exchange) deadlineRefusal() refusal {
+	if x.mayHaveRun == 0 && !x.g.synced() {
+		return retryLater(reasonSuspended, startRetryAfter)
 	}
-	if x.ran == 0 {
-		return comeBack(reasonDeadline, fullRetry)
+	if x.mayHaveRun == 0 {
+		return retryLater(reasonDeadline, fullRetryAfter)
 	}
 	return refuse(http.StatusGatewayTimeout, reasonDeadline)
 }
 
-// noneLeft is the answer when no replica takes the request.
-func (x *exchange) noneLeft() refusal {
-	if x.ran > 0 {
-		return refuse(http.StatusBadGateway, reasonLost)
+// noReplicaRefusal is the answer when no replica takes the request.
+func (x *exchange) noReplicaRefusal() refusal {
+	if x.mayHaveRun > 0 {
+		return refuse(http.StatusBadGateway, reasonAnswerLost)
 	}
-	why := x.pool.Availability(&x.need, boottime.Now())
-	if x.refused > 0 && why.Eligible+why.Excluded[route.ExcludedTried] > 0 {
-		return comeBack(reasonReplicasFull, fullRetry)
+	availability := x.pool.Availability(&x.pickInput, boottime.Now())
+	if x.notRunCount > 0 && availability.Eligible+availability.Excluded[route.ExcludedTried] > 0 {
+		return retryLater(reasonReplicasFull, fullRetryAfter)
 	}
-	return absent(why)
+	return unavailableRefusal(availability)
 }
 
-// absences are the reasons of which a refusal names the first that holds.
-var absences = []struct {
+// unavailableReasons are the reasons of which a refusal names the first that holds.
+var unavailableReasons = []struct {
 	why    route.Exclusion
 	reason string
 }{
@@ -338,65 +338,65 @@
 	{route.ExcludedDraining, reasonDraining},
 }
 
-// absent is the answer when there is no replica that may be asked at all.
-func absent(why route.Availability) refusal {
-	retry := noReplicaRetry
-	if why.RetryAfter > 0 {
-		retry = why.RetryAfter
-	}
-	for _, a := range absences {
-		if why.Excluded[a.why] > 0 {
-			return comeBack(a.reason, retry)
+// unavailableRefusal is the answer when there is no replica that may be asked at all.
+func unavailableRefusal(availability route.Availability) refusal {
+	retry := noReplicaRetryAfter
+	if availability.RetryAfter > 0 {
+		retry = availability.RetryAfter
+	}
+	for _, a := range unavailableReasons {
+		if availability.Excluded[a.why] > 0 {
+			return retryLater(a.reason, retry)
 		}
 	}
-	return comeBack(reasonNoReplica, retry)
+	return retryLater(reasonNoReplica, retry)
 }
 
-// take delivers a replica's answer.
-func (x *exchange) take(ctx context.Context, a *attempt) (bool, refusal) {
-	x.ran++
+// deliver delivers a replica's answer.
+func (x *exchange) deliver(ctx context.Context, a *attempt) (bool, refusal) {
+	x.mayHaveRun++
 	if x.route.Streaming && a.head.Status == http.StatusOK {
-		return x.takeStream(ctx, a)
+		return x.relayStream(ctx, a)
 	}
-	x.first(a, boottime.Now())
-	body, err := a.readWhole()
+	x.recordFirstByte(a, boottime.Now())
+	body, err := a.readBody()
 	now := boottime.Now()
 	if err != nil {
-		a.end(x.outcomeOf(ctx), now)
-		x.lostRun(ctx, a, err, now)
+		a.end(x.outcomeOfFailure(ctx), now)
+		x.recordLostRun(ctx, a, err, now)
 		if ctx.Err() != nil {
-			return false, x.outOfTime()
+			return false, x.deadlineRefusal()
 		}
-		x.g.log.Warn("answer cut short", "request", x.terms.ID, "content", x.fingerprint(), "replica", a.choice.ID, "err", err)
-		return x.repeat(a.choice.ID, now)
+		x.g.log.Warn("answer cut short", "request", x.info.ID, "content", x.fingerprint(), "replica", a.choice.ID, "err", err)
+		return x.mayRepeat(a.choice.ID, now)
 	}
 	a.answered = true
-	x.finished(now)
+	x.recordFinish(now)
 	w := &wholeAnswer{head: a.head, body: body}
-	if !failedStatus(a.head.Status) {
+	if !isServerError(a.head.Status) {
 		a.end(route.OutcomeOK, now)
 		x.writeWhole(w)
 		x.logAnswer(a, now)
 		return false, refusal{}
 	}
 	a.end(route.OutcomeFailed, now)
-	x.g.log.Info("replica failed", "request", x.terms.ID, "route", x.route.Name, "replica", a.choice.ID,
-		"status", a.head.Status, "draining", a.answer.Draining, "backoff", a.answer.Backoff, "attempts", x.ran, "after", now.Sub(x.came))
-	x.held = w
-	return x.repeat(a.choice.ID, now)
+	x.g.log.Info("replica failed", "request", x.info.ID, "route", x.route.Name, "replica", a.choice.ID,
+		"status", a.head.Status, "draining", a.info.Draining, "backoff", a.info.Backoff, "attempts", x.mayHaveRun, "after", now.Sub(x.receivedAt))
+	x.failedAnswer = w
+	return x.mayRepeat(a.choice.ID, now)
 }
 
-// first records that the first byte of the answer has come.
-func (x *exchange) first(a *attempt, now time.Time) {
-	if a.took == 0 && a.realm != "" {
-		x.g.kept.RecordPrefill(a.choice.ID, a.realm, x.terms.Shared())
+// recordFirstByte records that the first byte of the answer has come.
+func (x *exchange) recordFirstByte(a *attempt, now time.Time) {
+	if a.firstByteAfter == 0 && a.realm != "" {
+		x.g.kept.RecordPrefill(a.choice.ID, a.realm, x.info.Shared())
 	}
-	a.first(now)
+	a.recordFirstByte(now)
 	x.leaveQueue(now)
 }
 
-// outcomeOf blames the replica unless the request ended for another reason.
-func (x *exchange) outcomeOf(ctx context.Context) route.Outcome {
+// outcomeOfFailure blames the replica unless the request ended for another reason.
+func (x *exchange) outcomeOfFailure(ctx context.Context) route.Outcome {
 	if ctx.Err() != nil {
 		return route.OutcomeNeutral
 	}
@@ -404,11 +404,11 @@
 }
 
 func (x *exchange) writeWhole(w *wholeAnswer) {
-	x.out.whole(w.head.Status, w.head.EndToEnd(), w.body)
+	x.out.writeAnswer(w.head.Status, w.head.EndToEnd(), w.body)
 }
 
 func (x *exchange) refuse(f refusal) {
 	x.g.metrics.refusal(f.reason)
 	x.logRefusal(f, boottime.Now())
-	x.out.raw(f.message(x.g.codec, x.terms.ID, x.out.settle()))
+	x.out.writeMessage(f.encode(x.g.codec, x.info.ID, x.out.fixClose()))
 }
--- a/service/gateway/exchange_log.go
+++ b/service/gateway/exchange_log.go
@@ -6,15 +6,15 @@
 
 // logAnswer tells where a request ran, by what, and how long it took.
 func (x *exchange) logAnswer(a *attempt, now time.Time) {
-	offer := x.need.Coverage[a.choice.ID]
-	x.g.metrics.answer(x.route.Kind(), a.begun.Sub(x.came), a.took, now.Sub(x.came))
-	x.g.log.Info("answered", "request", x.terms.ID, "route", x.route.Name, "replica", a.choice.ID,
-		"hall", a.choice.DataHall, "weights", a.choice.Weights, "newest", x.need.NewestVersion,
-		"tokens", x.need.Tokens, "shared", x.need.Shared, "kept", offer.Held+offer.Fetched, "held", offer.Held, "read", a.choice.Read,
+	coverage := x.pickInput.Coverage[a.choice.ID]
+	x.g.metrics.answer(x.route.Kind(), a.startedAt.Sub(x.receivedAt), a.firstByteAfter, now.Sub(x.receivedAt))
+	x.g.log.Info("answered", "request", x.info.ID, "route", x.route.Name, "replica", a.choice.ID,
+		"hall", a.choice.DataHall, "weights", a.choice.Weights, "newest", x.pickInput.NewestVersion,
+		"tokens", x.pickInput.Tokens, "shared", x.pickInput.Shared, "kept", coverage.Held+coverage.Fetched, "held", coverage.Held, "read", a.choice.Read,
 		"fetched", a.plan.Fetched, "saved", a.plan.Saved, "sources", a.plan.Sources, "fetch_ms", a.plan.FetchTime.Milliseconds(),
-		"expected_ms", a.choice.Expected.Milliseconds(), "first_ms", a.took.Milliseconds(), "gap_ms", a.longest.Milliseconds(),
-		"before_ms", a.begun.Sub(x.came).Milliseconds(), "all_ms", now.Sub(x.came).Milliseconds(),
-		"limit", a.answer.Limit.String(), "draining", a.answer.Draining, "attempts", x.ran, "not_run", x.refused)
+		"expected_ms", a.choice.Expected.Milliseconds(), "first_ms", a.firstByteAfter.Milliseconds(), "gap_ms", a.longestPause.Milliseconds(),
+		"before_ms", a.startedAt.Sub(x.receivedAt).Milliseconds(), "all_ms", now.Sub(x.receivedAt).Milliseconds(),
+		"limit", a.info.Limit.String(), "draining", a.info.Draining, "attempts", x.mayHaveRun, "not_run", x.notRunCount)
 }
 
 // logRefusal tells why a request got an answer of the node's own, and by what
@@ -24,17 +24,17 @@
 	if x.route != nil {
 		route = x.route.Name
 	}
-	wait := time.Duration(0)
+	medianWait := time.Duration(0)
 	if x.service != nil {
 		service = x.service.Name
 	}
 	if x.pool != nil {
 		replicas, usable = x.pool.Count(now)
-		wait = x.pool.MedianWait(now)
+		medianWait = x.pool.MedianWait(now)
 	}
-	config, heard, away := x.g.beliefs.Ages(now)
-	x.g.log.Info("refused", "request", x.terms.ID, "status", f.status, "reason", f.reason, "route", route, "service", service,
-		"retry_after", f.retry, "after", now.Sub(x.came), "attempts", x.ran, "not_run", x.refused,
-		"config", config, "list_age", heard, "store_away", away, "replicas", replicas, "usable", usable,
-		"median_wait", wait, "in_flight", x.g.inFlight.Load())
+	configAge, listAge, storeAway := x.g.beliefs.Ages(now)
+	x.g.log.Info("refused", "request", x.info.ID, "status", f.status, "reason", f.reason, "route", route, "service", service,
+		"retry_after", f.retryAfter, "after", now.Sub(x.receivedAt), "attempts", x.mayHaveRun, "not_run", x.notRunCount,
+		"config", configAge, "list_age", listAge, "store_away", storeAway, "replicas", replicas, "usable", usable,
+		"median_wait", medianWait, "in_flight", x.g.inFlight.Load())
 }
--- a/service/gateway/exchange_needs.go
+++ b/service/gateway/exchange_needs.go
@@ -12,39 +12,39 @@
 
 // admit finds out how the request is to be served; ok is false if it is refused.
 func (x *exchange) admit() (f refusal, ok bool) {
-	s := x.g.beliefs.Snapshot()
-	if s == nil {
-		return comeBack(reasonNoConfiguration, startRetry), false
+	snapshot := x.g.beliefs.Snapshot()
+	if snapshot == nil {
+		return retryLater(reasonNoConfiguration, startRetryAfter), false
 	}
-	if x.route = s.Route(x.head.Get("Host"), x.head.Path()); x.route == nil {
+	if x.route = snapshot.Route(x.head.Get("Host"), x.head.Path()); x.route == nil {
 		return refuse(http.StatusNotFound, reasonNoRoute), false
 	}
-	if s.RequireKey {
-		x.organisation = s.Organisation(x.terms.Key)
+	if snapshot.RequireKey {
+		x.organisation = snapshot.Organisation(x.info.Key)
 		if x.organisation == nil && !x.route.Anonymous {
 			return refuse(http.StatusUnauthorized, reasonUnknownKey), false
 		}
 	}
-	patience := x.route.Timeout
-	if t := x.terms.ClientTimeout; t > 0 && (patience == 0 || t < patience) {
-		patience = t
+	timeout := x.route.Timeout
+	if t := x.info.ClientTimeout; t > 0 && (timeout == 0 || t < timeout) {
+		timeout = t
 	}
-	x.limit = x.came.Add(patience)
-	x.service = s.Services[x.route.ServiceAt(xxhash.Sum64String(x.terms.ID))]
+	x.deadline = x.receivedAt.Add(timeout)
+	x.service = snapshot.Services[x.route.ServiceAt(xxhash.Sum64String(x.info.ID))]
 	if x.service == nil {
-		return comeBack(reasonNoReplica, noReplicaRetry), false
+		return retryLater(reasonNoReplica, noReplicaRetryAfter), false
 	}
 	if x.pool = x.g.beliefs.Pool(x.service.Name); x.pool == nil {
-		return comeBack(reasonNoReplica, noReplicaRetry), false
+		return retryLater(reasonNoReplica, noReplicaRetryAfter), false
 	}
-	x.need = x.needs()
-	x.need.Homes, x.need.HomesOnly = x.homes()
+	x.pickInput = x.newPickInput()
+	x.pickInput.Homes, x.pickInput.HomesOnly = x.allowedHomes()
 	return refusal{}, true
 }
 
-// homes are the regions in which the request may run; homed is false if it may in all.
+// allowedHomes are the regions in which the request may run; homed is false if it may in all.
 // Where its route and its organisation both have some, both hold.
-func (x *exchange) homes() (list []string, homed bool) {
+func (x *exchange) allowedHomes() (list []string, homesOnly bool) {
 	list = x.route.Homes
 	if x.organisation == nil || len(x.organisation.Homes) == 0 {
 		return list, len(list) > 0
@@ -56,18 +56,18 @@
 	return both, true
 }
 
-// needs works out what the pool has to know.
-func (x *exchange) needs() route.PickInput {
+// newPickInput works out what the pool has to know.
+func (x *exchange) newPickInput() route.PickInput {
 	n := route.PickInput{}
 	if x.service.Engine == nil {
 		return n
 	}
-	n.Model = x.terms.Model
-	n.Tokens = x.terms.PromptTokens()
+	n.Model = x.info.Model
+	n.Tokens = x.info.PromptTokens()
 	n.Priority = x.priority()
-	n.Memory = n.Tokens + x.terms.MaxTokens
+	n.Memory = n.Tokens + x.info.MaxTokens
 	n.Capacity = x.service.Engine.Capacity
-	shared := x.terms.Shared()
+	shared := x.info.Shared()
 	for _, p := range shared {
 		n.Shared += p.Tokens
 	}
@@ -77,51 +77,51 @@
 	return n
 }
 
-// lookUp notes what of the prompt can be fetched.
-func (x *exchange) lookUp(now time.Time) {
+// lookUpCoverage notes what of the prompt can be fetched.
+func (x *exchange) lookUpCoverage(now time.Time) {
 	e := x.service.Engine
-	if e == nil || !e.PlannedFetch || x.need.Model == "" {
+	if e == nil || !e.PlannedFetch || x.pickInput.Model == "" {
 		return
 	}
 	realm := func(version int64) route.Realm {
 		return route.Realm{
 			Name:           x.realm(version),
-			CompleteBefore: x.g.beliefs.ReplacedAt(x.need.Model, version),
+			CompleteBefore: x.g.beliefs.ReplacedAt(x.pickInput.Model, version),
 		}
 	}
-	x.need.Coverage = x.g.kept.Coverage(x.pool.Upstreams(), x.need.Model, realm, x.terms.Shared(), e, x.longestFetch(), now)
+	x.pickInput.Coverage = x.g.kept.Coverage(x.pool.Upstreams(), x.pickInput.Model, realm, x.info.Shared(), e, x.maxExpectedFetch(), now)
 }
 
 const (
-	// freshTerm is for how long after new weights were named answers on older
+	// newWeightsPeriod is for how long after new weights were named answers on older
 	// ones count nearly in full, and freshUrgency what they count less.
-	freshTerm    = time.Second
-	freshUrgency = 0.3
-	// withinMargin is how long before the time by which all replicas are to
+	newWeightsPeriod    = time.Second
+	newWeightsStaleness = 0.3
+	// orderWindowMargin is how long before the time by which all replicas are to
 	// have new weights nothing is sent to older ones any more.
-	withinMargin = 1200 * time.Millisecond
+	orderWindowMargin = 1200 * time.Millisecond
 )
 
-// refresh notes the newest weights, which may change between attempts.
-func (x *exchange) refresh(now time.Time) {
-	if x.need.Model == "" {
+// refreshWeights notes the newest weights, which may change between attempts.
+func (x *exchange) refreshWeights(now time.Time) {
+	if x.pickInput.Model == "" {
 		return
 	}
-	version, since := x.g.beliefs.Weights(x.need.Model)
-	x.need.NewestVersion = version
-	known := now.Sub(since)
-	x.need.StalenessWeight = freshUrgency
-	if known > freshTerm {
-		x.need.StalenessWeight = 1
+	version, since := x.g.beliefs.Weights(x.pickInput.Model)
+	x.pickInput.NewestVersion = version
+	age := now.Sub(since)
+	x.pickInput.StalenessWeight = newWeightsStaleness
+	if age > newWeightsPeriod {
+		x.pickInput.StalenessWeight = 1
 	}
-	within := x.g.conf().Orders.Within.Std() - withinMargin
-	x.need.MinVersion = x.g.beliefs.WeightsBefore(x.need.Model, now.Add(-within))
+	orderWindow := x.g.conf().Orders.Within.Std() - orderWindowMargin
+	x.pickInput.MinVersion = x.g.beliefs.WeightsBefore(x.pickInput.Model, now.Add(-orderWindow))
 }
 
 // pick chooses a replica by what is known now.
 func (x *exchange) pick(now time.Time) (route.Choice, bool) {
-	x.refresh(now)
-	x.lookUp(now)
+	x.refreshWeights(now)
+	x.lookUpCoverage(now)
 	x.g.nodes.settle(now)
-	return x.pool.Pick(&x.need, now)
+	return x.pool.Pick(&x.pickInput, now)
 }
--- a/service/gateway/follow.go
+++ b/service/gateway/follow.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// followRetry and followRetryMost bound the pause after a failed call. Each
+	// minFollowRetry and followRetryMost bound the pause after a failed call. Each
 	// call is paid for, and the store may be turning callers away.
-	followRetry     = 100 * time.Millisecond
-	followRetryMost = 800 * time.Millisecond
+	minFollowRetry = 100 * time.Millisecond
+	maxFollowRetry = 800 * time.Millisecond
 )
 
 // follower keeps up with one table of the store.
@@ -25,28 +25,28 @@
 		List(ctx context.Context, t site.Table) (site.Listing, error)
 		Changes(ctx context.Context, t site.Table, after int64, wait time.Duration) (site.Listing, error)
 	}
-	table site.Table
-	name  string // For logs.
-	hold  time.Duration
-	// rest is kept after each change, so that changes come in groups: every
+	table    site.Table
+	name     string // For logs.
+	longPoll time.Duration
+	// batchDelay is kept after each change, so that changes come in groups: every
 	// call is paid for.
-	rest time.Duration
+	batchDelay time.Duration
 	// apply takes in rows; with whole they are the whole table.
 	apply func(rows []site.Row, whole bool, now time.Time)
-	// away is told of each call that was not answered.
-	away func(now time.Time)
-	// heard is told of each call that succeeded, and when it was begun.
-	heard func(begun, now time.Time)
-	log   *slog.Logger
-
-	mu     sync.Mutex
-	cancel context.CancelFunc // Of the call under way.
-	woken  bool               // The next call is not to be held.
-
-	version int64
-	listed  bool
-	failed  time.Time // Since when calls fail, zero if they don't.
-	retry   time.Duration
+	// onFailure is told of each call that was not answered.
+	onFailure func(now time.Time)
+	// onAnswer is told of each call that succeeded, and when it was begun.
+	onAnswer func(begun, now time.Time)
+	log      *slog.Logger
+
+	mu         sync.Mutex
+	cancel     context.CancelFunc // Of the call under way.
+	pollAtOnce bool               // The next call is not to be held.
+
+	version      int64
+	listed       bool
+	failingSince time.Time // Since when calls fail, zero if they don't.
+	retryDelay   time.Duration
 }
 
 // run follows the table until ctx ends. It goes on from the version that it has
@@ -54,66 +54,66 @@
 // whole table read again.
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		before := boottime.Refresh()
+		suspendedBefore := boottime.Refresh()
 		begun := boottime.Now()
-		call, hold, done := f.begin(ctx)
-		err := f.step(call, hold)
-		woken := call.Err() != nil
+		call, longPoll, done := f.beginCall(ctx)
+		err := f.poll(call, longPoll)
+		interrupted := call.Err() != nil
 		done()
 		now := boottime.RefreshNow()
 		switch {
-		case err == nil && boottime.Suspended()-before >= leastSuspension:
+		case err == nil && boottime.Suspended()-suspendedBefore >= minSuspension:
 			// The answer may have come before the machine was suspended.
 		case err == nil:
-			f.recovered(now)
-			f.heard(begun, now)
+			f.recordSuccess(now)
+			f.onAnswer(begun, now)
 		case ctx.Err() != nil:
 			return
-		case woken: // It is asked anew at once.
+		case interrupted: // It is asked anew at once.
 		case errors.Is(err, site.ErrHistoryGone):
 			// Whoever says so is there: no entry has run out for want of the store.
 			f.listed = false
 		default:
-			f.lost(now, err)
-			f.away(now)
-			f.pause(ctx)
+			f.recordFailure(now, err)
+			f.onFailure(now)
+			f.backOff(ctx)
 		}
 	}
 }
 
-// begin makes the context of a call that wake ends, and says for how long it is held.
-func (f *follower) begin(ctx context.Context) (call context.Context, hold time.Duration, done context.CancelFunc) {
+// beginCall makes the context of a call that wake ends, and says for how long it is held.
+func (f *follower) beginCall(ctx context.Context) (call context.Context, longPoll time.Duration, done context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	call, f.cancel = context.WithCancel(ctx)
-	if !f.woken {
-		hold = f.hold
+	if !f.pollAtOnce {
+		longPoll = f.longPoll
 	}
-	f.woken = false
-	return call, hold, f.cancel
+	f.pollAtOnce = false
+	return call, longPoll, f.cancel
 }
 
-// wake has the table asked for anew at once: the machine was suspended.
-func (f *follower) wake() {
+// pollNow has the table asked for anew at once: the machine was suspended.
+func (f *follower) pollNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.woken = true
+	f.pollAtOnce = true
 	if f.cancel != nil {
 		f.cancel()
 	}
 }
 
-func (f *follower) step(ctx context.Context, hold time.Duration) error {
+func (f *follower) poll(ctx context.Context, longPoll time.Duration) error {
 	if !f.listed {
 		return f.list(ctx)
 	}
-	if !f.failed.IsZero() {
+	if !f.failingSince.IsZero() {
 		// A call that falls into an absence of the store is not to be waited
 		// for beyond the store's return. It has no limit of its own: one on the whole
 		// would end a large answer each time.
-		hold = 0
+		longPoll = 0
 	}
-	l, err := f.store.Changes(ctx, f.table, f.version, hold)
+	l, err := f.store.Changes(ctx, f.table, f.version, longPoll)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 	}
 	if len(l.Rows) > 0 {
 		f.apply(l.Rows, false, boottime.Now())
-		sleep(ctx, f.rest)
+		sleep(ctx, f.batchDelay)
 	}
 	return nil
 }
@@ -143,25 +143,25 @@
 	return nil
 }
 
-// lost logs the first failure of a row; recovered logs how long it lasted.
-func (f *follower) lost(now time.Time, err error) {
-	if f.failed.IsZero() {
-		f.failed = now
+// recordFailure logs the first failure of a row; recovered logs how long it lasted.
+func (f *follower) recordFailure(now time.Time, err error) {
+	if f.failingSince.IsZero() {
+		f.failingSince = now
 		f.log.Warn("store lost", "table", f.name, "version", f.version, "err", err)
 	}
 }
 
-func (f *follower) recovered(now time.Time) {
-	if !f.failed.IsZero() {
-		f.log.Info("store back", "table", f.name, "version", f.version, "away", now.Sub(f.failed))
+func (f *follower) recordSuccess(now time.Time) {
+	if !f.failingSince.IsZero() {
+		f.log.Info("store back", "table", f.name, "version", f.version, "away", now.Sub(f.failingSince))
 	}
-	f.failed = time.Time{}
-	f.retry = 0
+	f.failingSince = time.Time{}
+	f.retryDelay = 0
 }
 
-func (f *follower) pause(ctx context.Context) {
-	f.retry = min(followRetryMost, max(followRetry, 2*f.retry))
-	sleep(ctx, f.retry/2+time.Duration(rand.Int64N(int64(f.retry))))
+func (f *follower) backOff(ctx context.Context) {
+	f.retryDelay = min(maxFollowRetry, max(minFollowRetry, 2*f.retryDelay))
+	sleep(ctx, f.retryDelay/2+time.Duration(rand.Int64N(int64(f.retryDelay))))
 }
 
 // sleep waits for d, or until ctx ends.
--- a/service/gateway/follow_test.go
+++ b/service/gateway/follow_test.go
@@ -12,15 +12,15 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// forgetfulStore no longer has the changes that a follower asks for, once.
-type forgetfulStore struct{ asked atomic.Int64 }
+// lostHistoryStore no longer has the changes that a follower asks for, once.
+type lostHistoryStore struct{ calls atomic.Int64 }
 
-func (s *forgetfulStore) List(context.Context, site.Table) (site.Listing, error) {
+func (s *lostHistoryStore) List(context.Context, site.Table) (site.Listing, error) {
 	return site.Listing{Version: 9}, nil
 }
 
-func (s *forgetfulStore) Changes(ctx context.Context, _ site.Table, _ int64, _ time.Duration) (site.Listing, error) {
-	if s.asked.Add(1) == 1 {
+func (s *lostHistoryStore) Changes(ctx context.Context, _ site.Table, _ int64, _ time.Duration) (site.Listing, error) {
+	if s.calls.Add(1) == 1 {
 		return site.Listing{}, site.ErrHistoryGone
 	}
 	<-ctx.Done()
@@ -35,20 +35,20 @@
 // What settled it: "upstream dropped" with missing 1.81 to 2.02 s at seven nodes, and no "store
 // lost" at any of them in the twelve seconds before: of the two ways by which a node takes the store for
 // away, the other one logs that.
-func TestLostHistoryIsNoAbsenceOfTheStore(t *testing.T) {
+func TestLostHistoryDoesNotCountAsUnreachableStore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var away, whole atomic.Int64
 	f := &follower{
-		store: &forgetfulStore{}, table: site.TableUpstreams, name: "upstreams", hold: readerHold,
+		store: &lostHistoryStore{}, table: site.TableUpstreams, name: "upstreams", longPoll: readerHold,
 		apply: func(_ []site.Row, all bool, _ time.Time) {
 			if all && whole.Add(1) == 1 {
 				time.AfterFunc(50*time.Millisecond, cancel)
 			}
 		},
-		away:    func(time.Time) { away.Add(1) },
-		heard:   func(_, _ time.Time) {},
-		log:     slog.New(slog.DiscardHandler),
-		version: 1, listed: true,
+		onFailure: func(time.Time) { away.Add(1) },
+		onAnswer:  func(_, _ time.Time) {},
+		log:       slog.New(slog.DiscardHandler),
+		version:   1, listed: true,
 	}
 	f.run(ctx)
 	assert.Equal(t, whole.Load(), int64(1))
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -175,18 +175,18 @@
 	hold := g.conf().Platform.LongPollTimeout.Std()
 	g.followers = []*follower{
 		{
-			store: g.readers, table: site.TableOperator, name: "operator", hold: hold, log: g.log,
-			apply: g.beliefs.ApplyOperator,
-			away:  func(time.Time) {},
-			heard: func(begun, _ time.Time) { g.suspension.hear(site.TableOperator, begun) },
+			store: g.readers, table: site.TableOperator, name: "operator", longPoll: hold, log: g.log,
+			apply:     g.beliefs.ApplyOperator,
+			onFailure: func(time.Time) {},
+			onAnswer:  func(begun, _ time.Time) { g.suspension.recordAnswer(site.TableOperator, begun) },
 		},
 		{
-			store: g.readers, table: site.TableUpstreams, name: "upstreams", hold: hold, log: g.log,
-			apply: g.beliefs.ApplyUpstreams, rest: upstreamsRest,
-			away: g.beliefs.MarkStoreUnreachable,
-			heard: func(begun, now time.Time) {
+			store: g.readers, table: site.TableUpstreams, name: "upstreams", longPoll: hold, log: g.log,
+			apply: g.beliefs.ApplyUpstreams, batchDelay: upstreamsRest,
+			onFailure: g.beliefs.MarkStoreUnreachable,
+			onAnswer: func(begun, now time.Time) {
 				g.beliefs.MarkStoreSynced(now)
-				g.suspension.hear(site.TableUpstreams, begun)
+				g.suspension.recordAnswer(site.TableUpstreams, begun)
 			},
 		},
 	}
@@ -194,21 +194,21 @@
 		g.wg.Go(func() { f.run(g.ctx) })
 	}
 	every := g.conf().Peer.ProbeEvery.Std()
-	g.every(every, g.nodes.probe)
-	g.every(every/lateShare, g.nodes.probeLate)
-	g.every(meetEvery, g.nodes.meet)
-	g.every(greetEvery, g.nodes.greetSome)
-	g.every(pruneEvery, func(context.Context) { g.conns.prune(boottime.Now()) })
-	g.every(expireEvery, func(context.Context) { g.beliefs.Expire(boottime.Now()) })
-	g.every(watchEvery, g.stores.refresh)
-	g.every(watchEvery, g.holdings.refresh)
-	g.every(freeEvery, g.stores.free)
-	g.every(rollout.StepInterval, g.rollout.Step)
-	g.every(watchEvery, g.shareBudgets)
-	g.every(suspects.StepInterval, g.suspects.Step)
-	g.every(suspects.StepInterval, g.suspects.SaveRow)
-	g.every(suspects.LearnInterval, g.suspects.Learn)
-	g.every(ratelimit.ForgetInterval, g.rateLimits.Forget)
+	g.runEvery(every, g.nodes.probe)
+	g.runEvery(every/lateShare, g.nodes.probeLate)
+	g.runEvery(meetEvery, g.nodes.meet)
+	g.runEvery(greetEvery, g.nodes.greetSome)
+	g.runEvery(pruneEvery, func(context.Context) { g.conns.prune(boottime.Now()) })
+	g.runEvery(expireEvery, func(context.Context) { g.beliefs.Expire(boottime.Now()) })
+	g.runEvery(watchEvery, g.stores.refresh)
+	g.runEvery(watchEvery, g.holdings.refresh)
+	g.runEvery(freeEvery, g.stores.free)
+	g.runEvery(rollout.StepInterval, g.rollout.Step)
+	g.runEvery(watchEvery, g.shareBudgets)
+	g.runEvery(suspects.StepInterval, g.suspects.Step)
+	g.runEvery(suspects.StepInterval, g.suspects.SaveRow)
+	g.runEvery(suspects.LearnInterval, g.suspects.Learn)
+	g.runEvery(ratelimit.ForgetInterval, g.rateLimits.Forget)
 	g.wg.Go(func() { g.runQueues(g.ctx) })
 	g.wg.Go(func() { g.nodes.meet(g.ctx) })
 	g.wg.Go(func() { g.nodes.runSpeaker(g.ctx) })
@@ -259,8 +259,8 @@
 
 // ready says whether callers are to be sent here.
 func (g *Gateway) ready() bool {
-	g.look()
-	return g.awake() && !g.stopping() && g.beliefs.Snapshot() != nil && g.beliefs.UpstreamCount() > 0 && !g.apart(boottime.Now())
+	g.checkSuspension()
+	return g.synced() && !g.stopping() && g.beliefs.Snapshot() != nil && g.beliefs.UpstreamCount() > 0 && !g.apart(boottime.Now())
 }
 
 // apart says whether the node can't know any more what operators have changed: it hears no
@@ -271,7 +271,7 @@
 	if len(g.nodes.members.All()) <= 1 || len(g.nodes.members.Working()) > 1 {
 		return false
 	}
-	return now.Sub(g.suspension.heardOf(site.TableOperator)) > g.conf().Evacuation.Within.Std()
+	return now.Sub(g.suspension.lastAnswered(site.TableOperator)) > g.conf().Evacuation.Within.Std()
 }
 
 // stopping says whether the node has been told to stop.
@@ -366,7 +366,7 @@
 	g.metrics.cut.Add(int64(cut.sum()))
 	if cut.sum() > 0 {
 		g.log.Warn("requests cut by a stop", "node", g.conf().Node.Name, "after", time.Since(begun),
-			"heading", cut.heading, "bodying", cut.bodying, "serving", cut.serving)
+			"heading", cut.readingHead, "bodying", cut.readingBody, "serving", cut.serving)
 	}
 	g.timer.Close()
 	g.rollout.Close()
--- a/service/gateway/grown_configuration_test.go
+++ b/service/gateway/grown_configuration_test.go
@@ -298,7 +298,7 @@
 		if !since.IsZero() {
 			slowest = max(slowest, since.Sub(at))
 		}
-		got := n.link.got.Load() - before[i]
+		got := n.link.received.Load() - before[i]
 		if n == reader {
 			assert.Check(h.t, got <= wholeBytes, "the reader received %d bytes for version %d", got, version)
 			continue
@@ -315,7 +315,7 @@
 func received(nodes []*grownNode) []int64 {
 	list := make([]int64, len(nodes))
 	for i, n := range nodes {
-		list[i] = n.link.got.Load()
+		list[i] = n.link.received.Load()
 	}
 	return list
 }
@@ -323,14 +323,14 @@
 // follower keeps up with the operator's table.
 func (n *grownNode) follower() *follower {
 	return &follower{
-		store: n.readers, table: site.TableOperator, name: "operator", hold: grownHold,
+		store: n.readers, table: site.TableOperator, name: "operator", longPoll: grownHold,
 		apply: func(rows []site.Row, _ bool, now time.Time) {
 			n.beliefs.ApplyOperator(rows, false, now)
 			n.note()
 		},
-		away:  func(time.Time) {},
-		heard: func(_, _ time.Time) {},
-		log:   slog.New(slog.DiscardHandler),
+		onFailure: func(time.Time) {},
+		onAnswer:  func(_, _ time.Time) {},
+		log:       slog.New(slog.DiscardHandler),
 	}
 }
 
--- a/service/gateway/holdings_test.go
+++ b/service/gateway/holdings_test.go
@@ -164,7 +164,7 @@
 	server.Handle(peer.RolePeer, methodHeld, teller.serve)
 	server.Start()
 	t.Cleanup(server.Close)
-	wantTold := toldBy(t, server.Addr())
+	wantTold := holdingsSubscriber(t, server.Addr())
 	teller.refresh(t.Context())
 	wantTold.refresh(t.Context())
 	eventually(t, "what is held is told on", func() bool { return wantTold.holds("a") })
--- a/service/gateway/links_test.go
+++ b/service/gateway/links_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// linkChunk is how many bytes pass a link at once, so that connections share
+	// linkChunkBytes is how many bytes pass a link at once, so that connections share
 	// it evenly: 3 ms of 10 Mbit/s.
-	linkChunk = 4 << 10
-	// linkBuffer bounds what a connection holds before the link, in bytes, so
+	linkChunkBytes = 4 << 10
+	// linkBufferBytes bounds what a connection holds before the link, in bytes, so
 	// that a sender notices the link's rate.
-	linkBuffer = 64 << 10
-	// linkCatchUp is what a link makes up for when timers are late.
-	linkCatchUp = 10 * time.Millisecond
+	linkBufferBytes = 64 << 10
+	// maxLinkLag is what a link makes up for when timers are late.
+	maxLinkLag = 10 * time.Millisecond
 	// bytesPerMbit turns Mbit/s into bytes a second.
 	bytesPerMbit = 1e6 / 8
 )
@@ -29,9 +29,9 @@
 // link is how a node is connected; all its connections share the rate of each
 // direction.
 type link struct {
-	in, out lane
-	// got is how many bytes have come in.
-	got atomic.Int64
+	in, out linkDirection
+	// received is how many bytes have come in.
+	received atomic.Int64
 	// frozen links carry nothing more, though connections stay open and are
 	// accepted, as those of a process that is stopped.
 	frozen atomic.Bool
@@ -39,26 +39,26 @@
 
 func newLink(mbit float64) *link {
 	rate := mbit * bytesPerMbit
-	return &link{in: lane{rate: rate}, out: lane{rate: rate}}
+	return &link{in: linkDirection{rate: rate}, out: linkDirection{rate: rate}}
 }
 
-// lane is one direction of a link.
-type lane struct {
+// linkDirection is one direction of a link.
+type linkDirection struct {
 	rate float64 // Bytes a second.
 
-	mu   sync.Mutex
-	free time.Time // When all that was let in before has passed.
+	mu        sync.Mutex
+	busyUntil time.Time // When all that was let in before has passed.
 }
 
-// pass lets n bytes in and returns when they are through.
-func (l *lane) pass(n int, now time.Time) time.Time {
+// reserve lets n bytes in and returns when they are through.
+func (l *linkDirection) reserve(n int, now time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if late := now.Add(-linkCatchUp); l.free.Before(late) {
-		l.free = late
+	if late := now.Add(-maxLinkLag); l.busyUntil.Before(late) {
+		l.busyUntil = late
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
-	return l.free
+	l.busyUntil = l.busyUntil.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
+	return l.busyUntil
 }
 
 // links carries connections between nodes that have links.
@@ -134,7 +134,7 @@
 		return
 	}
 	for _, c := range []net.Conn{from, to} {
-		_ = c.(*net.TCPConn).SetReadBuffer(linkBuffer) // Only the sender's view depends on it.
+		_ = c.(*net.TCPConn).SetReadBuffer(linkBufferBytes) // Only the sender's view depends on it.
 		if !l.keep(c) {
 			return
 		}
@@ -149,7 +149,7 @@
 func (l *links) carry(dst, src net.Conn, sender, receiver *link) {
 	defer l.drop(src)
 	defer l.drop(dst)
-	buf := make([]byte, linkChunk)
+	buf := make([]byte, linkChunkBytes)
 	for {
 		n, err := src.Read(buf)
 		if err != nil || !l.pace(n, sender, receiver) {
@@ -166,10 +166,10 @@
 	now := time.Now()
 	due := now
 	if sender != nil {
-		due = sender.out.pass(n, now)
+		due = sender.out.reserve(n, now)
 	}
 	if receiver != nil {
-		if in := receiver.in.pass(n, now); in.After(due) {
+		if in := receiver.in.reserve(n, now); in.After(due) {
 			due = in
 		}
 	}
@@ -180,13 +180,13 @@
 		}
 	}
 	if receiver != nil {
-		receiver.got.Add(int64(n))
+		receiver.received.Add(int64(n))
 	}
 	return l.ctx.Err() == nil
 }
 
 // A link that lets more through than its rate would hide what narrow ones delay.
-func TestLinkKeepsItsRateForAllConnections(t *testing.T) {
+func TestLinkRateIsSharedByAllConnections(t *testing.T) {
 	const (
 		mbit  = 10
 		total = 500_000
@@ -219,6 +219,6 @@
 		})
 	}
 	wg.Wait()
-	assert.Assert(t, float64(time.Since(begun)+2*linkCatchUp) > took, "%v", time.Since(begun))
-	assert.Equal(t, near.got.Load(), int64(total))
+	assert.Assert(t, float64(time.Since(begun)+2*maxLinkLag) > took, "%v", time.Since(begun))
+	assert.Equal(t, near.received.Load(), int64(total))
 }
--- a/service/gateway/listener.go
+++ b/service/gateway/listener.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// acceptPause is kept after accepting has failed: most often the process is out of
+// acceptRetryDelay is kept after accepting has failed: most often the process is out of
 // descriptors, which connections that end give back within some milliseconds.
-const acceptPause = 10 * time.Millisecond
+const acceptRetryDelay = 10 * time.Millisecond
 
 // listener goes on after a failure to accept. A server that ended at one would take no
 // connection any more, and the node would still say that it is ready.
@@ -28,6 +28,6 @@
 		if !failed {
 			l.log.Warn("accept failed", "listen", l.Addr(), "err", err)
 		}
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
--- a/service/gateway/readers.go
+++ b/service/gateway/readers.go
@@ -261,7 +261,7 @@
 		return l, err
 	}
 	// An answer may have come before the machine was suspended: it is not new then.
-	r.take(q, l, boottime.Refresh()-before < leastSuspension)
+	r.take(q, l, boottime.Refresh()-before < minSuspension)
 	r.logRows(q, l, byStore, begun)
 	return l, nil
 }
--- a/service/gateway/readers_bench_test.go
+++ b/service/gateway/readers_bench_test.go
@@ -75,5 +75,5 @@
 		assert.Equal(b, len(got.Rows[0].Value), len(value))
 		version = row.Version
 	}
-	b.ReportMetric(float64(near.got.Load())/float64(b.N), "link-B/op")
+	b.ReportMetric(float64(near.received.Load())/float64(b.N), "link-B/op")
 }
--- a/service/gateway/readers_test.go
+++ b/service/gateway/readers_test.go
@@ -671,10 +671,10 @@
 	assert.NilError(t, err)
 	got := make(chan int, 1)
 	f := &follower{
-		store: h.asker, table: site.TableUpstreams, name: "upstreams", hold: readerHold,
-		apply: func(rows []site.Row, _ bool, _ time.Time) { got <- len(rows[0].Value) },
-		away:  func(time.Time) {}, heard: func(_, _ time.Time) {}, log: slog.New(slog.DiscardHandler),
-		version: 1, listed: true, failed: time.Now(), retry: followRetry,
+		store: h.asker, table: site.TableUpstreams, name: "upstreams", longPoll: readerHold,
+		apply:     func(rows []site.Row, _ bool, _ time.Time) { got <- len(rows[0].Value) },
+		onFailure: func(time.Time) {}, onAnswer: func(_, _ time.Time) {}, log: slog.New(slog.DiscardHandler),
+		version: 1, listed: true, failingSince: time.Now(), retryDelay: minFollowRetry,
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -690,13 +690,13 @@
 	select {
 	case n := <-got:
 		took := time.Since(begun)
-		t.Logf("came after %v, %d bytes over the link", took, near.got.Load())
+		t.Logf("came after %v, %d bytes over the link", took, near.received.Load())
 		assert.Equal(t, n, size)
 		assert.Assert(t, took < inForceWithin, "%v", took)
-		assert.Assert(t, near.got.Load() > size, "the reader told it")
-		assert.Assert(t, near.got.Load() < 2*size, "it was sent once: %d bytes", near.got.Load())
+		assert.Assert(t, near.received.Load() > size, "the reader told it")
+		assert.Assert(t, near.received.Load() < 2*size, "it was sent once: %d bytes", near.received.Load())
 	case <-time.After(2 * inForceWithin):
-		t.Fatalf("not within %v: %d bytes over the link", time.Since(begun), near.got.Load())
+		t.Fatalf("not within %v: %d bytes over the link", time.Since(begun), near.received.Load())
 	}
 }
 
@@ -854,8 +854,8 @@
 	defer s.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	f := &follower{
-		store: s, table: site.TableOperator, name: "operator", hold: 100 * time.Millisecond,
-		apply: func([]site.Row, bool, time.Time) {}, away: func(time.Time) {}, heard: func(_, _ time.Time) {},
+		store: s, table: site.TableOperator, name: "operator", longPoll: 100 * time.Millisecond,
+		apply: func([]site.Row, bool, time.Time) {}, onFailure: func(time.Time) {}, onAnswer: func(_, _ time.Time) {},
 		log: slog.New(slog.DiscardHandler), version: 1, listed: true,
 	}
 	done := make(chan struct{})
--- a/service/gateway/refusal.go
+++ b/service/gateway/refusal.go
@@ -14,9 +14,9 @@
 	status int
 	// reason is a word for logs, metrics and the caller.
 	reason string
-	// retry is when to come back; 0 if it is not said. Only refusals that say
+	// retryAfter is when to come back; 0 if it is not said. Only refusals that say
 	// that the request did not run have one.
-	retry time.Duration
+	retryAfter time.Duration
 }
 
 // Reasons of refusals.
@@ -38,21 +38,21 @@
 	reasonReplicasFull    = "replicas_full"
 	reasonOverloaded      = "overloaded"
 	reasonDeadline        = "deadline"
-	reasonLost            = "answer_lost"
+	reasonAnswerLost      = "answer_lost"
 	reasonEndsReplicas    = "ends_replicas"
-	reasonWatched         = "suspected"
+	reasonSuspected       = "suspected"
 	reasonSuspended       = "suspended"
 )
 
 func refuse(status int, reason string) refusal { return refusal{status: status, reason: reason} }
 
-// comeBack refuses a request that did not run and says when to come back.
-func comeBack(reason string, after time.Duration) refusal {
-	return refusal{status: http.StatusServiceUnavailable, reason: reason, retry: after}
+// retryLater refuses a request that did not run and says when to come back.
+func retryLater(reason string, retryAfter time.Duration) refusal {
+	return refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
-// message makes the answer; id is the request's, "" if it has none.
-func (f refusal) message(codec Codec, id string, last bool) []byte {
+// encode makes the answer; id is the request's, "" if it has none.
+func (f refusal) encode(codec Codec, id string, closes bool) []byte {
 	body, err := json.Marshal(struct {
 		Error string `json:"error"`
 	}{f.reason})
@@ -63,10 +63,10 @@
 	if id != "" {
 		fields = append(fields, codec.RequestIDHeader(id))
 	}
-	if f.retry > 0 {
-		seconds := strconv.FormatFloat(f.retry.Seconds(), 'f', 2, 64)
+	if f.retryAfter > 0 {
+		seconds := strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 2, 64)
 		fields = append(fields, http1.Field{Name: "Retry-After", Value: seconds})
 	}
-	b := http1.AppendResponse(nil, f.status, fields, len(body), last)
+	b := http1.AppendResponse(nil, f.status, fields, len(body), closes)
 	return append(b, body...)
 }
--- a/service/gateway/relay.go
+++ b/service/gateway/relay.go
@@ -21,68 +21,68 @@
 	out    *clientWriter
 	head   *http1.Head // Of the first replica's answer.
 	lastID string      // Of the last event that was passed on.
-	// held are bytes of an event whose end has not come.
-	held []byte
+	// partial are bytes of an event whose end has not come.
+	partial []byte
 }
 
 // Sizes of relaying, in bytes.
 const (
-	relayBuffer = 8 << 10
-	// maxEvent is the largest event that is held back; a larger one is passed
+	relayBufferSize = 8 << 10
+	// maxEventBytes is the largest event that is held back; a larger one is passed
 	// on in pieces.
-	maxEvent = 256 << 10
+	maxEventBytes = 256 << 10
 )
 
-// takeStream passes a replica's stream on. If it breaks off, a resumable one
+// relayStream passes a replica's stream on. If it breaks off, a resumable one
 // goes on elsewhere.
-func (x *exchange) takeStream(ctx context.Context, a *attempt) (bool, refusal) {
+func (x *exchange) relayStream(ctx context.Context, a *attempt) (bool, refusal) {
 	first := x.stream == nil
 	r := x.stream
 	if first {
 		r = &relay{out: x.out, head: a.head}
 	}
-	r.held = nil
+	r.partial = nil
 	err := x.copyEvents(r, a)
 	now := boottime.Now()
-	if x.out.begun {
+	if x.out.started {
 		x.stream = r
 	}
 	if err == nil {
 		a.end(route.OutcomeOK, now)
 		a.answered = true
-		x.finished(now)
+		x.recordFinish(now)
 		r.finish()
 		x.logAnswer(a, now)
 		return false, refusal{}
 	}
-	a.end(x.outcomeOf(ctx), now)
-	x.lostRun(ctx, a, err, now)
+	a.end(x.outcomeOfFailure(ctx), now)
+	x.recordLostRun(ctx, a, err, now)
 	if ctx.Err() != nil {
-		x.dropResting(a, now)
-		return false, x.outOfTime()
+		x.closeIdleAfterSilence(a, now)
+		return false, x.deadlineRefusal()
 	}
 	if x.out.failed {
 		return false, refusal{}
 	}
-	x.g.log.Warn("stream broke off", "request", x.terms.ID, "content", x.fingerprint(), "replica", a.choice.ID, "last_event", r.lastID, "err", err)
-	return x.repeat(a.choice.ID, now)
+	x.g.log.Warn("stream broke off", "request", x.info.ID, "content", x.fingerprint(), "replica", a.choice.ID, "last_event", r.lastID, "err", err)
+	return x.mayRepeat(a.choice.ID, now)
 }
 
 // copyEvents passes events on until the stream's end, which it returns nil for.
 func (x *exchange) copyEvents(r *relay, a *attempt) error {
-	buf := make([]byte, relayBuffer)
+	buf := make([]byte, relayBufferSize)
 	for {
 		n, err := a.body.Read(buf)
 		if n > 0 {
 			now := boottime.Now()
-			x.first(a, now)
-			a.gap(now)
-			r.take(buf[:n])
+			x.recordFirstByte(a, now)
+			a.recordBodyBytes(now)
+			r.write(buf[:n])
 		}
 		switch {
 		case x.out.failed:
 			return errClientLeft
-		case err == io.EOF && a.body.Framing() == http1.FramingClose && len(r.held) > 0:
+		case err == io.EOF && a.body.Framing() == http1.FramingClose && len(r.partial) > 0:
 			// It ended inside an event, so the connection was cut.
 			return http1.ErrBodyTruncated
 		case err == io.EOF:
@@ -93,26 +93,26 @@
 	}
 }
 
-// take passes on the events that are whole with these bytes.
-func (r *relay) take(b []byte) {
-	r.held = append(r.held, b...)
-	end := lastEventEnd(r.held)
-	if end == 0 && len(r.held) > maxEvent {
-		end = len(r.held)
+// write passes on the events that are whole with these bytes.
+func (r *relay) write(b []byte) {
+	r.partial = append(r.partial, b...)
+	end := lastEventEnd(r.partial)
+	if end == 0 && len(r.partial) > maxEventBytes {
+		end = len(r.partial)
 	}
 	if end == 0 {
 		return
 	}
-	events := r.skipKnown(r.held[:end])
+	events := r.skipRepeated(r.partial[:end])
 	if len(events) > 0 {
-		r.pass(events)
+		r.send(events)
 	}
-	r.held = append([]byte(nil), r.held[end:]...)
+	r.partial = append([]byte(nil), r.partial[end:]...)
 }
 
-// skipKnown drops events at the front that were passed on before: a replica may
+// skipRepeated drops events at the front that were passed on before: a replica may
 // send some of them again when a stream goes on.
-func (r *relay) skipKnown(events []byte) []byte {
+func (r *relay) skipRepeated(events []byte) []byte {
 	for len(events) > 0 && r.lastID != "" {
 		end := firstEventEnd(events)
 		if end == 0 || !notAfter(eventID(events[:end]), r.lastID) {
@@ -130,36 +130,36 @@
 	return errA == nil && errB == nil && a <= b
 }
 
-func (r *relay) pass(events []byte) {
+func (r *relay) send(events []byte) {
 	if id := lastEventID(events); id != "" {
 		r.lastID = id
 	}
-	if !r.out.begun {
-		r.out.begin(r.head.Status, r.head.EndToEnd(), events)
+	if !r.out.started {
+		r.out.startStream(r.head.Status, r.head.EndToEnd(), events)
 		return
 	}
-	r.out.more(events)
+	r.out.writeMore(events)
 }
 
 // finish ends the stream, with what is held.
 func (r *relay) finish() {
-	if len(r.held) > 0 {
-		r.pass(r.held)
-		r.held = nil
+	if len(r.partial) > 0 {
+		r.send(r.partial)
+		r.partial = nil
 	}
-	if !r.out.begun {
-		r.out.begin(r.head.Status, r.head.EndToEnd(), nil)
+	if !r.out.started {
+		r.out.startStream(r.head.Status, r.head.EndToEnd(), nil)
 	}
-	r.out.end()
+	r.out.endStream()
 }
 
-// eventEnds are the blank lines that end an event.
-var eventEnds = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
+// eventSeparators are the blank lines that end an event.
+var eventSeparators = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
 // lastEventEnd is where the last whole event ends, 0 if there is none.
 func lastEventEnd(b []byte) int {
 	end := 0
-	for _, sep := range eventEnds {
+	for _, sep := range eventSeparators {
 		if i := bytes.LastIndex(b, sep); i >= 0 {
 			end = max(end, i+len(sep))
 		}
@@ -170,7 +170,7 @@
 // firstEventEnd is where the first event ends, 0 if it is not whole.
 func firstEventEnd(b []byte) int {
 	end := 0
-	for _, sep := range eventEnds {
+	for _, sep := range eventSeparators {
 		if i := bytes.Index(b, sep); i >= 0 && (end == 0 || i+len(sep) < end) {
 			end = i + len(sep)
 		}
--- a/service/gateway/retry_slack_test.go
+++ b/service/gateway/retry_slack_test.go
@@ -11,8 +11,8 @@
 	"github.com/drumpath/drumpath/pkg/control"
 )
 
-// slackNode is one of some nodes, which takes some of the others for dead.
-func slackNode(all []control.Member, i int, met bool) *Gateway {
+// nodeWithSlack is one of some nodes, which takes some of the others for dead.
+func nodeWithSlack(all []control.Member, i int, hasMet bool) *Gateway {
 	m := control.NewMembers(all[i], time.Second, nil, newRand())
 	alive := append(append([]control.Member(nil), all[:i]...), all[i+1:]...)
 	for j := range alive {
@@ -21,7 +21,7 @@
 	m.Merge(alive, time.Now())
 	m.Merge(append(append([]control.Member(nil), all[:i]...), all[i+1:]...), time.Now())
 	n := &nodes{self: all[i], members: m, shares: newColdShares(all[i], m)}
-	if met {
+	if hasMet {
 		n.shares.haveMet(boottime.Now().Add(-meetTime))
 	}
 	g := &Gateway{nodes: n}
@@ -33,7 +33,7 @@
 // how many nodes each took to work. Cut apart, both halves gave themselves the whole, and a
 // node that had just started took a few nodes' part for its own; found by asking which other
 // bounds on a sum are kept by each node for itself.
-func TestPartsOfRetriesAddUpToTheWholeWhereNodesDisagree(t *testing.T) {
+func TestRetrySlackSharesSumToTotalWhenNodesDisagree(t *testing.T) {
 	for _, n := range []int{7, 71, 295, 2} {
 		var sides [2][]control.Member // As each side has all of them.
 		for i := range n {
@@ -48,11 +48,11 @@
 		}
 		sum := 0.0
 		for i := range n {
-			sum += slackNode(sides[i%len(sides)], i, true).slackShare()
+			sum += nodeWithSlack(sides[i%len(sides)], i, true).slackShare()
 		}
 		assert.Assert(t, sum <= 54.001, "%d nodes: %g", n, sum)
 		assert.Assert(t, sum > 53.9, "%d nodes: %g", n, sum)
-		alone := slackNode(sides[0][:2], 0, false).slackShare()
+		alone := nodeWithSlack(sides[0][:2], 0, false).slackShare()
 		assert.Assert(t, alone <= 54.0/unknownNodes, "a node that has yet to meet the others takes %g", alone)
 	}
 }
--- a/service/gateway/silence_test.go
+++ b/service/gateway/silence_test.go
@@ -16,8 +16,8 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// serveBehind serves a method between nodes; it is reached through the proxy only.
-func serveBehind(t *testing.T, method string, fn peer.HandlerFunc) *netproxy.Proxy {
+// serveBehindProxy serves a method between nodes; it is reached through the proxy only.
+func serveBehindProxy(t *testing.T, method string, fn peer.HandlerFunc) *netproxy.Proxy {
 	server, err := peer.NewServer(netip.MustParseAddrPort("127.0.0.1:0"), map[peer.Role]string{peer.RolePeer: "key"}, slog.New(slog.DiscardHandler))
 	assert.NilError(t, err)
 	server.Handle(peer.RolePeer, method, fn)
@@ -29,8 +29,8 @@
 	return p
 }
 
-// eachWay runs a test for each way in which a path may lose what is on it.
-func eachWay(t *testing.T, test func(t *testing.T, silence func(*netproxy.Proxy))) {
+// forEachSilentDirection runs a test for each way in which a path may lose what is on it.
+func forEachSilentDirection(t *testing.T, test func(t *testing.T, silence func(*netproxy.Proxy))) {
 	for name, way := range map[string][2]bool{"to": {true, false}, "from": {false, true}, "both": {true, true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -41,20 +41,20 @@
 	}
 }
 
-// callTime is by when a call that is held by another node for a second must have ended
+// maxCallTime is by when a call that is held by another node for a second must have ended
 // once its connection is silent, and one on a new connection have been answered, with
 // 3 s for a machine that has other things to do.
-const callTime = heldWait + readerSlack + heldRetry + 3*time.Second
+const maxCallTime = heldWait + readerSlack + heldRetry + 3*time.Second
 
 // What engines hold is told on one connection between two nodes. After it went silent,
 // the node that was told had nothing of that hall's engines for good.
-func TestTellerIsHeardAgainAfterItsConnectionWentSilent(t *testing.T) {
-	eachWay(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
+func TestHoldingsResumeAfterConnectionGoesSilent(t *testing.T) {
+	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		e := &tellingEngines{}
 		e.tell(part("a", 100))
 		teller := newTestHoldings(t, "n0", e)
-		p := serveBehind(t, methodHeld, teller.serve)
-		told := toldBy(t, p.Addr())
+		p := serveBehindProxy(t, methodHeld, teller.serve)
+		told := holdingsSubscriber(t, p.Addr())
 		teller.refresh(t.Context())
 		told.refresh(t.Context())
 		eventually(t, "what is held is told on", func() bool { return told.holds("a") })
@@ -62,12 +62,12 @@
 		begun := time.Now()
 		e.tell(part("b", 100))
 		eventually(t, "changes are told on", func() bool { return told.holds("b") })
-		assert.Assert(t, time.Since(begun) < callTime, "%v", time.Since(begun))
+		assert.Assert(t, time.Since(begun) < maxCallTime, "%v", time.Since(begun))
 	})
 }
 
-// toldBy returns a node that is told what engines hold by the node at addr.
-func toldBy(t *testing.T, addr netip.AddrPort) *holdings {
+// holdingsSubscriber returns a node that is told what engines hold by the node at addr.
+func holdingsSubscriber(t *testing.T, addr netip.AddrPort) *holdings {
 	for i := range 20 { // Find a name for which the teller is not the node itself.
 		owner := control.Member{Name: "n0", DataHall: "h", State: control.MemberAlive, Peer: addr, Incarnation: 1}
 		told := newTestHoldings(t, fmt.Sprintf("told%d", i), nil, owner)
@@ -81,8 +81,8 @@
 
 // A reader's connection went silent: the store is asked instead, and the reader again
 // once it is no longer passed over.
-func TestReaderIsAskedAgainAfterItsConnectionWentSilent(t *testing.T) {
-	eachWay(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
+func TestReaderIsUsedAgainAfterConnectionGoesSilent(t *testing.T) {
+	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		h := newTestHall(t)
 		h.store.add("a")
 		h.read(t)
@@ -95,7 +95,7 @@
 			l, err := h.asker.Changes(t.Context(), site.TableUpstreams, 1, readerHold)
 			assert.NilError(t, err)
 			assert.Equal(t, len(l.Rows), 1)
-			assert.Assert(t, time.Since(begun) < callTime)
+			assert.Assert(t, time.Since(begun) < maxCallTime)
 		}
 		changes()
 		silence(h.way)
@@ -109,12 +109,12 @@
 }
 
 // A store's events are told on by the node that follows it.
-func TestWatcherIsHeardAgainAfterItsConnectionWentSilent(t *testing.T) {
-	eachWay(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
+func TestStoreEventsResumeAfterConnectionGoesSilent(t *testing.T) {
+	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		follows := newWatchers(nil, control.Member{}, nil, nil)
 		batch := site.CacheChanges{Boot: 1, Next: 10, Changes: []site.CacheChange{{Realm: "r", Part: "a", Tokens: 1}}}
 		follows.keep("s", 0, batch)
-		p := serveBehind(t, methodEvents, follows.serve)
+		p := serveBehindProxy(t, methodEvents, follows.serve)
 		self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1, Link: 10}
 		other := control.Member{Name: "n1", DataHall: "h", Incarnation: 1, Link: 200, Peer: p.Addr()}
 		m := control.NewMembers(self, time.Second, nil, newRand())
@@ -124,7 +124,7 @@
 		asks := newWatchers(nil, self, m, client)
 		store := &site.Service{Name: "s", Store: &site.Store{MaxWatches: spareWatches + 1}}
 		ask := func() (site.CacheChanges, error) {
-			ctx, cancel := context.WithTimeout(t.Context(), callTime)
+			ctx, cancel := context.WithTimeout(t.Context(), maxCallTime)
 			defer cancel()
 			return asks.changes(ctx, store, 1, 0, eventWait)
 		}
--- a/service/gateway/stores.go
+++ b/service/gateway/stores.go
@@ -297,7 +297,7 @@
 // were named long enough ago that no replica has the old ones and no fetch of
 // it is under way.
 func (s *stores) replaced(realm string, now time.Time) bool {
-	model, version, ok := weightsOf(realm)
+	model, version, ok := parseRealm(realm)
 	if !ok {
 		return false
 	}
@@ -316,4 +316,4 @@
 }
 
 // replacedTerm is twice the longest fetch, and more for nodes that hear late.
-const replacedTerm = 2*fetchTerm + time.Second
+const replacedTerm = 2*maxFetchTimeout + time.Second
--- a/service/gateway/suspension.go
+++ b/service/gateway/suspension.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// leastSuspension is from how long on a suspension of the machine has the node hear
+	// minSuspension is from how long on a suspension of the machine has the node hear
 	// anew what holds: shorter ones age what it knows by less than news are late.
-	leastSuspension = 100 * time.Millisecond
-	// wakeMost bounds for how long a node waits for that. Where nobody tells it, what it
+	minSuspension = 100 * time.Millisecond
+	// maxResyncWait bounds for how long a node waits for that. Where nobody tells it, what it
 	// knows is as good as where the store is away.
-	wakeMost = 2 * time.Second
+	maxResyncWait = 2 * time.Second
 )
 
 // suspension is what a node knows of suspensions of its machine.
@@ -28,90 +28,90 @@
 	handled atomic.Int64 // Of boottime.Refresh, in nanoseconds.
 	// since is when the node found that its machine had been suspended, until it has heard
 	// from the store or from other nodes since; zero otherwise.
-	since atomic.Pointer[time.Time]
-	heard map[site.Table]time.Time
+	since    atomic.Pointer[time.Time]
+	answered map[site.Table]time.Time
 }
 
 func newSuspension() *suspension {
-	s := &suspension{heard: map[site.Table]time.Time{}}
+	s := &suspension{answered: map[site.Table]time.Time{}}
 	s.handled.Store(int64(boottime.Refresh()))
 	return s
 }
 
-// look finds out whether the machine has been suspended. Whatever acts on what the node
+// checkSuspension finds out whether the machine has been suspended. Whatever acts on what the node
 // knows looks first, so that it is found at the next decision and not at the next tick.
-func (g *Gateway) look() {
+func (g *Gateway) checkSuspension() {
 	total := boottime.Refresh()
 	s := g.suspension
-	if total-time.Duration(s.handled.Load()) < leastSuspension {
+	if total-time.Duration(s.handled.Load()) < minSuspension {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := total - time.Duration(s.handled.Load())
-	if d < leastSuspension {
+	suspended := total - time.Duration(s.handled.Load())
+	if suspended < minSuspension {
 		return // Another has found it meanwhile.
 	}
 	now := boottime.Now()
 	s.since.Store(&now)
 	s.count.Add(1)
-	g.wake(d)
+	g.resetAfterSuspension(suspended)
 	s.handled.Store(int64(total))
 }
 
-// wake drops what a suspended machine may have missed. What is only remembered with its age
+// resetAfterSuspension drops what a suspended machine may have missed. What is only remembered with its age
 // is as old as it is by boottime.Now: leases, loads, clocks, budgets.
-func (g *Gateway) wake(d time.Duration) {
-	resting := g.conns.lostAll()
+func (g *Gateway) resetAfterSuspension(suspended time.Duration) {
+	closed := g.conns.closeAllIdle()
 	for _, f := range g.followers {
-		f.wake()
+		f.pollNow()
 	}
 	stores := g.stores.restart()
 	g.holdings.restart()
-	g.log.Warn("machine was suspended", "node", g.conf().Node.Name, "for", d, "in_flight", g.inFlight.Load(),
-		"resting", resting, "stores", stores)
+	g.log.Warn("machine was suspended", "node", g.conf().Node.Name, "for", suspended, "in_flight", g.inFlight.Load(),
+		"resting", closed, "stores", stores)
 }
 
-// awake says whether the node has heard what holds since its machine was last suspended.
-func (g *Gateway) awake() bool {
+// synced says whether the node has heard what holds since its machine was last suspended.
+func (g *Gateway) synced() bool {
 	since := g.suspension.since.Load()
 	if since == nil {
 		return true
 	}
-	took := boottime.Since(*since)
-	if took < wakeMost && !g.suspension.heardSince(*since) {
+	waited := boottime.Since(*since)
+	if waited < maxResyncWait && !g.suspension.resyncedSince(*since) {
 		return false
 	}
 	if g.suspension.since.CompareAndSwap(since, nil) {
-		g.log.Info("serving resumed after suspension", "node", g.conf().Node.Name, "after", took)
+		g.log.Info("serving resumed after suspension", "node", g.conf().Node.Name, "after", waited)
 	}
 	return true
 }
 
-func (s *suspension) heardSince(since time.Time) bool {
+func (s *suspension) resyncedSince(since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard[site.TableOperator].After(since) && s.heard[site.TableUpstreams].After(since)
+	return s.answered[site.TableOperator].After(since) && s.answered[site.TableUpstreams].After(since)
 }
 
-// heardOf is when the last call for a table that was answered was begun.
-func (s *suspension) heardOf(t site.Table) time.Time {
+// lastAnswered is when the last call for a table that was answered was begun.
+func (s *suspension) lastAnswered(t site.Table) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard[t]
+	return s.answered[t]
 }
 
-// hear notes that a call for a table, which was begun at a time, was answered.
-func (s *suspension) hear(t site.Table, begun time.Time) {
+// recordAnswer notes that a call for a table, which was begun at a time, was answered.
+func (s *suspension) recordAnswer(t site.Table, begun time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[t] = begun
+	s.answered[t] = begun
 }
 
-// every has fn called again and again, after a look at the clock.
-func (g *Gateway) every(d time.Duration, fn timer.Func) {
+// runEvery has fn called again and again, after a look at the clock.
+func (g *Gateway) runEvery(d time.Duration, fn timer.Func) {
 	g.timer.Subscribe(d, func(ctx context.Context) {
-		g.look()
+		g.checkSuspension()
 		fn(ctx)
 	})
 }
--- a/service/gateway/upstream_conns.go
+++ b/service/gateway/upstream_conns.go
@@ -19,23 +19,23 @@
 	return &upstreamConns{idle: map[string][]*upstreamConn{}}
 }
 
-// take returns the connection that rested shortest and at most for a time, or
+// get returns the connection that rested shortest and at most for a time, or
 // dials one. The error says that no byte has left.
-func (u *upstreamConns) take(id string, addr netip.AddrPort, most time.Duration) (*upstreamConn, error) {
+func (u *upstreamConns) get(id string, addr netip.AddrPort, maxIdle time.Duration) (*upstreamConn, error) {
 	now := boottime.Now()
 	for {
-		c := u.pop(id)
+		c := u.popIdle(id)
 		if c == nil {
 			return dialUpstream(addr.String())
 		}
-		if c.usable(now, most) {
+		if c.usable(now, maxIdle) {
 			return c, nil
 		}
 		c.close()
 	}
 }
 
-func (u *upstreamConns) pop(id string) *upstreamConn {
+func (u *upstreamConns) popIdle(id string) *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	list := u.idle[id]
@@ -47,9 +47,9 @@
 	return c
 }
 
-// give takes back a connection that may be used again.
-func (u *upstreamConns) give(id string, c *upstreamConn) {
-	c.at = boottime.Now()
+// put takes back a connection that may be used again.
+func (u *upstreamConns) put(id string, c *upstreamConn) {
+	c.idleSince = boottime.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.closed {
@@ -67,7 +67,7 @@
 	for id, list := range u.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.at) < c.idle {
+			if now.Sub(c.idleSince) < c.maxIdle {
 				kept = append(kept, c)
 			} else {
 				c.close()
@@ -80,9 +80,9 @@
 	}
 }
 
-// lost closes the resting connections to a replica that can't be reached, and says how
+// closeIdle closes the resting connections to a replica that can't be reached, and says how
 // many there were.
-func (u *upstreamConns) lost(id string) (closed int) {
+func (u *upstreamConns) closeIdle(id string) (closed int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	closed = len(u.idle[id])
@@ -93,8 +93,8 @@
 	return closed
 }
 
-// lostAll closes all resting connections, and says how many there were.
-func (u *upstreamConns) lostAll() (closed int) {
+// closeAllIdle closes all resting connections, and says how many there were.
+func (u *upstreamConns) closeAllIdle() (closed int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, list := range u.idle {
@@ -111,5 +111,5 @@
 	u.mu.Lock()
 	u.closed = true
 	u.mu.Unlock()
-	u.lostAll()
+	u.closeAllIdle()
 }
--- a/service/gateway/wiring.go
+++ b/service/gateway/wiring.go
@@ -84,7 +84,7 @@
 			b.rates = l
 			b.leaveTime = time.Duration(leaveShare * float64(s.Evacuation.Within))
 			b.restarted = func(id string, planned bool, now time.Time) {
-				u.lost(id)
+				u.closeIdle(id)
 				if !planned {
 					x.RecordRestart(id, now)
 				}
@@ -101,7 +101,7 @@
 		},
 		func(b *SiteState, n *nodes, l *ratelimit.Limits) *rollout.Rollout {
 			f := &swaps{beliefs: b, nodes: n, within: s.Orders.Within.Std()}
-			r := rollout.New(s.Node.Name, s.Orders.Pause.Std(), p.Store, countedOrders{p.Engines, b, l}, f, log)
+			r := rollout.New(s.Node.Name, s.Orders.Pause.Std(), p.Store, orderCountingEngines{p.Engines, b, l}, f, log)
 			if s.Disabled.SwapBound {
 				r.SetUnbounded()
 			}
