--- a/service/gateway/attempt.go
+++ b/service/gateway/attempt.go
@@ -15,44 +15,45 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// attemptResult is what is known of one attempt at a replica.
+// attemptResult is what is known about one attempt to send a request to a replica.
 type attemptResult int
 
-// Fates of attempts.
+// Results of attempts.
 const (
-	// resultUnsent: no byte has left, so it did not run.
+	// resultUnsent: no connection could be made, so the request did not run.
 	resultUnsent attemptResult = iota
-	// resultAbandoned: no byte has left, as there is nobody to send it for any more.
+	// resultAbandoned: nothing was sent because nobody waits for the answer any more.
 	resultAbandoned
-	// resultReplicaWithdrawn: no byte has left, as the replica takes no request any more.
+	// resultReplicaWithdrawn: nothing was sent because the replica no longer accepts
+	// requests.
 	resultReplicaWithdrawn
-	// resultNotRun: the replica says that it did not run.
+	// resultNotRun: the replica answered that it did not run the request.
 	resultNotRun
-	// resultUnknown: it may have run.
+	// resultUnknown: the request may have run.
 	resultUnknown
-	// resultAnswered: there is an answer.
+	// resultAnswered: the replica has begun an answer.
 	resultAnswered
 )
 
-// attempt is one try of a request at one replica.
+// attempt is one attempt to have a request served by one replica.
 type attempt struct {
 	conns          *upstreamConns
 	codec          Codec
 	choice         route.Choice
 	inFlight       *route.InFlightRequest
 	plan           *route.Plan
-	realm          string // Of the prompt's kept state.
+	realm          string // Namespace of the prompt's cached state, see realmName.
 	startedAt      time.Time
-	firstByteAfter time.Duration // To the first byte of the answer's body.
-	lastBytesAt    time.Time     // When bytes of the body came last.
-	longestPause   time.Duration // Pause between them.
+	firstByteAfter time.Duration // From startedAt to the first byte of the answer's body.
+	lastBytesAt    time.Time     // When bytes of the body last arrived.
+	longestPause   time.Duration // Longest time between two reads of the body.
 	conn           *upstreamConn
-	cancelAbort    func() bool
-	// written is set once the whole request was handed to the connection.
+	cancelAbort    func() bool // Keeps the end of the context from aborting conn.
+	// written is set once the whole request has been written to the connection.
 	written    atomic.Bool
-	writeDone  chan struct{}
-	mismatched bool
-	// answered is set once the replica has given its whole answer.
+	writeDone  chan struct{} // Closed when write returns.
+	mismatched bool          // Answers to other requests came first.
+	// answered is set once the replica's whole answer has been read.
 	answered bool
 
 	head *http1.Head
@@ -60,7 +61,8 @@
 	info site.ResponseInfo
 }
 
-// newAttempt records that a request is about to be sent to a replica.
+// newAttempt counts the request as in flight at the chosen replica and returns the
+// attempt.
 func newAttempt(x *exchange, c route.Choice, p *route.Plan, now time.Time) *attempt {
 	return &attempt{
 		conns:     x.g.conns,
@@ -73,7 +75,7 @@
 	}
 }
 
-// recordFirstByte records that the first byte of the answer has come.
+// recordFirstByte records that the first byte of the answer's body has arrived.
 func (a *attempt) recordFirstByte(now time.Time) {
 	if a.firstByteAfter > 0 {
 		return
@@ -82,7 +84,7 @@
 	a.plan.FirstByte(a.inFlight.FirstByte(now), now)
 }
 
-// recordBodyBytes notes the pause before bytes of a stream.
+// recordBodyBytes records the arrival of more of the body, to find the longest pause.
 func (a *attempt) recordBodyBytes(now time.Time) {
 	if !a.lastBytesAt.IsZero() {
 		a.longestPause = max(a.longestPause, now.Sub(a.lastBytesAt))
@@ -90,13 +92,13 @@
 	a.lastBytesAt = now
 }
 
-// end records how the attempt ended.
+// end records the outcome of the attempt.
 func (a *attempt) end(o route.Outcome, now time.Time) {
 	a.inFlight.End(o, now)
 }
 
-// sendRequest sends a request to a replica and waits for the head of its answer. It
-// ends when ctx does.
+// sendRequest sends the request to the replica and waits for the head of its answer, at
+// most until ctx ends.
 func (a *attempt) sendRequest(ctx context.Context, x *exchange, d *site.Dispatch) (result attemptResult, err error) {
 	maxIdle := maxIdleRepeatable
 	if !x.route.Repeatable() {
@@ -106,7 +108,7 @@
 		return resultUnsent, err
 	}
 	conn := a.conn.conn
-	if x.abandoned(ctx) { // A grant, or connecting, may have taken long.
+	if x.abandoned(ctx) { // Getting a grant or connecting may have taken long.
 		a.conn.close()
 		a.conn = nil
 		return resultAbandoned, nil
@@ -116,8 +118,8 @@
 		a.conn = nil
 		return resultReplicaWithdrawn, nil
 	}
-	// It ends reads and writes, and what a replica has not yet taken does not reach it
-	// late.
+	// Aborting ends reads and writes, and drops bytes that the replica has not received
+	// yet, so that they don't reach it late.
 	a.cancelAbort = context.AfterFunc(ctx, func() { http1.Abort(conn) })
 	length := http1.NoLength
 	if len(x.body) > 0 || x.head.Has("Content-Length") || x.head.Has("Transfer-Encoding") {
@@ -138,15 +140,17 @@
 }
 
 const (
-	// maxIdleRepeatable and restedShort bound how long a connection may have rested. A
-	// replica may forget one early, and a request lost that way must not be
-	// sent again if it may run once only. At 1.5 s for those, 0.4 connections were
-	// made for each request; now 0.25 are, and no more requests are lost.
+	// maxIdleRepeatable and maxIdleOnce bound how long a connection may have been idle
+	// before it is used again, for requests that may be repeated and for those that may
+	// run only once. A replica may close an idle connection early, and a request lost
+	// that way must not be sent again if it may run only once. At 1.5 s for those, 0.4
+	// connections were made per request; at 6 s it is 0.25, and no more requests are
+	// lost.
 	maxIdleRepeatable = 10 * time.Second
 	maxIdleOnce       = 6 * time.Second
 )
 
-// write sends the request; reading the answer notices when it fails.
+// write sends the request. It returns no error: reading the answer fails if writing did.
 func (a *attempt) write(message, body []byte) {
 	defer close(a.writeDone)
 	buffers := net.Buffers{message}
@@ -158,8 +162,8 @@
 	}
 }
 
-// releaseConn gives the connection back if it may be used again, and closes it
-// otherwise.
+// releaseConn puts the connection back into the pool if it can be used again, and closes
+// it otherwise.
 func (a *attempt) releaseConn() {
 	if a.conn == nil {
 		return
@@ -176,7 +180,8 @@
 	a.conn = nil
 }
 
-// closeConn closes the connection, which also has the replica stop its work.
+// closeConn closes the connection, which also makes the replica stop working on the
+// request.
 func (a *attempt) closeConn() {
 	if a.conn == nil {
 		return
@@ -187,21 +192,21 @@
 	a.conn = nil
 }
 
-// isUnreachable says whether an error shows that the replica can't be reached, as
-// against one that closed the connection.
+// isUnreachable reports whether an error means that the replica can't be reached, rather
+// than that it closed the connection.
 func isUnreachable(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout() && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// minSilence is for how long a replica must have said nothing on a connection that is
-// given up for those that rest to be given up with it. Most answers begin sooner, so
-// that slow ones cost few new connections.
+// minSilence is how long a replica must have sent nothing on an abandoned connection for
+// its idle connections to be closed too. Most answers begin sooner, so slow ones cost
+// few new connections.
 const minSilence = time.Second
 
-// closeIdleAfterSilence closes the resting connections to a replica from which an attempt that
-// ended had heard nothing for long: where a path has lost what was open on it, each of
-// them would cost another request its whole time.
+// closeIdleAfterSilence closes the idle connections to a replica that had sent nothing
+// for a long time when an attempt ended. If the network path has silently dropped its
+// open connections, each idle one would cost another request all of its time.
 func (x *exchange) closeIdleAfterSilence(a *attempt, now time.Time) {
 	lastHeard := a.startedAt
 	if a.lastBytesAt.After(lastHeard) {
@@ -217,11 +222,11 @@
 	}
 }
 
-// readBody reads a body that is answered whole.
+// readBody reads the whole body of an answer that is not a stream.
 func (a *attempt) readBody() ([]byte, error) { return http1.ReadAll(a.body, maxAnswerBytes) }
 
-// maxAnswerBytes bounds a replica's answer that is not a stream, in bytes.
+// maxAnswerBytes bounds a replica's answer that is not a stream.
 const maxAnswerBytes = 32 << 20
 
-// isServerError says whether an answer is a failure of the replica's own.
+// isServerError reports whether a status means that the replica itself failed.
 func isServerError(status int) bool { return status >= http.StatusInternalServerError }
--- a/service/gateway/attempt_test.go
+++ b/service/gateway/attempt_test.go
@@ -17,7 +17,7 @@
 )
 
 // A client may leave while the connection to a replica is being made, which takes a
-// round trip: the replica is not to get its request then.
+// round trip. The replica must not receive the request then.
 func TestNothingIsSentIfClientLeavesDuringDial(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -43,7 +43,7 @@
 			choice:    route.Choice{Upstream: site.Upstream{ID: "a", Addr: ln.Addr().(*net.TCPAddr).AddrPort()}},
 			writeDone: make(chan struct{}),
 		}
-		_, _ = a.sendRequest(ctx, x, &site.Dispatch{Instance: "a"}) // What arrives tells.
+		_, _ = a.sendRequest(ctx, x, &site.Dispatch{Instance: "a"}) // What the replica receives is checked below.
 		a.releaseConn()
 		conn, err := ln.Accept()
 		assert.NilError(t, err)
--- a/service/gateway/client_conn.go
+++ b/service/gateway/client_conn.go
@@ -18,53 +18,54 @@
 
 // clientConn is one connection of a client. It carries one request at a time.
 //
-//	state     entered by            left by
-//	resting   accept, an answer     the first byte, a close, the idle limit, a stop
-//	heading   the first byte        the whole head, a fault, the limit of the head
-//	bodying   the head              the whole body, a fault, the request's limit
-//	serving   the body              the answer, the client's leaving
-//	refused   a fault               the client's close, a short while
+//	state         entered on              left on
+//	idle          accept, an answer       the first byte, a close, the idle timeout, a stop
+//	reading head  the first byte          the whole head, an error, the head timeout
+//	reading body  the head                the whole body, an error, the request's deadline
+//	serving       the body                the answer, a close by the client
+//	refused       an error                a close by the client, lingerTimeout
 //
-// While a request is served, another goroutine waits for the next byte, so that
-// a client that leaves is noticed at once.
+// While a request is served, another goroutine waits for the next byte, so that it
+// notices at once if the client closes the connection.
 type clientConn struct {
 	g    *Gateway
 	conn net.Conn
 	r    *bufio.Reader
-	// mu keeps the end of a rest and its hurrying apart: a deadline that is set
-	// once a request is served would look as if its client had left.
+	// mu orders the end of the idle state and endIdle: a read deadline that is set once
+	// a request is served would look as if its client had left.
 	mu         sync.Mutex
 	state      connState
-	stateSince time.Time // The state.
-	endingIdle bool      // The rest is ending.
-	// firstByte tells when the first byte of the next request has come.
+	stateSince time.Time
+	endingIdle bool // Set by endIdle.
+	// firstByte receives nil once the first byte of the next request has come, or why
+	// none will.
 	firstByte chan error
 }
 
-// connState is what a connection carries.
+// connState is the state of a client's connection.
 type connState int
 
-// States of connections.
+// States of a connection, see clientConn.
 const (
 	connIdle connState = iota
 	connReadingHead
 	connReadingBody
 	connServing
 	connRefused
-	connStateCount // How many there are.
+	connStateCount // Number of states.
 )
 
 const (
 	clientBufferSize = 4 << 10
-	// writeGrace is how long after a request's limit its answer may be written.
+	// writeGrace is how long after a request's deadline its answer may be written.
 	writeGrace = 2 * time.Second
-	// lingerTimeout is for how long a client that is refused is read on, so that it
-	// sees the answer and not a reset.
+	// lingerTimeout is how long a refused client's bytes are still read, so that it sees
+	// the answer and not a reset.
 	lingerTimeout = 500 * time.Millisecond
-	// closeCheckInterval is how often it is looked whether a client has left that has sent
-	// more: a fifth of the half second within which a replica is to stop.
+	// closeCheckInterval is how often a connection with unread bytes is checked for a
+	// close by the client: a fifth of the half second within which a replica must stop.
 	closeCheckInterval = 100 * time.Millisecond
-	// defaultBodyTimeout bounds a body whose head tells no limit.
+	// defaultBodyTimeout bounds reading a body whose head sets no timeout.
 	defaultBodyTimeout = 10 * time.Second
 )
 
@@ -78,7 +79,7 @@
 	}
 }
 
-// serve carries requests until the connection ends.
+// serve serves requests until the connection ends.
 func (c *clientConn) serve() {
 	defer c.close()
 	c.awaitFirstByte(context.Background(), nil)
@@ -89,8 +90,8 @@
 	}
 }
 
-// awaitFirstByte waits for the next byte beside whatever else is done until ctx ends; left is
-// called if the connection ends instead, or behind that byte.
+// awaitFirstByte waits in the background for the next byte. It calls onClose if the
+// connection closes instead or, until ctx ends, after that byte.
 func (c *clientConn) awaitFirstByte(ctx context.Context, onClose context.CancelCauseFunc) {
 	go func() {
 		_, err := c.r.Peek(1)
@@ -104,8 +105,8 @@
 	}()
 }
 
-// watch looks whether the client leaves. Bytes of its next request, which nobody reads
-// yet, keep a read from telling so.
+// watchForClose polls whether the client closes the connection. A read would not tell,
+// because unread bytes of its next request come first.
 func (c *clientConn) watchForClose(ctx context.Context, onClose context.CancelCauseFunc) {
 	t := time.NewTicker(closeCheckInterval)
 	defer t.Stop()
@@ -122,7 +123,8 @@
 	}
 }
 
-// closeReason is why a client's connection carries no answer any more, nil if it does.
+// closeReason is why a client's connection can't carry an answer any more, nil if it
+// can.
 func closeReason(conn net.Conn) error {
 	closed, err := http1.PeerClosed(conn)
 	switch {
@@ -135,7 +137,8 @@
 	}
 }
 
-// closeCause tells a connection that the node has closed from one that its client has.
+// closeCause distinguishes a connection that the node has closed from one that its
+// client has.
 func closeCause(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return errNodeStopped
@@ -143,7 +146,7 @@
 	return errClientLeft
 }
 
-// awaitRequest waits for the next request and says whether there is one.
+// awaitRequest waits for the next request and reports whether there is one.
 func (c *clientConn) awaitRequest() bool {
 	c.setReadTimeout(c.g.limits().IdleTimeout)
 	c.setState(connIdle)
@@ -166,15 +169,15 @@
 	return c.state
 }
 
-// idleSince is when the connection came to rest; ok is false if it does not rest, or
-// its rest is ending.
+// idleSince is when the connection became idle; ok is false if it is not idle or endIdle
+// has been called.
 func (c *clientConn) idleSince() (t time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stateSince, c.state == connIdle && !c.endingIdle
 }
 
-// endIdle ends a rest, and says whether the connection rests.
+// endIdle closes the connection if it is idle, and reports whether it is.
 func (c *clientConn) endIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,15 +185,15 @@
 		return false
 	}
 	c.endingIdle = true
-	_ = c.conn.SetReadDeadline(time.Now()) // A closed one has ended its rest.
+	_ = c.conn.SetReadDeadline(time.Now()) // It fails only if the connection is closed already.
 	return true
 }
 
 func (c *clientConn) setReadTimeout(d time.Duration) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(d)) // The next read tells.
+	_ = c.conn.SetReadDeadline(time.Now().Add(d)) // If it fails, so does the next read.
 }
 
-// serveRequest serves one request and says whether another may follow.
+// serveRequest serves one request and reports whether another may follow.
 func (c *clientConn) serveRequest() bool {
 	limits := c.g.limits()
 	c.setReadTimeout(limits.HeadTimeout)
@@ -209,7 +212,7 @@
 		return false
 	}
 	c.setState(connServing)
-	_ = c.conn.SetReadDeadline(time.Time{}) // The next read tells.
+	_ = c.conn.SetReadDeadline(time.Time{}) // If it fails, so does the next read.
 	clientCloses := head.Close()
 	w := &clientWriter{
 		conn:        c.conn,
@@ -217,7 +220,7 @@
 		http10:      head.Minor == 0,
 		shouldClose: func() bool { return clientCloses || c.g.stopping() },
 	}
-	_ = c.conn.SetWriteDeadline(boottime.Monotonic(receivedAt.Add(c.g.holdMost(&info) + writeGrace))) // The next write tells.
+	_ = c.conn.SetWriteDeadline(boottime.Monotonic(receivedAt.Add(c.g.holdMost(&info) + writeGrace))) // If it fails, so does the next write.
 	c.g.inFlight.Add(1)
 	defer c.g.inFlight.Add(-1)
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -233,7 +236,7 @@
 	return w.ended && !w.closesConn()
 }
 
-// readBody reads a request's body within the time that the request has.
+// readBody reads a request's body within the client's timeout, or defaultBodyTimeout.
 func (c *clientConn) readBody(h *http1.Head, info *site.RequestInfo, limits site.Limits, receivedAt time.Time) ([]byte, error) {
 	b, err := http1.RequestBody(h, c.r)
 	if err != nil || b.Done() {
@@ -248,12 +251,12 @@
 	if info.ClientTimeout > 0 {
 		timeout = info.ClientTimeout
 	}
-	_ = c.conn.SetReadDeadline(boottime.Monotonic(receivedAt.Add(timeout))) // The next read tells.
+	_ = c.conn.SetReadDeadline(boottime.Monotonic(receivedAt.Add(timeout))) // If it fails, so does the next read.
 	return http1.ReadAll(b, limits.BodyBytes)
 }
 
-// refuseRead answers what could not be read as a request; a connection that has
-// broken is only closed.
+// refuseRead answers a request that could not be read; a broken connection is only
+// closed.
 func (c *clientConn) refuseRead(err error) {
 	c.setState(connRefused)
 	f := refusal{}
@@ -270,18 +273,18 @@
 		return
 	}
 	c.g.metrics.refusal(f.reason)
-	_ = c.conn.SetWriteDeadline(time.Now().Add(lingerTimeout)) // The next write tells.
+	_ = c.conn.SetWriteDeadline(time.Now().Add(lingerTimeout)) // If it fails, so does the next write.
 	if _, err := c.conn.Write(f.encode(c.g.codec, "", true)); err != nil {
 		return
 	}
 	c.linger()
 }
 
-// linger reads on for a while after a refusal: closing a connection with unread
+// linger keeps reading for a while after a refusal: closing a connection with unread
 // bytes resets it, and the client would not see the answer.
 func (c *clientConn) linger() {
 	if t, ok := c.conn.(*net.TCPConn); ok {
-		_ = t.CloseWrite() // What is read on is dropped either way.
+		_ = t.CloseWrite() // What is read below is discarded either way.
 	}
 	c.setReadTimeout(lingerTimeout)
 	buf := make([]byte, clientBufferSize)
@@ -293,6 +296,6 @@
 }
 
 func (c *clientConn) close() {
-	_ = c.conn.Close() // There is nothing left to be done with it.
+	_ = c.conn.Close() // Nothing more is sent or read.
 	c.g.clients.remove(c)
 }
--- a/service/gateway/client_conn_test.go
+++ b/service/gateway/client_conn_test.go
@@ -7,16 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// A stop that ends resting connections must not touch one on which a request has
-// just come: its client would seem to have left, and the request, which a replica
-// runs, would end without an answer. Found by the soak, seed 315.
-func TestStopDoesNotTimeOutConnectionWithARequest(t *testing.T) {
+// A stop that closes idle connections must not set a read deadline on one that has just
+// received a request: its client would seem to have left, and the request, which a
+// replica runs, would end without an answer. Found by the soak test, seed 315.
+func TestStopDoesNotTimeOutAConnectionWithARequest(t *testing.T) {
 	near, far := net.Pipe()
 	c := newClientConn(nil, near)
 	c.setState(connIdle)
 	c.setState(connReadingHead) // The first byte of a request has come.
 	c.endIdle()
-	go func() { _, _ = far.Write([]byte("x")) }() // The read below tells.
+	go func() { _, _ = far.Write([]byte("x")) }() // The read below checks it.
 	_, err := c.r.Peek(1)
 	assert.NilError(t, err)
 	c.setState(connIdle)
--- a/service/gateway/client_conns.go
+++ b/service/gateway/client_conns.go
@@ -9,23 +9,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// clientConns are the open connections of clients.
+// clientConns is the set of open client connections.
 type clientConns struct {
 	limit int
 	wg    sync.WaitGroup
 
 	mu       sync.Mutex
 	open     map[*clientConn]struct{}
-	draining bool          // No connection is added any more.
-	drained  chan struct{} // Closed once none is left then.
+	draining bool          // No more connections are added.
+	drained  chan struct{} // Closed when draining and none is left.
 }
 
 func newClientConns(limit int) *clientConns {
 	return &clientConns{open: map[*clientConn]struct{}{}, limit: limit, drained: make(chan struct{})}
 }
 
-// minIdleToEvict is how long a connection must have rested to give way to another: the next
-// request of one that rests for less, or is new, is likely on its way.
+// minIdleToEvict is how long a connection must have been idle to be closed for a new
+// one: the next request of one that is new or idle for less is probably on its way.
 const minIdleToEvict = 100 * time.Millisecond
 
 // accept serves connections until the listener is closed.
@@ -59,9 +59,9 @@
 	return true
 }
 
-// evictIdle ends the connection that has rested longest, and says whether there is one
-// that has rested for long enough. Clients that keep connections without using them
-// would else keep all others out.
+// evictIdle closes the connection that has been idle longest, and reports whether one
+// was idle for long enough. Otherwise clients that keep unused connections open would
+// keep all others out.
 func (s *clientConns) evictIdle(now time.Time) bool {
 	var longest *clientConn
 	idleBefore := now.Add(-minIdleToEvict)
@@ -82,22 +82,22 @@
 	}
 }
 
-// drain takes no connection any more, ends those that rest, and waits until none
-// is left or ctx ends.
+// drain accepts no more connections, closes idle ones, and waits until none is left or
+// ctx ends.
 func (s *clientConns) drain(ctx context.Context) {
 	if s.closeIdle() {
 		return
 	}
-	// A wait for a count of requests would miss those that are still being read;
-	// an open connection is one that carries a request or is just ending.
+	// Counting requests would miss those that are still being read; an open connection
+	// carries a request or is about to close.
 	select {
 	case <-s.drained:
 	case <-ctx.Done():
 	}
 }
 
-// closeIdle ends all connections that carry no request, and says whether there
-// were none at all.
+// closeIdle closes all connections that carry no request, and reports whether there were
+// no connections at all.
 func (s *clientConns) closeIdle() (none bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,13 +108,13 @@
 	return len(s.open) == 0
 }
 
-// cutRequests are the requests that a stop has cut, by how far they were.
+// cutRequests counts the requests that a stop has interrupted, by their state.
 type cutRequests struct{ readingHead, readingBody, serving int }
 
 func (r cutRequests) sum() int { return r.readingHead + r.readingBody + r.serving }
 
-// closeAll closes all connections, waits for their ends, and tells what they
-// still carried.
+// closeAll closes all connections, waits for their goroutines, and returns the requests
+// that were interrupted.
 func (s *clientConns) closeAll() cutRequests {
 	var counts [connStateCount]int
 	s.mu.Lock()
--- a/service/gateway/client_writer.go
+++ b/service/gateway/client_writer.go
@@ -9,23 +9,23 @@
 // clientWriter writes the answer to one request.
 type clientWriter struct {
 	conn net.Conn
-	// noBody answers, to HEAD, have no body.
+	// noBody is set for answers to HEAD.
 	noBody bool
-	// http10 clients, of HTTP/1.0, know no chunks.
+	// http10 is set for clients of HTTP/1.0, which don't support chunks.
 	http10 bool
-	// shouldClose says that the connection ends after this answer; it may become
-	// true while the request is served.
+	// shouldClose reports whether the connection closes after this answer; that may
+	// become true while the request is served.
 	shouldClose func() bool
 	started     bool
 	failed      bool
 	ended       bool
 }
 
-// closesConn says whether the connection ends after this answer.
+// closesConn reports whether the connection closes after this answer.
 func (w *clientWriter) closesConn() bool { return w.shouldClose() || w.failed }
 
-// fixClose fixes what last says from now on: a stop that comes behind the head must
-// not close a connection of which the client was told that it may use it again.
+// fixClose fixes the result of closesConn: a stop after the head was sent must not close
+// a connection that the client was told it may reuse.
 func (w *clientWriter) fixClose() bool {
 	closes := w.closesConn()
 	w.shouldClose = func() bool { return closes }
@@ -43,13 +43,13 @@
 	}
 }
 
-// writeMessage sends a whole message.
+// writeMessage sends a complete, encoded message.
 func (w *clientWriter) writeMessage(b []byte) {
 	w.write(b)
 	w.ended = true
 }
 
-// writeAnswer sends an answer with its whole body.
+// writeAnswer sends an answer whose whole body is known.
 func (w *clientWriter) writeAnswer(status int, fields []http1.Field, body []byte) {
 	closes := w.fixClose()
 	b := http1.AppendResponse(make([]byte, 0, headCapacity+len(body)), status, fields, len(body), closes)
@@ -59,14 +59,14 @@
 	w.writeMessage(b)
 }
 
-// headCapacity is room for the head of an answer.
+// headCapacity is the buffer size reserved for the head of an answer.
 const headCapacity = 1024
 
-// startStream sends the head of an answer whose length is not known, and its first
+// startStream sends the head of an answer whose length is not known, with its first
 // bytes.
 func (w *clientWriter) startStream(status int, fields []http1.Field, first []byte) {
 	if w.http10 {
-		w.shouldClose = func() bool { return true } // Its end is the connection's.
+		w.shouldClose = func() bool { return true } // The body ends when the connection closes.
 	}
 	closes := w.fixClose()
 	var b []byte
@@ -100,6 +100,6 @@
 	w.ended = true
 }
 
-// abort breaks the answer off: the connection is closed so that it can't look
-// whole.
+// abort has the connection closed, so that the client can't take the answer for
+// complete.
 func (w *clientWriter) abort() { w.failed = true }
--- a/service/gateway/client_writer_test.go
+++ b/service/gateway/client_writer_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A stop that came between the head of an answer and its end closed the connection
-// though the head had said that it may be used again: the client's next request met a
-// closed connection. What the head says holds.
+// The head of an answer may tell the client that it can reuse the connection. A stop
+// after that must not close the connection at the end of the answer, or the client's
+// next request fails.
 func TestStopAfterTheHeadKeepsTheConnectionOpen(t *testing.T) {
 	for name, answer := range map[string]func(w *clientWriter, stop func()){
 		"whole": func(w *clientWriter, stop func()) {
@@ -25,7 +25,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := net.Pipe()
-			go func() { _, _ = io.Copy(io.Discard, far) }() // What was written is not looked at.
+			go func() { _, _ = io.Copy(io.Discard, far) }() // The bytes don't matter.
 			stopping := false
 			w := &clientWriter{conn: near, shouldClose: func() bool { return stopping }}
 			answer(w, func() { stopping = true })
--- a/service/gateway/dispatch.go
+++ b/service/gateway/dispatch.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// maxFetchTimeout is the longest that any fetch may take before the replica throws
-	// it away and reads the prompt. A replica begins no move that would wait for
-	// over two seconds.
+	// maxFetchTimeout bounds how long a fetch may take before the replica abandons it
+	// and recomputes the prompt. A replica starts no transfer that would wait for more
+	// than two seconds.
 	maxFetchTimeout = 1900 * time.Millisecond
-	// fetchGrace is how much longer than expected a fetch may take; fetchMost is
-	// how many times the route's target it may take in all. A fetch that is already
-	// late is best waited for: reading the prompt after it has been thrown away comes
-	// later still, and takes the replica's time from others. At 0.7 instead, 82 and 91
-	// nodes lost 0.07 and 0.08 of worth (one day each), and nine gained 0.012.
+	// fetchGrace is how much longer than expected a fetch may take; fetchTargetFactor is
+	// how many times the route's target it may take in all. It is best to wait for a
+	// fetch that is already late: recomputing the prompt after abandoning it finishes
+	// even later and takes the replica's time from other requests. With a factor of 0.7 instead, 82
+	// and 91 nodes lost 0.07 and 0.08 of worth (one day each), and nine gained 0.012.
 	fetchGrace        = 200 * time.Millisecond
 	fetchTargetFactor = 3.0
 )
 
-// dispatch makes what a replica is told beside the request, with a plan for the
-// prompt's kept state.
+// dispatch builds what a replica is told beside the request, and the plan for fetching
+// and saving the prompt's KV cache.
 func (x *exchange) dispatch(c route.Choice, now time.Time) (*site.Dispatch, *route.Plan) {
 	d := &site.Dispatch{Instance: c.ID, TimeLeft: x.deadline.Sub(now), Priority: -1}
 	if x.organisation != nil {
@@ -39,7 +39,7 @@
 	}
 	d.Priority = x.priority()
 	if c.Weights == 0 {
-		// What is kept there is of unknown weights: nothing of it may be used.
+		// The replica's cache is of unknown weights and must not be used.
 		d.Realm = unsharedRealmPrefix + x.info.ID
 		return d, &route.Plan{}
 	}
@@ -52,7 +52,7 @@
 	replaced := x.g.beliefs.ReplacedAt(x.pickInput.Model, c.Weights)
 	plan := x.g.kept.Plan(d.Realm, c.Upstream, shared, x.service.Engine, route.PlanLimits{
 		MaxFetchTime: x.maxExpectedFetch(),
-		// While weights are being replaced, what a replica reads may be of either.
+		// While weights are being replaced, the cache a replica computes may be of either version.
 		Save:           replaced.IsZero(),
 		CompleteBefore: replaced,
 		HomesOnly:      x.pickInput.HomesOnly,
@@ -65,25 +65,25 @@
 	return d, plan
 }
 
-// fetchTimeout is for how long a fetch may take if the first byte is expected after
-// a time: a replica that is busy begins it late, and is not to read the prompt
-// for that.
+// fetchTimeout is how long a fetch may take if the first byte is expected after the
+// given time. A busy replica starts the fetch late, and must not recompute the prompt
+// because of that.
 func (x *exchange) fetchTimeout(expected time.Duration) time.Duration {
 	byTarget := time.Duration(fetchTargetFactor * float64(x.route.Target))
 	return min(maxFetchTimeout, max(expected+fetchGrace, byTarget))
 }
 
-// maxExpectedFetch is the longest that a fetch is expected to take: the answer must
-// still come in good time behind it.
+// maxExpectedFetch is the longest expected duration for which a fetch is planned: the
+// answer must still meet the route's target after it.
 func (x *exchange) maxExpectedFetch() time.Duration {
 	return time.Duration(fetchTargetShare * float64(x.route.Target))
 }
 
-// fetchTargetShare is the part of a route's target that a fetch may take.
+// fetchTargetShare is the share of a route's target that a fetch may take.
 const fetchTargetShare = 0.5
 
-// priority ranks the request, 0 for the most urgent: by its organisation if that
-// has a priority, and behind that, or else, by its route.
+// priority ranks the request, 0 for the most urgent: first by its organisation's
+// priority, if it has one, and then by its route's.
 func (x *exchange) priority() int {
 	p := x.route.Priority
 	if x.organisation != nil && x.organisation.HasPriority {
@@ -92,23 +92,23 @@
 	return p
 }
 
-// routePriorityLevels is how many ranks of routes are told apart within one of
-// organisations.
+// routePriorityLevels is how many route priorities are distinguished within one
+// organisation priority.
 const routePriorityLevels = 3
 
-// unsharedRealmPrefix begins realms that nobody shares.
+// unsharedRealmPrefix begins the realms of single requests, which share no cache.
 const unsharedRealmPrefix = "?"
 
-// realm names the space of kept state that the request may share where the model's
-// weights have a version.
+// realm names the cache namespace that the request shares for a version of the model's
+// weights.
 func (x *exchange) realm(version int64) string {
 	return realmName(x.pickInput.Model, version, x.organisation, x.pickInput.Homes)
 }
 
-// realmName names the space of kept state that requests may share: that of one
-// model, one version of its weights, where an organisation is isolated, of that
-// organisation, and where requests have homes, of those that have the same. It is in the
-// key, so no check can be forgotten.
+// realmName names the cache namespace that requests share: that of one model and one
+// version of its weights, of one organisation if it is isolated, and of the same homes
+// if requests have some. As the name is part of the cache key, no check can be
+// forgotten.
 func realmName(model string, version int64, o *site.Organisation, homes []string) string {
 	r := model + "@" + strconv.FormatInt(version, 10)
 	if o != nil && o.Isolated {
@@ -120,8 +120,8 @@
 	return r
 }
 
-// parseRealm reads a realm's model and version; ok is false if it is not one of
-// realmOf.
+// parseRealm returns a realm's model and version; ok is false if realmName did not make
+// it.
 func parseRealm(realm string) (model string, version int64, ok bool) {
 	model, rest, found := strings.Cut(realm, "@")
 	text, _, _ := strings.Cut(rest, "/")
--- a/service/gateway/dispatch_test.go
+++ b/service/gateway/dispatch_test.go
@@ -9,8 +9,8 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// A fetch behind others on a busy link is thrown away only long after the answer
-// was due: the prompt would be read later still.
+// A fetch that waits behind others on a busy link must not be abandoned soon after the
+// answer was due: recomputing the prompt would take even longer.
 func TestFetchTimeoutExceedsTargetAndExpectedTime(t *testing.T) {
 	term := func(target, expected time.Duration) time.Duration {
 		x := &exchange{route: &site.Route{Target: target}}
@@ -18,6 +18,6 @@
 	}
 	assert.Assert(t, term(500*time.Millisecond, 100*time.Millisecond) >= time.Second)
 	assert.Assert(t, term(100*time.Millisecond, 900*time.Millisecond) > 900*time.Millisecond, "longer than expected")
-	// A replica begins no move that waits longer than that.
+	// A replica starts no transfer that would wait longer than that.
 	assert.Assert(t, term(time.Minute, time.Minute) < 2*time.Second)
 }
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -12,7 +12,7 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// exchange is one request of a client and its way to an answer.
+// exchange is one client request, from its arrival until it is answered.
 type exchange struct {
 	g          *Gateway
 	out        *clientWriter
@@ -20,8 +20,8 @@
 	body       []byte
 	info       site.RequestInfo
 	receivedAt time.Time
-	deadline   time.Time // By when the final answer is given.
-	// cancel ends the request because its client's connection has ended.
+	deadline   time.Time // Of the final answer.
+	// cancel ends the request when its client's connection has closed.
 	cancel context.CancelCauseFunc
 
 	route        *site.Route
@@ -30,46 +30,45 @@
 	pool         *route.Pool
 	pickInput    route.PickInput
 
-	waiting *route.WaitingPrompt // In the queue, or let in.
-	// lateAfter is from when on the answer can't come in good time if the prompt is
-	// not sent yet, and sendBy by when it must be sent to be answered at all.
+	waiting *route.WaitingPrompt // Its place in the prompt queue, also once admitted.
+	// lateAfter is when the answer can no longer meet the route's target if the prompt
+	// has not been sent, and sendBy when it must be sent to be answered at all.
 	lateAfter   time.Time
 	sendBy      time.Time
-	mayHaveRun  int // Attempts that may have run.
-	notRunCount int // Attempts that were refused, or could not be sent.
-	// failedAnswer is a failure that a replica answered, kept while another is tried.
+	mayHaveRun  int // Number of attempts that may have run.
+	notRunCount int // Number of attempts that were refused or could not be sent.
+	// failedAnswer is a replica's error answer, kept while another replica is tried.
 	failedAnswer *wholeAnswer
-	// stream is the answer's stream once it has begun.
+	// stream is set once bytes of a streamed answer have been sent to the client.
 	stream *relay
 
 	fingerprinted bool
-	content       site.Fingerprint // Set once hashed is.
-	suspectRun    bool             // The attempt under way was let run by the request's owner.
+	content       site.Fingerprint // Valid if fingerprinted is set.
+	suspectRun    bool             // The attempt under way runs by a grant for suspect content.
 }
 
-// wholeAnswer is a replica's answer that has been read to its end.
+// wholeAnswer is a replica's answer that has been read completely.
 type wholeAnswer struct {
 	head *http1.Head
 	body []byte
 }
 
-// Causes of contexts whose connection has ended.
+// Cancellation causes of requests whose client connection has closed.
 var (
 	errClientLeft  = errors.New("the client has gone")
 	errNodeStopped = errors.New("the node has closed the connection at its stop")
 )
 
 const (
-	// maxRefusals is how often a request that was not run is offered to
-	// another replica.
+	// maxRefusals is how many replicas may refuse a request before it is given up.
 	maxRefusals = 3
-	// minTimeLeft is the least time for which another replica is worth trying.
+	// minTimeLeft is the least time to the deadline for which another replica is tried.
 	minTimeLeft = 20 * time.Millisecond
-	// noReplicaRetryAfter is when to come back when no replica is there.
+	// noReplicaRetryAfter is the Retry-After when there is no replica.
 	noReplicaRetryAfter = 500 * time.Millisecond
-	// fullRetryAfter is when to come back when those that were asked were full.
+	// fullRetryAfter is the Retry-After when the replicas that were asked were full.
 	fullRetryAfter = 150 * time.Millisecond
-	// startRetryAfter is when to come back to a node that has just started.
+	// startRetryAfter is the Retry-After of a node that has just started or resumed.
 	startRetryAfter = 300 * time.Millisecond
 )
 
@@ -103,8 +102,9 @@
 	}
 }
 
-// endRequest ends a request that is not tried again: with f, if its status is set and
-// there is somebody to tell and nothing better to say.
+// endRequest ends a request that is not tried again. It answers with f if f has a
+// status, the client is still connected, no stream has begun and no replica's error
+// answer is kept.
 func (x *exchange) endRequest(ctx context.Context, f refusal) {
 	switch {
 	case context.Cause(ctx) == errClientLeft:
@@ -125,10 +125,10 @@
 	}
 }
 
-// abandoned says whether there is nobody to send the request for any more. It looks at the
-// connection itself: a client's close may have come, and the goroutine that waits for
-// it not have run. It looks at the clock, too: of a machine that has been suspended
-// nothing is sent on until the node has heard what holds now.
+// abandoned reports whether the request must not be sent any more because nobody waits
+// for its answer. It checks the connection itself, as the client may have closed it
+// before the goroutine that waits for that has run. It also checks the clock: a node
+// whose machine was suspended forwards nothing until it has synced again.
 func (x *exchange) abandoned(ctx context.Context) bool {
 	x.g.checkSuspension()
 	if !x.g.synced() || boottime.Until(x.deadline) < minTimeLeft {
@@ -140,8 +140,8 @@
 	return ctx.Err() != nil
 }
 
-// try makes one attempt. It says whether another is to be made; otherwise the
-// request was answered, or f is what to answer if its status is set.
+// try makes one attempt. It reports whether to make another; if not, the request has
+// been answered, or f is the answer if its status is set.
 func (x *exchange) try(ctx context.Context) (again bool, f refusal) {
 	if x.abandoned(ctx) {
 		return false, x.deadlineRefusal()
@@ -190,7 +190,7 @@
 	}
 }
 
-// handleUnsent goes on after a connection that could not be made.
+// handleUnsent decides how to go on when no connection to the replica could be made.
 func (x *exchange) handleUnsent(ctx context.Context, a *attempt, err error, now time.Time) (bool, refusal) {
 	a.end(route.OutcomeFailed, now)
 	a.plan.Cancel()
@@ -204,10 +204,11 @@
 	return true, refusal{}
 }
 
-// unreachableFetchPause is for how long nothing is fetched from an engine that was not reached.
+// unreachableFetchPause is how long nothing is fetched from an engine that could not be
+// reached.
 const unreachableFetchPause = 2 * time.Second
 
-// recordUnreachable notes that a replica can't be reached.
+// recordUnreachable records that a replica can't be reached.
 func (x *exchange) recordUnreachable(u *site.Upstream, now time.Time) {
 	if x.pool.RecordUnreachable(u.ID, now) {
 		x.g.nodes.doubt(route.RefOf(u))
@@ -216,7 +217,7 @@
 	x.g.kept.AvoidEngine(u.ID, now.Add(unreachableFetchPause))
 }
 
-// handleNotRun goes on after a replica that refused.
+// handleNotRun decides how to go on when the replica refused the request.
 func (x *exchange) handleNotRun(a *attempt, now time.Time) (bool, refusal) {
 	a.end(route.OutcomeNeutral, now)
 	a.plan.Cancel()
@@ -234,23 +235,24 @@
 }
 
 const (
-	// fullPause is for how long a replica that was full is passed over.
+	// fullPause is how long a replica that was full is avoided.
 	fullPause = 60 * time.Millisecond
-	// weightsSwapPause is for how long one is that is likely changing its weights.
+	// weightsSwapPause is how long a replica is avoided that is probably swapping its
+	// weights.
 	weightsSwapPause = 400 * time.Millisecond
-	// reusedAddressPause is for how long one is at whose address another answers: its entry
-	// in the list lasts up to three heartbeats, some seconds, after its end. At 0.4 s
-	// the retry budget was spent on it, and 24 large prompts a day were refused or
-	// failed where now 4 are (engines that crash and come back, four seeds).
+	// reusedAddressPause is how long a replica is avoided at whose address another one
+	// answers: its row in the list lasts up to three heartbeats, some seconds, after its
+	// end. At 0.4 s the retry budget was spent on it, and 24 large prompts a day were
+	// refused or failed; at 4 s it was 4 (engines that crash and restart, four seeds).
 	reusedAddressPause = 4 * time.Second
 )
 
-// recordRefusal takes from a refusal what it says of the replica.
+// recordRefusal avoids a replica that refused for a time that depends on the reason.
 func (x *exchange) recordRefusal(a *attempt, now time.Time) {
 	if a.head.Status != http.StatusMisdirectedRequest {
 		pause := fullPause
 		if x.pickInput.NewestVersion > a.choice.Weights && a.choice.Weights > 0 {
-			// It is likely changing its weights.
+			// It is probably swapping its weights.
 			pause = weightsSwapPause
 		}
 		x.pool.Avoid(a.choice.ID, now.Add(pause))
@@ -264,8 +266,8 @@
 	x.g.kept.AvoidEngine(a.choice.ID, now.Add(reusedAddressPause))
 }
 
-// handleUnknown goes on after a connection that was lost while the request may have
-// run: only a repeatable one may be sent again.
+// handleUnknown decides how to go on when the connection was lost while the request may
+// have run. Only a repeatable request may be sent again.
 func (x *exchange) handleUnknown(ctx context.Context, a *attempt, err error, now time.Time) (bool, refusal) {
 	x.mayHaveRun++
 	x.recordLostRun(ctx, a, err, now)
@@ -284,7 +286,8 @@
 	return x.mayRepeat(a.choice.ID, now)
 }
 
-// mayRepeat says whether a request that may have run is sent again.
+// mayRepeat reports whether a request that may have run is sent again, and if not, what
+// to answer.
 func (x *exchange) mayRepeat(failed string, now time.Time) (bool, refusal) {
 	x.pickInput.Exclude = append(x.pickInput.Exclude, failed)
 	if !x.route.Repeatable() || x.mayHaveRun >= x.route.MaxAttempts || !x.mayRetry(now) {
@@ -293,7 +296,7 @@
 	return true, refusal{}
 }
 
-// mayRetry says whether time and budget allow another attempt.
+// mayRetry reports whether the deadline and the retry budget allow another attempt.
 func (x *exchange) mayRetry(now time.Time) bool {
 	if x.deadline.Sub(now) < minTimeLeft {
 		return false
@@ -301,8 +304,8 @@
 	return x.g.budget(x.service.Name).Take(now)
 }
 
-// deadlineRefusal is the answer at the limit: it depends on whether the request may
-// have run.
+// deadlineRefusal is the answer at the deadline. It says whether the request may have
+// run.
 func (x *exchange) deadlineRefusal() refusal {
 	if x.mayHaveRun == 0 && !x.g.synced() {
 		return retryLater(reasonSuspended, startRetryAfter)
@@ -313,7 +316,7 @@
 	return refuse(http.StatusGatewayTimeout, reasonDeadline)
 }
 
-// noReplicaRefusal is the answer when no replica takes the request.
+// noReplicaRefusal is the answer when no replica accepts the request.
 func (x *exchange) noReplicaRefusal() refusal {
 	if x.mayHaveRun > 0 {
 		return refuse(http.StatusBadGateway, reasonAnswerLost)
@@ -325,7 +328,8 @@
 	return unavailableRefusal(availability)
 }
 
-// unavailableReasons are the reasons of which a refusal names the first that holds.
+// unavailableReasons are checked in order; a refusal names the first that holds for some
+// replica.
 var unavailableReasons = []struct {
 	why    route.Exclusion
 	reason string
@@ -338,7 +342,7 @@
 	{route.ExcludedDraining, reasonDraining},
 }
 
-// unavailableRefusal is the answer when there is no replica that may be asked at all.
+// unavailableRefusal is the answer when every replica is excluded.
 func unavailableRefusal(availability route.Availability) refusal {
 	retry := noReplicaRetryAfter
 	if availability.RetryAfter > 0 {
@@ -352,7 +356,7 @@
 	return retryLater(reasonNoReplica, retry)
 }
 
-// deliver delivers a replica's answer.
+// deliver passes a replica's answer to the client.
 func (x *exchange) deliver(ctx context.Context, a *attempt) (bool, refusal) {
 	x.mayHaveRun++
 	if x.route.Streaming && a.head.Status == http.StatusOK {
@@ -386,7 +390,7 @@
 	return x.mayRepeat(a.choice.ID, now)
 }
 
-// recordFirstByte records that the first byte of the answer has come.
+// recordFirstByte records that the first byte of the answer's body has arrived.
 func (x *exchange) recordFirstByte(a *attempt, now time.Time) {
 	if a.firstByteAfter == 0 && a.realm != "" {
 		x.g.kept.RecordPrefill(a.choice.ID, a.realm, x.info.Shared())
@@ -395,7 +399,7 @@
 	x.leaveQueue(now)
 }
 
-// outcomeOfFailure blames the replica unless the request ended for another reason.
+// outcomeOfFailure counts a failure against the replica unless the request had ended.
 func (x *exchange) outcomeOfFailure(ctx context.Context) route.Outcome {
 	if ctx.Err() != nil {
 		return route.OutcomeNeutral
--- a/service/gateway/exchange_limits.go
+++ b/service/gateway/exchange_limits.go
@@ -12,13 +12,13 @@
 	"github.com/drumpath/drumpath/service/ratelimit"
 )
 
-// maxGrantRequests is for how many replicas that name a limit a grant is asked for one request. Those
-// that name none are used then, or it is refused: asking takes time.
+// maxGrantRequests bounds for how many rate-limited replicas a grant is requested per
+// request, as that takes time. After that only replicas without a limit are used.
 const maxGrantRequests = 3
 
-// pickToSend picks the replica that the request is sent to now; ok is false if there is
-// none. One that names a limit needs a grant: without, each node would send it its usual part of
-// the load, and together they would send a replica in need many times what it takes.
+// pickToSend picks the replica to send the request to; ok is false if there is none. A
+// replica that announces a limit needs a grant: otherwise each node would send it its
+// usual share of the load, and together they would exceed the limit many times.
 func (x *exchange) pickToSend(ctx context.Context) (c route.Choice, ok bool) {
 	x.pickInput.Send = true
 	defer func() { x.pickInput.Send, x.pickInput.UnlimitedOnly = false, false }()
@@ -31,8 +31,8 @@
 	}
 }
 
-// recordAnswerInfo takes from an answer what its replica says of itself. One that comes from another
-// replica, at a reused address, tells nothing of this one.
+// recordAnswerInfo records what a replica's answer says about it. An answer from another
+// replica at a reused address says nothing about this one.
 func (x *exchange) recordAnswerInfo(a *attempt, now time.Time) {
 	if a.head.Status == http.StatusMisdirectedRequest {
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// orderCountingEngines counts orders in what replicas take from all nodes. Orders don't wait for
-// a grant: operators bound the time in which weights are replaced.
+// orderCountingEngines counts orders against the rate limits of replicas. Orders don't
+// wait for a grant, because operators bound the time in which weights are replaced.
 type orderCountingEngines struct {
 	Engines
 
@@ -56,7 +56,7 @@
 	limits    *ratelimit.Limits
 }
 
-// Order gives an engine an order.
+// Order sends an order to an engine.
 func (c orderCountingEngines) Order(ctx context.Context, addr netip.AddrPort, o site.Order) (site.OrderOutcome, error) {
 	for _, p := range c.siteState.Pools() {
 		if u, ok := p.Upstream(o.Instance); ok {
--- a/service/gateway/exchange_log.go
+++ b/service/gateway/exchange_log.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// logAnswer tells where a request ran, by what, and how long it took.
+// logAnswer logs which replica served the request and how long each stage took.
 func (x *exchange) logAnswer(a *attempt, now time.Time) {
 	coverage := x.pickInput.Coverage[a.choice.ID]
 	x.g.metrics.answer(x.route.Kind(), a.startedAt.Sub(x.receivedAt), a.firstByteAfter, now.Sub(x.receivedAt))
@@ -17,8 +17,8 @@
 		"limit", a.info.Limit.String(), "draining", a.info.Draining, "attempts", x.mayHaveRun, "not_run", x.notRunCount)
 }
 
-// logRefusal tells why a request got an answer of the node's own, and by what
-// beliefs, of what age.
+// logRefusal logs why the node itself answered a request, with the age of the state that
+// it decided by.
 func (x *exchange) logRefusal(f refusal, now time.Time) {
 	route, service, replicas, usable := "", "", 0, 0
 	if x.route != nil {
@@ -32,9 +32,9 @@
 		replicas, usable = x.pool.Count(now)
 		medianWait = x.pool.MedianWait(now)
 	}
-	configAge, listAge, storeAway := x.g.beliefs.Ages(now)
+	configVersion, listAge, storeAway := x.g.beliefs.Ages(now)
 	x.g.log.Info("refused", "request", x.info.ID, "status", f.status, "reason", f.reason, "route", route, "service", service,
 		"retry_after", f.retryAfter, "after", now.Sub(x.receivedAt), "attempts", x.mayHaveRun, "not_run", x.notRunCount,
-		"config", configAge, "list_age", listAge, "store_away", storeAway, "replicas", replicas, "usable", usable,
+		"config", configVersion, "list_age", listAge, "store_away", storeAway, "replicas", replicas, "usable", usable,
 		"median_wait", medianWait, "in_flight", x.g.inFlight.Load())
 }
--- a/service/gateway/exchange_needs.go
+++ b/service/gateway/exchange_needs.go
@@ -10,7 +10,8 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// admit finds out how the request is to be served; ok is false if it is refused.
+// admit finds the route, organisation, service and pool of the request; ok is false if
+// it is refused.
 func (x *exchange) admit() (f refusal, ok bool) {
 	snapshot := x.g.beliefs.Snapshot()
 	if snapshot == nil {
@@ -42,8 +43,9 @@
 	return refusal{}, true
 }
 
-// allowedHomes are the regions in which the request may run; homed is false if it may in all.
-// Where its route and its organisation both have some, both hold.
+// allowedHomes returns the regions in which the request may run; homesOnly is false if
+// it may run in all. If both its route and its organisation name some, it may run in
+// those that both name.
 func (x *exchange) allowedHomes() (list []string, homesOnly bool) {
 	list = x.route.Homes
 	if x.organisation == nil || len(x.organisation.Homes) == 0 {
@@ -56,7 +58,7 @@
 	return both, true
 }
 
-// newPickInput works out what the pool has to know.
+// newPickInput collects what the pool needs to know to pick a replica.
 func (x *exchange) newPickInput() route.PickInput {
 	n := route.PickInput{}
 	if x.service.Engine == nil {
@@ -77,7 +79,7 @@
 	return n
 }
 
-// lookUpCoverage notes what of the prompt can be fetched.
+// lookUpCoverage finds how much of the prompt each replica holds or can fetch.
 func (x *exchange) lookUpCoverage(now time.Time) {
 	e := x.service.Engine
 	if e == nil || !e.PlannedFetch || x.pickInput.Model == "" {
@@ -93,16 +95,17 @@
 }
 
 const (
-	// newWeightsPeriod is for how long after new weights were named answers on older
-	// ones count nearly in full, and freshUrgency what they count less.
+	// newWeightsPeriod is how long after new weights were named answers on older ones
+	// count nearly in full, and newWeightsStaleness their penalty until then.
 	newWeightsPeriod    = time.Second
 	newWeightsStaleness = 0.3
-	// orderWindowMargin is how long before the time by which all replicas are to
-	// have new weights nothing is sent to older ones any more.
+	// orderWindowMargin is how long before the time by which all replicas must have new
+	// weights requests are no longer sent to replicas with older ones.
 	orderWindowMargin = 1200 * time.Millisecond
 )
 
-// refreshWeights notes the newest weights, which may change between attempts.
+// refreshWeights updates the newest and the oldest usable weights, which may change
+// between attempts.
 func (x *exchange) refreshWeights(now time.Time) {
 	if x.pickInput.Model == "" {
 		return
@@ -118,7 +121,7 @@
 	x.pickInput.MinVersion = x.g.beliefs.WeightsBefore(x.pickInput.Model, now.Add(-orderWindow))
 }
 
-// pick chooses a replica by what is known now.
+// pick picks a replica by the current state.
 func (x *exchange) pick(now time.Time) (route.Choice, bool) {
 	x.refreshWeights(now)
 	x.lookUpCoverage(now)
--- a/service/gateway/exchange_suspects.go
+++ b/service/gateway/exchange_suspects.go
@@ -11,12 +11,13 @@
 	"github.com/drumpath/drumpath/service/suspects"
 )
 
-// suspectRetryAfter is when to come back with a watched request while another of its kind is
-// under way: one that ends its replica does so within some hundred milliseconds.
+// suspectRetryAfter is the Retry-After of a request with suspect content while another
+// one with the same content runs. Content that ends its replica does so within some
+// hundred milliseconds.
 const suspectRetryAfter = 500 * time.Millisecond
 
-// fingerprint names what the request asks and for whom. It is made only once, and only
-// for requests that need it.
+// fingerprint identifies the request's content and organisation. It is computed only
+// once, and only for requests that need it.
 func (x *exchange) fingerprint() site.Fingerprint {
 	if !x.fingerprinted {
 		x.content = site.NewFingerprint(x.organisationName(), x.head.Method, x.head.Get("Host"), x.head.Target, x.body)
@@ -25,11 +26,12 @@
 	return x.content
 }
 
+// quickHash is a cheap, non-cryptographic hash of the same data as fingerprint.
 func (x *exchange) quickHash() uint64 {
 	return suspect.QuickHash(x.organisationName(), x.head.Method, x.head.Get("Host"), x.head.Target, x.body)
 }
 
-// organisationName is "" for a request without one.
+// organisationName returns "" for a request without an organisation.
 func (x *exchange) organisationName() string {
 	if x.organisation == nil {
 		return ""
@@ -37,16 +39,17 @@
 	return x.organisation.Name
 }
 
-// suspectCase judges the request by what is known of its content.
+// suspectCase returns what is known about replicas that ended under the request's
+// content.
 func (x *exchange) suspectCase() suspect.Case {
 	if x.g.suspects.Empty() {
-		return suspect.Case{} // Nothing has to be hashed.
+		return suspect.Case{} // Skips the hashing.
 	}
 	return x.g.suspects.Case(x.fingerprint())
 }
 
-// refusalIfBlocked refuses a request under which replicas have ended. Without it each repeat ended
-// one more replica, 17 to 21 of 18 in 16 s; now three end.
+// refusalIfBlocked refuses a request under which replicas have ended. Without it each
+// repeat ended one more replica: 17 to 21 of 18 in 16 s, where three end now.
 func (x *exchange) refusalIfBlocked() (f refusal, blocked bool) {
 	c := x.suspectCase()
 	if c.Verdict() != suspect.Blocked {
@@ -59,7 +62,8 @@
 	return refuse(http.StatusBadRequest, reasonEndsReplicas), true
 }
 
-// awaitClearance says whether the request may be sent to a replica now.
+// awaitClearance waits until the request may be sent to a replica; ok is false if it is
+// refused. A request with suspect content needs a grant to run.
 func (x *exchange) awaitClearance(ctx context.Context) (f refusal, ok bool) {
 	x.g.suspects.WaitLearned(ctx)
 	if f, blocked := x.refusalIfBlocked(); blocked {
@@ -76,8 +80,9 @@
 	return retryLater(reasonSuspected, suspectRetryAfter), false
 }
 
-// endSuspectRun ends an attempt at a watched request: the next one is let run by whatever has been
-// heard of this one, or at once.
+// endSuspectRun ends an attempt. If it ran by a grant for suspect content and got no
+// whole answer, it gives the grant back, so that the next attempt need not wait for it
+// to expire.
 func (x *exchange) endSuspectRun(finished bool) {
 	if x.suspectRun && !finished {
 		x.g.suspects.EndRun(x.content)
@@ -85,19 +90,20 @@
 	x.suspectRun = false
 }
 
-// recordFinish notes that a replica ran the request to its end.
+// recordFinish records that a replica finished the request.
 func (x *exchange) recordFinish(now time.Time) {
 	x.g.suspects.RecordFinish(x.quickHash(), x.fingerprint, now)
 }
 
-// recordLostRun notes that the answer to an attempt was lost while it may have run. Whether its
-// replica has ended a new connection tells, or else the attempts of others and the
-// platform's list. One whose connection fell silent is not asked: that could take long.
+// recordLostRun records that the answer to an attempt was lost while the request may
+// have run. To find out whether the replica has ended, it dials a new connection;
+// failing that, other attempts and the platform's list tell. If the connection fell
+// silent, it does not dial, as that could take long.
 func (x *exchange) recordLostRun(ctx context.Context, a *attempt, err error, now time.Time) {
 	u := &a.choice.Upstream
-	silent := ctx.Err() != nil || isUnreachable(err) // Its client left, its time was over, or the path fell silent.
+	silent := ctx.Err() != nil || isUnreachable(err) // The client left, the deadline passed, or the network path fell silent.
 	if !silent && !x.pool.IsActive(u.ID) {
-		return // It left as planned, and cut what it still had: long answers meet that often.
+		return // It shut down as planned and cut its remaining answers, which is common for long ones.
 	}
 	run := suspects.LostRun{
 		Content:   x.fingerprint(),
@@ -127,7 +133,7 @@
 	}
 }
 
-// recordNotReached notes that a replica took no connection.
+// recordNotReached records that a replica accepted no connection.
 func (x *exchange) recordNotReached(u *site.Upstream, err error, now time.Time) {
 	x.recordUnreachable(u, now)
 	if suspects.NotListening(err) {
--- a/service/gateway/follow.go
+++ b/service/gateway/follow.go
@@ -13,45 +13,47 @@
 )
 
 const (
-	// minFollowRetry and followRetryMost bound the pause after a failed call. Each
-	// call is paid for, and the store may be turning callers away.
+	// minFollowRetry and maxFollowRetry bound the pause after a failed call. Each call
+	// is charged for, and the store may be rejecting callers.
 	minFollowRetry = 100 * time.Millisecond
 	maxFollowRetry = 800 * time.Millisecond
 )
 
-// follower keeps up with one table of the store.
+// follower keeps a local copy of one table of the store up to date.
 type follower struct {
 	store interface {
 		List(ctx context.Context, t site.Table) (site.Listing, error)
 		Changes(ctx context.Context, t site.Table, after int64, wait time.Duration) (site.Listing, error)
 	}
-	table    site.Table
-	name     string // For logs.
+	table site.Table
+	name  string // For logs.
+	// longPoll is how long the store may hold a call for changes.
 	longPoll time.Duration
-	// batchDelay is kept after each change, so that changes come in groups: every
-	// call is paid for.
+	// batchDelay is the pause after each change, so that changes come in batches: every
+	// call is charged for.
 	batchDelay time.Duration
-	// apply takes in rows; with whole they are the whole table.
+	// apply applies rows; if whole is set, they are the whole table.
 	apply func(rows []site.Row, whole bool, now time.Time)
-	// onFailure is told of each call that was not answered.
+	// onFailure is called after each failed call. That the store no longer has the
+	// changes is no failure.
 	onFailure func(now time.Time)
-	// onAnswer is told of each call that succeeded, and when it was begun.
+	// onAnswer is called after each call that succeeded, with the time when it was
+	// started.
 	onAnswer func(begun, now time.Time)
 	log      *slog.Logger
 
 	mu         sync.Mutex
-	cancel     context.CancelFunc // Of the call under way.
-	pollAtOnce bool               // The next call is not to be held.
+	cancel     context.CancelFunc // Cancels the call under way.
+	pollAtOnce bool               // The next call is not a long poll.
 
 	version      int64
 	listed       bool
-	failingSince time.Time // Since when calls fail, zero if they don't.
+	failingSince time.Time // Zero if the last call succeeded.
 	retryDelay   time.Duration
 }
 
-// run follows the table until ctx ends. It goes on from the version that it has
-// reached; only when the store no longer knows the changes since then is the
-// whole table read again.
+// run follows the table until ctx ends, from the version that it has reached. It reads
+// the whole table again only if the store no longer has the changes since that version.
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		suspendedBefore := boottime.Refresh()
@@ -63,15 +65,15 @@
 		now := boottime.RefreshNow()
 		switch {
 		case err == nil && boottime.Suspended()-suspendedBefore >= minSuspension:
-			// The answer may have come before the machine was suspended.
+			// The answer may be from before the machine was suspended.
 		case err == nil:
 			f.recordSuccess(now)
 			f.onAnswer(begun, now)
 		case ctx.Err() != nil:
 			return
-		case interrupted: // It is asked anew at once.
+		case interrupted: // The store is asked again at once.
 		case errors.Is(err, site.ErrHistoryGone):
-			// Whoever says so is there: no entry has run out for want of the store.
+			// The store answered, so this is not a failure to reach it.
 			f.listed = false
 		default:
 			f.recordFailure(now, err)
@@ -81,7 +83,8 @@
 	}
 }
 
-// beginCall makes the context of a call that wake ends, and says for how long it is held.
+// beginCall returns the context of the next call, which pollNow cancels, and how long
+// the store may hold the call.
 func (f *follower) beginCall(ctx context.Context) (call context.Context, longPoll time.Duration, done context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,7 +96,8 @@
 	return call, longPoll, f.cancel
 }
 
-// pollNow has the table asked for anew at once: the machine was suspended.
+// pollNow interrupts the call under way and asks the store again at once. It is called
+// after the machine was suspended.
 func (f *follower) pollNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,9 +112,9 @@
 		return f.list(ctx)
 	}
 	if !f.failingSince.IsZero() {
-		// A call that falls into an absence of the store is not to be waited
-		// for beyond the store's return. It has no limit of its own: one on the whole
-		// would end a large answer each time.
+		// After a failure the next call must return as soon as the store is back. It has
+		// no timeout of its own: one on the whole call would abort a large answer every
+		// time.
 		longPoll = 0
 	}
 	l, err := f.store.Changes(ctx, f.table, f.version, longPoll)
@@ -127,7 +131,7 @@
 	return nil
 }
 
-// errStale says that the store answered with something older than is known.
+// errStale means that the store answered with an older version than it did before.
 var errStale = errors.New("the store is behind what it has told before")
 
 func (f *follower) list(ctx context.Context) error {
@@ -143,7 +147,8 @@
 	return nil
 }
 
-// recordFailure logs the first failure of a row; recovered logs how long it lasted.
+// recordFailure logs the first of several failures in a row; recordSuccess logs how long
+// they lasted.
 func (f *follower) recordFailure(now time.Time, err error) {
 	if f.failingSince.IsZero() {
 		f.failingSince = now
--- a/service/gateway/follow_test.go
+++ b/service/gateway/follow_test.go
@@ -12,7 +12,7 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// lostHistoryStore no longer has the changes that a follower asks for, once.
+// lostHistoryStore answers the first call for changes with ErrHistoryGone.
 type lostHistoryStore struct{ calls atomic.Int64 }
 
 func (s *lostHistoryStore) List(context.Context, site.Table) (site.Listing, error) {
@@ -27,14 +27,12 @@
 	return site.Listing{}, ctx.Err()
 }
 
-// A replica's entry went, and a node sent it requests for 2.004 s more, where 2 s are allowed. The
-// node waited 1.8 s for the entry to come back, as it does where the store was away. But the store
-// had only no longer had the changes that it was asked for, as nodes that read it for others were
-// started again in turn; whoever says so is there, and its whole list is read at once.
-//
-// What settled it: "upstream dropped" with missing 1.81 to 2.02 s at seven nodes, and no "store
-// lost" at any of them in the twelve seconds before: of the two ways by which a node takes the store for
-// away, the other one logs that.
+// A store that no longer has the changes a node asks for is reachable: the node must
+// read the whole table at once. It used to wait 1.8 s for a removed replica to reappear,
+// as it does when the store is unreachable, and sent the replica requests for 2.004 s
+// where 2 s are allowed. That happened when the nodes that read the store for others
+// were restarted in turn: "upstream dropped" with missing 1.81 to 2.02 s at seven nodes,
+// without a "store lost" in the twelve seconds before.
 func TestLostHistoryDoesNotCountAsUnreachableStore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var away, whole atomic.Int64
--- a/service/gateway/links_test.go
+++ b/service/gateway/links_test.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// linkChunkBytes is how many bytes pass a link at once, so that connections share
-	// it evenly: 3 ms of 10 Mbit/s.
+	// linkChunkBytes is how many bytes pass a link at once, so that connections share it
+	// evenly: 3 ms of 10 Mbit/s.
 	linkChunkBytes = 4 << 10
-	// linkBufferBytes bounds what a connection holds before the link, in bytes, so
-	// that a sender notices the link's rate.
+	// linkBufferBytes bounds what a connection buffers before the link, so that a sender
+	// notices the link's rate.
 	linkBufferBytes = 64 << 10
-	// maxLinkLag is what a link makes up for when timers are late.
+	// maxLinkLag is how much a link makes up for when timers are late.
 	maxLinkLag = 10 * time.Millisecond
-	// bytesPerMbit turns Mbit/s into bytes a second.
+	// bytesPerMbit converts Mbit/s to bytes per second.
 	bytesPerMbit = 1e6 / 8
 )
 
-// link is how a node is connected; all its connections share the rate of each
+// link simulates a node's network link; all its connections share the rate of each
 // direction.
 type link struct {
 	in, out linkDirection
-	// received is how many bytes have come in.
+	// received counts the bytes that have come in.
 	received atomic.Int64
-	// frozen links carry nothing more, though connections stay open and are
-	// accepted, as those of a process that is stopped.
+	// frozen links carry no more data, though connections stay open and are accepted,
+	// like those of a stopped process.
 	frozen atomic.Bool
 }
 
@@ -44,13 +44,13 @@
 
 // linkDirection is one direction of a link.
 type linkDirection struct {
-	rate float64 // Bytes a second.
+	rate float64 // Bytes per second.
 
 	mu        sync.Mutex
-	busyUntil time.Time // When all that was let in before has passed.
+	busyUntil time.Time // When all bytes reserved so far have passed.
 }
 
-// reserve lets n bytes in and returns when they are through.
+// reserve schedules n bytes and returns when they have passed.
 func (l *linkDirection) reserve(n int, now time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +61,7 @@
 	return l.busyUntil
 }
 
-// links carries connections between nodes that have links.
+// links forwards connections between nodes that have links.
 type links struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -82,18 +82,18 @@
 	l.mu.Lock()
 	l.cancel()
 	for c := range l.open {
-		_ = c.Close() // What it carries ends.
+		_ = c.Close() // Its goroutine notices.
 	}
 	l.mu.Unlock()
 	l.wg.Wait()
 }
 
-// keep has Close close c; ok is false when that is over.
+// keep registers c to be closed by Close; ok is false if that has been called.
 func (l *links) keep(c io.Closer) (ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ctx.Err() != nil {
-		_ = c.Close() // Nobody has it.
+		_ = c.Close() // Nothing uses it yet.
 		return false
 	}
 	l.open[c] = struct{}{}
@@ -107,8 +107,8 @@
 	_ = c.Close() // Both ends see it.
 }
 
-// connect returns an address at which the node at the near link reaches a target
-// behind the far one; a link that is nil has no bound.
+// connect returns an address at which the node at the near link reaches a target behind
+// the far one; a nil link is unlimited.
 func (l *links) connect(t testing.TB, near, far *link, target netip.AddrPort) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,10 +123,10 @@
 			l.wg.Go(func() { l.join(conn, near, far, target) })
 		}
 	})
-	return ln.Addr().(*net.TCPAddr).AddrPort() // It listens on TCP.
+	return ln.Addr().(*net.TCPAddr).AddrPort() // It is a TCP listener.
 }
 
-// join carries one connection until either end closes it.
+// join forwards one connection until either end closes it.
 func (l *links) join(from net.Conn, near, far *link, target netip.AddrPort) {
 	to, err := net.Dial("tcp", target.String())
 	if err != nil {
@@ -145,7 +145,7 @@
 	both.Wait()
 }
 
-// carry copies what src sends at the pace of the sender's and the receiver's link.
+// carry copies what src sends at the rate of the sender's and the receiver's link.
 func (l *links) carry(dst, src net.Conn, sender, receiver *link) {
 	defer l.drop(src)
 	defer l.drop(dst)
@@ -185,7 +185,8 @@
 	return l.ctx.Err() == nil
 }
 
-// A link that lets more through than its rate would hide what narrow ones delay.
+// A link that let more through than its rate would hide the delays that slow links
+// cause.
 func TestLinkRateIsSharedByAllConnections(t *testing.T) {
 	const (
 		mbit  = 10
@@ -196,7 +197,7 @@
 	assert.NilError(t, err)
 	l := newLinks()
 	defer l.Close()
-	defer func() { _ = server.Close() }() // It has served.
+	defer func() { _ = server.Close() }() // No longer needed.
 	near := newLink(mbit)
 	addr := l.connect(t, near, nil, server.Addr().(*net.TCPAddr).AddrPort())
 	begun := time.Now()
--- a/service/gateway/listener.go
+++ b/service/gateway/listener.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// acceptRetryDelay is kept after accepting has failed: most often the process is out of
-// descriptors, which connections that end give back within some milliseconds.
+// acceptRetryDelay is the pause after accepting has failed. Usually the process is out
+// of file descriptors, which connections that end free within milliseconds.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// listener goes on after a failure to accept. A server that ended at one would take no
-// connection any more, and the node would still say that it is ready.
+// listener retries after a failure to accept. A server that gave up would accept no more
+// connections while the node still reports that it is ready.
 type listener struct {
 	net.Listener
 	log *slog.Logger
 }
 
-// Accept implements net.Listener; the only error is that of a listener that is closed.
+// Accept implements net.Listener. It fails only if the listener is closed.
 func (l *listener) Accept() (net.Conn, error) {
 	for failed := false; ; failed = true {
 		conn, err := l.Listener.Accept()
--- a/service/gateway/queue.go
+++ b/service/gateway/queue.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// queuePollInterval is how often it is looked whether an engine has room for the
-	// first prompt that waits, beside each time that this node's own leave some.
+	// queuePollInterval is how often the queues are checked for whether an engine has
+	// room for the first prompt, in addition to each time that one of this node's own
+	// prompts leaves.
 	queuePollInterval = 20 * time.Millisecond
-	// startWaitShare is the part of a route's target within which an engine must be
-	// expected to begin a prompt for it to be sent there.
+	// startWaitShare is the share of a route's target within which an engine must be
+	// expected to start a prompt for it to be sent there.
 	startWaitShare = 0.25
-	// lateStartWaitShare is that for a prompt that can no longer be answered in good
-	// time: it is not to delay those that can, at other nodes too. The share grows
-	// to lateMostShare until the prompt's limit, so that it is served all the same.
+	// lateStartWaitShare is the same for a prompt that can no longer meet its target: it
+	// must not delay prompts that can, also those of other nodes. The share grows to
+	// maxLateStartWaitShare at the prompt's deadline, so that it is served nevertheless.
 	lateStartWaitShare    = 0.1
 	maxLateStartWaitShare = 0.5
-	// queueTimeAfterStop is for how long a prompt waits once the node has been told to stop:
-	// what is sent later may not end within the grace period.
+	// queueTimeAfterStop is how long a prompt may wait once the node has been told to
+	// stop: one sent later might not finish within the grace period.
 	queueTimeAfterStop = time.Second
-	// minQueueRetryAfter is the least time after which a refused caller is to come back:
+	// minQueueRetryAfter is the least Retry-After of a full queue: a client that retries
 	// sooner would find the same queue.
 	minQueueRetryAfter = 250 * time.Millisecond
 )
 
-// promptQueue is the queue in front of a service of engines.
+// promptQueue returns the queue in front of a service of engines.
 func (g *Gateway) promptQueue(service string) *route.PromptQueue {
 	g.queuesMu.Lock()
 	defer g.queuesMu.Unlock()
@@ -41,8 +42,8 @@
 	return q
 }
 
-// runQueues looks at the queues again and again while prompts wait in them. On most
-// nodes none do most of the time, and need not be woken 50 times a second.
+// runQueues steps the queues periodically while prompts wait in them. On most nodes none
+// wait most of the time, and the node need not wake up 50 times a second.
 func (g *Gateway) runQueues(ctx context.Context) {
 	for {
 		select {
@@ -56,7 +57,7 @@
 	}
 }
 
-// stepQueues lets in prompts for which there is room and says whether any still wait.
+// stepQueues admits prompts for which there is room and reports whether any still wait.
 func (g *Gateway) stepQueues() (waiting bool) {
 	g.queuesMu.Lock()
 	list := make([]*route.PromptQueue, 0, len(g.queues))
@@ -72,7 +73,7 @@
 	return waiting
 }
 
-// enqueue waits until the prompt is let in; ok is false if it is refused.
+// enqueue waits until the prompt is admitted; ok is false if it is refused.
 func (x *exchange) enqueue(ctx context.Context) (f refusal, ok bool) {
 	if x.service.Engine == nil || x.pickInput.Tokens == 0 || x.g.beliefs.without.PromptQueue {
 		return refusal{}, true
@@ -84,7 +85,7 @@
 		Cost:     float64(x.pickInput.Tokens),
 		Priority: x.priority(),
 		Deadline: x.sendBy,
-		Fits:     x.engineReadySoon,
+		Fits:     x.canStartSoon,
 	}
 	if x.organisation != nil {
 		request.Organisation = x.organisation.Name
@@ -94,7 +95,7 @@
 		return overloaded(err), false
 	}
 	x.waiting = w
-	select { // Most need no timers.
+	select { // Most prompts are admitted at once and need no timers.
 	case <-w.Ready():
 		return queueResult(w)
 	default:
@@ -102,8 +103,8 @@
 	return x.waitInQueue(ctx, w, now)
 }
 
-// waitInQueue waits in the queue. Once the prompt can't be answered in good time any more it
-// gives way to those that can; when it can't be answered at all it is refused.
+// waitInQueue waits for admission. Once the prompt can no longer meet its target it
+// yields to those that can; when it can't be answered at all any more it is refused.
 func (x *exchange) waitInQueue(ctx context.Context, w *route.WaitingPrompt, now time.Time) (f refusal, ok bool) {
 	select {
 	case x.g.queued <- struct{}{}:
@@ -134,7 +135,7 @@
 	}
 }
 
-// queueResult says whether a prompt that waits no longer was let in.
+// queueResult returns whether a prompt that has left the queue was admitted.
 func queueResult(w *route.WaitingPrompt) (f refusal, ok bool) {
 	if err := w.Err(); err != nil {
 		return overloaded(err), false
@@ -142,8 +143,8 @@
 	return refusal{}, true
 }
 
-// processingTime is how long the prompt takes at an engine to its first token, without what
-// waits there before it; 0 if there is no engine for it.
+// processingTime is how long an engine needs for the prompt's first token, without the
+// work queued there before it; 0 if there is no engine.
 func (x *exchange) processingTime(now time.Time) time.Duration {
 	c, ok := x.pick(now)
 	if !ok {
@@ -152,9 +153,10 @@
 	return c.Expected - c.Wait
 }
 
-// engineReadySoon says whether an engine is expected to begin the prompt soon. Where there is no
-// engine at all it says so too: the attempt finds out, and the caller is told at once.
-func (x *exchange) engineReadySoon(late bool, now time.Time) bool {
+// canStartSoon reports whether an engine is expected to start the prompt soon. It is
+// also true if there is no engine at all: the attempt then fails and the client is told
+// at once.
+func (x *exchange) canStartSoon(late bool, now time.Time) bool {
 	c, ok := x.pick(now)
 	share := startWaitShare
 	if late {
@@ -173,7 +175,7 @@
 	return retryLater(reasonOverloaded, retry)
 }
 
-// leaveQueue lets the next prompt be looked at: this one has been sent, or is over.
+// leaveQueue frees the prompt's place: it has been sent, or the request has ended.
 func (x *exchange) leaveQueue(now time.Time) {
 	if x.waiting != nil {
 		x.waiting.Done(now)
--- a/service/gateway/refusal.go
+++ b/service/gateway/refusal.go
@@ -9,12 +9,12 @@
 	"github.com/drumpath/drumpath/pkg/http1"
 )
 
-// refusal is an answer of the node's own.
+// refusal is an answer that the node itself gives instead of a replica's.
 type refusal struct {
 	status int
-	// reason is a word for logs, metrics and the caller.
+	// reason is a word for logs, metrics and the client.
 	reason string
-	// retryAfter is when to come back; 0 if it is not said. Only refusals that say
+	// retryAfter is sent as Retry-After unless it is 0. Only refusals that guarantee
 	// that the request did not run have one.
 	retryAfter time.Duration
 }
@@ -46,12 +46,13 @@
 
 func refuse(status int, reason string) refusal { return refusal{status: status, reason: reason} }
 
-// retryLater refuses a request that did not run and says when to come back.
+// retryLater refuses a request that did not run and says when to retry.
 func retryLater(reason string, retryAfter time.Duration) refusal {
 	return refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
-// encode makes the answer; id is the request's, "" if it has none.
+// encode returns the response as bytes; id is the request's ID, "" if it has none, and
+// closes says that the connection closes after it.
 func (f refusal) encode(codec Codec, id string, closes bool) []byte {
 	body, err := json.Marshal(struct {
 		Error string `json:"error"`
--- a/service/gateway/relay.go
+++ b/service/gateway/relay.go
@@ -11,30 +11,29 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// relay passes a stream of events on to the client.
+// relay passes a stream of server-sent events on to the client.
 //
-// Only whole events are passed on, each as soon as its end has come, so that a
-// stream can go on from another replica behind the last of them. The head and
-// the first event go out together: until then the request may still be tried
-// elsewhere.
+// Only whole events are passed on, each as soon as it is complete, so that another
+// replica can resume the stream after the last of them. The head and the first event are
+// sent together: until then the request may still be tried elsewhere.
 type relay struct {
 	out    *clientWriter
-	head   *http1.Head // Of the first replica's answer.
-	lastID string      // Of the last event that was passed on.
-	// partial are bytes of an event whose end has not come.
+	head   *http1.Head // Head of the first replica's answer.
+	lastID string      // ID of the last event that was passed on.
+	// partial is the beginning of an event that is not complete yet.
 	partial []byte
 }
 
-// Sizes of relaying, in bytes.
+// Sizes in bytes.
 const (
 	relayBufferSize = 8 << 10
-	// maxEventBytes is the largest event that is held back; a larger one is passed
-	// on in pieces.
+	// maxEventBytes is the largest event that is buffered; a larger one is passed on in
+	// pieces.
 	maxEventBytes = 256 << 10
 )
 
-// relayStream passes a replica's stream on. If it breaks off, a resumable one
-// goes on elsewhere.
+// relayStream passes a replica's stream on. If it breaks off and may be repeated,
+// another replica resumes it.
 func (x *exchange) relayStream(ctx context.Context, a *attempt) (bool, refusal) {
 	first := x.stream == nil
 	r := x.stream
@@ -68,7 +67,7 @@
 	return x.mayRepeat(a.choice.ID, now)
 }
 
-// copyEvents passes events on until the stream's end, which it returns nil for.
+// copyEvents passes events on until the end of the stream, for which it returns nil.
 func (x *exchange) copyEvents(r *relay, a *attempt) error {
 	buf := make([]byte, relayBufferSize)
 	for {
@@ -83,7 +82,7 @@
 		case x.out.failed:
 			return errClientLeft
 		case err == io.EOF && a.body.Framing() == http1.FramingClose && len(r.partial) > 0:
-			// It ended inside an event, so the connection was cut.
+			// The stream ended inside an event, so the connection was lost.
 			return http1.ErrBodyTruncated
 		case err == io.EOF:
 			return nil
@@ -93,7 +92,7 @@
 	}
 }
 
-// write passes on the events that are whole with these bytes.
+// write passes on the events that are complete with these bytes.
 func (r *relay) write(b []byte) {
 	r.partial = append(r.partial, b...)
 	end := lastEventEnd(r.partial)
@@ -110,8 +109,8 @@
 	r.partial = append([]byte(nil), r.partial[end:]...)
 }
 
-// skipRepeated drops events at the front that were passed on before: a replica may
-// send some of them again when a stream goes on.
+// skipRepeated drops events at the front that were passed on before: a replica that
+// resumes a stream may send some of them again.
 func (r *relay) skipRepeated(events []byte) []byte {
 	for len(events) > 0 && r.lastID != "" {
 		end := firstEventEnd(events)
@@ -123,7 +122,7 @@
 	return events
 }
 
-// notAfter says whether an event's number is known not to be behind another's.
+// notAfter reports whether an event's number is known to be at most that of another.
 func notAfter(id, last string) bool {
 	a, errA := strconv.ParseInt(id, 10, 64)
 	b, errB := strconv.ParseInt(last, 10, 64)
@@ -141,7 +140,7 @@
 	r.out.writeMore(events)
 }
 
-// finish ends the stream, with what is held.
+// finish ends the stream, with what is buffered.
 func (r *relay) finish() {
 	if len(r.partial) > 0 {
 		r.send(r.partial)
@@ -156,7 +155,7 @@
 // eventSeparators are the blank lines that end an event.
 var eventSeparators = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
-// lastEventEnd is where the last whole event ends, 0 if there is none.
+// lastEventEnd returns where the last complete event ends, 0 if there is none.
 func lastEventEnd(b []byte) int {
 	end := 0
 	for _, sep := range eventSeparators {
@@ -167,7 +166,7 @@
 	return end
 }
 
-// firstEventEnd is where the first event ends, 0 if it is not whole.
+// firstEventEnd returns where the first event ends, 0 if it is not complete.
 func firstEventEnd(b []byte) int {
 	end := 0
 	for _, sep := range eventSeparators {
@@ -178,7 +177,7 @@
 	return end
 }
 
-// eventID is the id of an event, "" if it has none.
+// eventID returns the ID of an event, "" if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -188,7 +187,7 @@
 	return ""
 }
 
-// lastEventID is the id of the last event that has one.
+// lastEventID returns the ID of the last event that has one.
 func lastEventID(events []byte) string {
 	id := ""
 	for line := range bytes.SplitSeq(events, []byte("\n")) {
--- a/service/gateway/retry_slack_test.go
+++ b/service/gateway/retry_slack_test.go
@@ -11,12 +11,13 @@
 	"github.com/drumpath/drumpath/pkg/control"
 )
 
-// nodeWithSlack is one of some nodes, which takes some of the others for dead.
+// nodeWithSlack returns node i of all, with a retry slack of 54; it considers dead those
+// that are marked dead in all.
 func nodeWithSlack(all []control.Member, i int, hasMet bool) *Gateway {
 	m := control.NewMembers(all[i], time.Second, nil, newRand())
 	alive := append(append([]control.Member(nil), all[:i]...), all[i+1:]...)
 	for j := range alive {
-		alive[j].State = control.MemberAlive // Before they were cut off.
+		alive[j].State = control.MemberAlive // Before the partition.
 	}
 	m.Merge(alive, time.Now())
 	m.Merge(append(append([]control.Member(nil), all[:i]...), all[i+1:]...), time.Now())
@@ -29,13 +30,13 @@
 	return g
 }
 
-// The retries that all nodes together may make beyond a share of requests were divided by
-// how many nodes each took to work. Cut apart, both halves gave themselves the whole, and a
-// node that had just started took a few nodes' part for its own; found by asking which other
-// bounds on a sum are kept by each node for itself.
+// Each node may use a share of the fleet's retry slack, the retries beyond a share of
+// requests. If it divided the slack by the nodes that it considers alive, the halves of
+// a partitioned fleet would each use all of it, and a node that has just started would
+// use the share of a small fleet.
 func TestRetrySlackSharesSumToTotalWhenNodesDisagree(t *testing.T) {
 	for _, n := range []int{7, 71, 295, 2} {
-		var sides [2][]control.Member // As each side has all of them.
+		var sides [2][]control.Member // All nodes as each side of the partition sees them.
 		for i := range n {
 			m := membersOf(n, 3, 0)[i]
 			for side := range sides {
--- a/service/gateway/silence_test.go
+++ b/service/gateway/silence_test.go
@@ -16,7 +16,8 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// serveBehindProxy serves a method between nodes; it is reached through the proxy only.
+// serveBehindProxy serves a method between nodes that can be reached only through the
+// proxy.
 func serveBehindProxy(t *testing.T, method string, fn peer.HandlerFunc) *netproxy.Proxy {
 	server, err := peer.NewServer(netip.MustParseAddrPort("127.0.0.1:0"), map[peer.Role]string{peer.RolePeer: "key"}, slog.New(slog.DiscardHandler))
 	assert.NilError(t, err)
@@ -29,7 +30,8 @@
 	return p
 }
 
-// forEachSilentDirection runs a test for each way in which a path may lose what is on it.
+// forEachSilentDirection runs a test for each direction in which a network path may
+// silently drop packets, and for both.
 func forEachSilentDirection(t *testing.T, test func(t *testing.T, silence func(*netproxy.Proxy))) {
 	for name, way := range map[string][2]bool{"to": {true, false}, "from": {false, true}, "both": {true, true}} {
 		t.Run(name, func(t *testing.T) {
@@ -41,13 +43,12 @@
 	}
 }
 
-// maxCallTime is by when a call that is held by another node for a second must have ended
-// once its connection is silent, and one on a new connection have been answered, with
-// 3 s for a machine that has other things to do.
+// maxCallTime is enough for a held call to time out on a silent connection and be
+// answered on a new one, plus 3 s for a busy machine.
 const maxCallTime = heldWait + readerSlack + heldRetry + 3*time.Second
 
-// What engines hold is told on one connection between two nodes. After it went silent,
-// the node that was told had nothing of that hall's engines for good.
+// What engines hold is sent over one connection between two nodes. After it had gone
+// silent, the receiving node had no data about the data hall's engines for good.
 func TestHoldingsResumeAfterConnectionGoesSilent(t *testing.T) {
 	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		e := &tellingEngines{}
@@ -66,9 +67,10 @@
 	})
 }
 
-// holdingsSubscriber returns a node that is told what engines hold by the node at addr.
+// holdingsSubscriber returns a node that receives what engines hold from the node at
+// addr.
 func holdingsSubscriber(t *testing.T, addr netip.AddrPort) *holdings {
-	for i := range 20 { // Find a name for which the teller is not the node itself.
+	for i := range 20 { // Find a name with which the node's source is not itself.
 		owner := control.Member{Name: "n0", DataHall: "h", State: control.MemberAlive, Peer: addr, Incarnation: 1}
 		told := newTestHoldings(t, fmt.Sprintf("told%d", i), nil, owner)
 		if from, ok := told.source("h"); ok && from == addr {
@@ -79,8 +81,8 @@
 	return nil
 }
 
-// A reader's connection went silent: the store is asked instead, and the reader again
-// once it is no longer passed over.
+// After a reader's connection goes silent the store is asked instead, and then the
+// reader again once it is trusted again.
 func TestReaderIsUsedAgainAfterConnectionGoesSilent(t *testing.T) {
 	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		h := newTestHall(t)
@@ -108,7 +110,8 @@
 	})
 }
 
-// A store's events are told on by the node that follows it.
+// Another node that follows a store passes its events on. After the connection to it
+// goes silent, the next call must succeed.
 func TestStoreEventsResumeAfterConnectionGoesSilent(t *testing.T) {
 	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		follows := newWatchers(nil, control.Member{}, nil, nil)
--- a/service/gateway/suspension.go
+++ b/service/gateway/suspension.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// minSuspension is from how long on a suspension of the machine has the node hear
-	// anew what holds: shorter ones age what it knows by less than news are late.
+	// minSuspension is the shortest suspension of the machine after which the node syncs
+	// again: shorter ones age its state by less than updates are delayed anyway.
 	minSuspension = 100 * time.Millisecond
-	// maxResyncWait bounds for how long a node waits for that. Where nobody tells it, what it
-	// knows is as good as where the store is away.
+	// maxResyncWait bounds how long a node waits to be synced again. If nothing answers,
+	// its state is as good as while the store is unreachable.
 	maxResyncWait = 2 * time.Second
 )
 
-// suspension is what a node knows of suspensions of its machine.
+// suspension tracks suspensions of the node's machine.
 type suspension struct {
-	count atomic.Int64
+	count atomic.Int64 // For metrics.
 
 	mu      sync.Mutex
-	handled atomic.Int64 // Of boottime.Refresh, in nanoseconds.
+	handled atomic.Int64 // Total of boottime.Refresh that has been handled, in nanoseconds.
 	// since is when the node found that its machine had been suspended, until it has heard
 	// from the store or from other nodes since; zero otherwise.
 	since    atomic.Pointer[time.Time]
-	answered map[site.Table]time.Time
+	answered map[site.Table]time.Time // Start of the last call that was answered.
 }
 
 func newSuspension() *suspension {
@@ -38,8 +38,9 @@
 	return s
 }
 
-// checkSuspension finds out whether the machine has been suspended. Whatever acts on what the node
-// knows looks first, so that it is found at the next decision and not at the next tick.
+// checkSuspension detects whether the machine has been suspended. It is called before
+// every decision by the node's state, so that a suspension is noticed then and not at
+// the next timer tick.
 func (g *Gateway) checkSuspension() {
 	total := boottime.Refresh()
 	s := g.suspension
@@ -50,7 +51,7 @@
 	defer s.mu.Unlock()
 	suspended := total - time.Duration(s.handled.Load())
 	if suspended < minSuspension {
-		return // Another has found it meanwhile.
+		return // Another goroutine has handled it.
 	}
 	now := boottime.Now()
 	s.since.Store(&now)
@@ -59,8 +60,9 @@
 	s.handled.Store(int64(total))
 }
 
-// resetAfterSuspension drops what a suspended machine may have missed. What is only remembered with its age
-// is as old as it is by boottime.Now: leases, loads, clocks, budgets.
+// resetAfterSuspension drops state that a suspended machine may have missed changes of.
+// State that is kept with its age, such as leases, loads, clocks and budgets, ages by
+// boottime.Now, which includes the suspension.
 func (g *Gateway) resetAfterSuspension(suspended time.Duration) {
 	closed := g.conns.closeAllIdle()
 	for _, f := range g.followers {
@@ -72,7 +74,8 @@
 		"resting", closed, "stores", stores)
 }
 
-// synced says whether the node has heard what holds since its machine was last suspended.
+// synced reports whether the node has heard the current state since its machine was last
+// suspended.
 func (g *Gateway) synced() bool {
 	since := g.suspension.since.Load()
 	if since == nil {
@@ -94,21 +97,21 @@
 	return s.answered[site.TableOperator].After(since) && s.answered[site.TableUpstreams].After(since)
 }
 
-// lastAnswered is when the last call for a table that was answered was begun.
+// lastAnswered is when the last answered call for a table was started.
 func (s *suspension) lastAnswered(t site.Table) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answered[t]
 }
 
-// recordAnswer notes that a call for a table, which was begun at a time, was answered.
+// recordAnswer records that a call for a table was answered, and when it was started.
 func (s *suspension) recordAnswer(t site.Table, begun time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answered[t] = begun
 }
 
-// runEvery has fn called again and again, after a look at the clock.
+// runEvery calls fn periodically, each time after checking for a suspension.
 func (g *Gateway) runEvery(d time.Duration, fn timer.Func) {
 	g.timer.Subscribe(d, func(ctx context.Context) {
 		g.checkSuspension()
--- a/service/gateway/suspension_test.go
+++ b/service/gateway/suspension_test.go
@@ -14,7 +14,7 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// simulateSuspension has the machine be suspended, and that be found.
+// simulateSuspension simulates a suspension of the machine and its detection.
 func simulateSuspension(d time.Duration) {
 	boottime.SimulateSuspend(d)
 	boottime.Refresh()
@@ -30,15 +30,16 @@
 	assert.Equal(t, len(n.loads.states), 0)
 }
 
-// A connection that rested over a suspension may have ended without a sign.
+// A connection that was idle during a suspension may have ended without notice, so the
+// suspension counts as idle time.
 func TestIdleTimeOfConnectionsIncludesSuspension(t *testing.T) {
 	c := &upstreamConn{maxIdle: 10 * time.Second, idleSince: boottime.Now()}
 	simulateSuspension(8 * time.Second)
 	assert.Assert(t, boottime.Now().Sub(c.idleSince) >= maxIdleOnce)
 }
 
-// What retries may cost counts in a window of the machine's time: attempts before a
-// suspension leave it by that time.
+// The window of the retry budget includes the time of a suspension: attempts from before
+// it leave the window accordingly.
 func TestRetryWindowAdvancesDuringSuspension(t *testing.T) {
 	b := route.NewRetryShare(0.2, 10*time.Second)
 	b.SetSlack(2)
@@ -56,7 +57,7 @@
 	assert.Equal(t, take(), first)
 }
 
-// The replicas' clock went on while the node's machine was suspended.
+// The replicas' clock advances while the node's machine is suspended.
 func TestReplicaClockAdvancesDuringSuspension(t *testing.T) {
 	c := new(replicaClock)
 	c.hear(time.Minute, boottime.Now())
@@ -65,8 +66,8 @@
 	assert.Assert(t, ok && clock >= time.Minute+8*time.Second)
 }
 
-// An answer of the store that came before a suspension is not taken for new after it, so
-// that other nodes are not told that it is.
+// An answer of the store from before a suspension must not count as fresh after it, or
+// the node would tell other nodes that it is.
 func TestAnswerFromBeforeSuspensionIsNotFresh(t *testing.T) {
 	self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1}
 	store := &suspendingStore{}
@@ -82,7 +83,7 @@
 	assert.Equal(t, r.tables[site.TableOperator].heard, heard)
 }
 
-// suspendingStore answers, and then the machine is suspended.
+// suspendingStore simulates a suspension of the machine before each answer arrives.
 type suspendingStore struct {
 	Store
 	suspendFor time.Duration
@@ -93,8 +94,8 @@
 	return site.Listing{Version: 1}, nil
 }
 
-// A table is asked for anew at once after a suspension, and an answer of a call from before
-// it does not count as heard.
+// After a suspension a follower asks for its table at once, and an answer to a call from
+// before it does not count.
 func TestFollowerPollsAtOnceAfterSuspension(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	calls := make(chan time.Duration, 10)
--- a/service/gateway/upstream_conn.go
+++ b/service/gateway/upstream_conn.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// upstreamDialTimeout bounds a new connection to a replica, which takes some
-	// milliseconds; a lost opening packet is sent again after a second.
+	// upstreamDialTimeout bounds connecting to a replica, which takes some milliseconds;
+	// a lost SYN would be sent again after a second.
 	upstreamDialTimeout = 400 * time.Millisecond
-	// upstreamAckTimeout ends a connection whose peer acknowledges nothing: it has
-	// lost power or the way there is cut. It is longer than a few packets lost
-	// in a row take.
+	// upstreamAckTimeout ends a connection whose peer acknowledges nothing: it has lost
+	// power or the network path is down. It is longer than the loss of a few packets in
+	// a row takes.
 	upstreamAckTimeout = 900 * time.Millisecond
 	upstreamBufferSize = 8 << 10
 	// maxUpstreamHeadBytes bounds the head of a replica's answer.
 	maxUpstreamHeadBytes = 64 << 10
-	// idleTimeoutShare is the part of a replica's idle time after which a connection
-	// is no longer used: the replica may be closing it just then.
+	// idleTimeoutShare is the share of a replica's idle timeout after which a connection
+	// is not used any more: the replica may be about to close it.
 	idleTimeoutShare = 0.6
-	// defaultIdleTimeout is used where the replica tells none.
+	// defaultIdleTimeout is assumed if the replica sends no Keep-Alive header.
 	defaultIdleTimeout = 4 * time.Second
 )
 
 // upstreamConn is one connection to a replica. It carries one request at a time.
 //
-//	state     entered by                 left by
-//	resting   dial, or a whole answer    a request, a byte, a close, its age
+//	state     entered on                 left on
+//	idle      dial, or a whole answer    a request, a byte, a close, its age
 //	sending   a request                  the whole request written
 //	waiting   the request written        the head of its answer
 //	reading   the head                   the end of the body
 //
-// Only a connection whose request was written whole and whose answer was framed
-// and read to its end goes back to resting. In every other case it is closed:
-// what comes next on it could belong to anything.
+// Only a connection whose request was written completely and whose answer was framed and
+// read to its end becomes idle again. In every other case it is closed, as the next
+// bytes on it could belong to any request.
 type upstreamConn struct {
 	conn      net.Conn
 	r         *bufio.Reader
-	maxIdle   time.Duration // After which it is not used again.
-	idleSince time.Time     // Resting since.
+	maxIdle   time.Duration // Longest idle time after which it is used again.
+	idleSince time.Time
 }
 
 func dialUpstream(addr string) (*upstreamConn, error) {
@@ -60,13 +60,13 @@
 	}, nil
 }
 
-// usable says whether a resting connection may carry another request; bytes
-// that came while it rested belong to no request.
+// usable reports whether an idle connection may carry another request; bytes that came
+// while it was idle belong to no request.
 func (c *upstreamConn) usable(now time.Time, maxIdle time.Duration) bool {
 	return now.Sub(c.idleSince) < min(c.maxIdle, maxIdle) && c.r.Buffered() == 0 && http1.Idle(c.conn)
 }
 
-// readKeepAlive notes for how long the replica keeps a resting connection.
+// readKeepAlive sets maxIdle from the idle timeout in the Keep-Alive header.
 func (c *upstreamConn) readKeepAlive(h *http1.Head) {
 	for param := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(param), "timeout=")
@@ -79,18 +79,17 @@
 	}
 }
 
-func (c *upstreamConn) close() { _ = c.conn.Close() } // Nothing is left to be done with it.
+func (c *upstreamConn) close() { _ = c.conn.Close() } // Nothing more is sent or read.
 
-// errMismatched says that too many answers of other requests came first.
+// errMismatched means that too many answers to other requests came first.
 var errMismatched = errors.New("answers of other requests in the place of this one's")
 
-// maxMismatched is how many answers of other requests are read over. A replica
-// may send one twice, the second one late; more say that the connection is of no
-// use.
+// maxMismatched is how many answers to other requests are skipped. A replica may send
+// one twice, the second time late; more mean that the connection is unusable.
 const maxMismatched = 2
 
-// readAnswer reads the head of the answer to a request, past surplus answers of
-// earlier ones.
+// readAnswer reads the head of the answer to a request, skipping answers to other
+// requests; mismatched is set if there were any.
 func (c *upstreamConn) readAnswer(method, id string, codec Codec) (h *http1.Head, b *http1.Body, mismatched bool, err error) {
 	for range maxMismatched + 1 {
 		h, err = http1.ReadResponse(c.r, maxUpstreamHeadBytes)
@@ -98,7 +97,7 @@
 			return nil, nil, mismatched, unexpectedEOF(err)
 		}
 		if h.Status < 200 {
-			// Interim answers promise nothing.
+			// Interim responses don't mean that the request runs.
 			continue
 		}
 		b, err = http1.ResponseBody(h, method, c.r)
@@ -119,7 +118,7 @@
 	return nil, nil, mismatched, errMismatched
 }
 
-// unexpectedEOF turns an orderly end in place of an answer into an error.
+// unexpectedEOF turns the end of the connection in place of an answer into an error.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/service/gateway/upstream_conns.go
+++ b/service/gateway/upstream_conns.go
@@ -8,19 +8,19 @@
 	"github.com/drumpath/drumpath/pkg/boottime"
 )
 
-// upstreamConns keeps resting connections to replicas, by start of the replica.
+// upstreamConns pools idle connections to replicas, by ID of the replica.
 type upstreamConns struct {
 	mu     sync.Mutex
 	idle   map[string][]*upstreamConn
-	closed bool // None is kept any more.
+	closed bool // Connections are not pooled any more.
 }
 
 func newUpstreamConns() *upstreamConns {
 	return &upstreamConns{idle: map[string][]*upstreamConn{}}
 }
 
-// get returns the connection that rested shortest and at most for a time, or
-// dials one. The error says that no byte has left.
+// get returns the most recently used connection that has been idle for less than
+// maxIdle, or dials one. An error means that no byte was sent.
 func (u *upstreamConns) get(id string, addr netip.AddrPort, maxIdle time.Duration) (*upstreamConn, error) {
 	now := boottime.Now()
 	for {
@@ -47,7 +47,7 @@
 	return c
 }
 
-// put takes back a connection that may be used again.
+// put returns a connection that can be used again to the pool.
 func (u *upstreamConns) put(id string, c *upstreamConn) {
 	c.idleSince = boottime.Now()
 	u.mu.Lock()
@@ -59,8 +59,7 @@
 	u.idle[id] = append(u.idle[id], c)
 }
 
-// prune closes connections that have rested too long; the timer service calls
-// it.
+// prune closes connections that have been idle too long; the timer service calls it.
 func (u *upstreamConns) prune(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -80,8 +79,7 @@
 	}
 }
 
-// closeIdle closes the resting connections to a replica that can't be reached, and says how
-// many there were.
+// closeIdle closes the idle connections to a replica and returns how many there were.
 func (u *upstreamConns) closeIdle(id string) (closed int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -93,7 +91,7 @@
 	return closed
 }
 
-// closeAllIdle closes all resting connections, and says how many there were.
+// closeAllIdle closes all idle connections and returns how many there were.
 func (u *upstreamConns) closeAllIdle() (closed int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
