--- a/service/gateway/client_conn.go
+++ b/service/gateway/client_conn.go
@@ -116,16 +116,16 @@
 			return
 		case <-t.C:
 		}
-		if err := closeReason(c.conn); err != nil {
+		if err := connClosed(c.conn); err != nil {
 			onClose(err)
 			return
 		}
 	}
 }
 
-// closeReason is why a client's connection can't carry an answer any more, nil if it
+// connClosed returns why a client's connection can't carry an answer any more, nil if it
 // can.
-func closeReason(conn net.Conn) error {
+func connClosed(conn net.Conn) error {
 	closed, err := http1.PeerClosed(conn)
 	switch {
 	case err != nil:
@@ -177,7 +177,8 @@
 	return c.stateSince, c.state == connIdle && !c.endingIdle
 }
 
-// endIdle closes the connection if it is idle, and reports whether it is.
+// endIdle lets an idle connection's wait for a request time out, which closes it, and
+// reports whether the connection is idle.
 func (c *clientConn) endIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -220,7 +221,8 @@
 		http10:      head.Minor == 0,
 		shouldClose: func() bool { return clientCloses || c.g.stopping() },
 	}
-	_ = c.conn.SetWriteDeadline(boottime.Monotonic(receivedAt.Add(c.g.holdMost(&info) + writeGrace))) // If it fails, so does the next write.
+	// If it fails, so does the next write.
+	_ = c.conn.SetWriteDeadline(boottime.Monotonic(receivedAt.Add(c.g.holdMost(&info) + writeGrace)))
 	c.g.inFlight.Add(1)
 	defer c.g.inFlight.Add(-1)
 	ctx, cancel := context.WithCancelCause(context.Background())
--- a/service/gateway/dispatch.go
+++ b/service/gateway/dispatch.go
@@ -18,8 +18,9 @@
 	// fetchGrace is how much longer than expected a fetch may take; fetchTargetFactor is
 	// how many times the route's target it may take in all. It is best to wait for a
 	// fetch that is already late: recomputing the prompt after abandoning it finishes
-	// even later and takes the replica's time from other requests. With a factor of 0.7 instead, 82
-	// and 91 nodes lost 0.07 and 0.08 of worth (one day each), and nine gained 0.012.
+	// even later and takes the replica's time from other requests. With a factor of 0.7
+	// instead, 82 and 91 nodes lost 0.07 and 0.08 of worth (one day each), and nine
+	// gained 0.012.
 	fetchGrace        = 200 * time.Millisecond
 	fetchTargetFactor = 3.0
 )
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -134,7 +134,7 @@
 	if !x.g.synced() || boottime.Until(x.deadline) < minTimeLeft {
 		return true
 	}
-	if err := closeReason(x.out.conn); err != nil {
+	if err := connClosed(x.out.conn); err != nil {
 		x.cancel(err)
 	}
 	return ctx.Err() != nil
@@ -331,8 +331,8 @@
 // unavailableReasons are checked in order; a refusal names the first that holds for some
 // replica.
 var unavailableReasons = []struct {
-	why    route.Exclusion
-	reason string
+	exclusion route.Exclusion
+	reason    string
 }{
 	{route.ExcludedCold, reasonCold},
 	{route.ExcludedLimited, reasonLimited},
@@ -349,7 +349,7 @@
 		retry = availability.RetryAfter
 	}
 	for _, a := range unavailableReasons {
-		if availability.Excluded[a.why] > 0 {
+		if availability.Excluded[a.exclusion] > 0 {
 			return retryLater(a.reason, retry)
 		}
 	}
--- a/service/gateway/exchange_needs.go
+++ b/service/gateway/exchange_needs.go
@@ -60,23 +60,23 @@
 
 // newPickInput collects what the pool needs to know to pick a replica.
 func (x *exchange) newPickInput() route.PickInput {
-	n := route.PickInput{}
+	input := route.PickInput{}
 	if x.service.Engine == nil {
-		return n
+		return input
 	}
-	n.Model = x.info.Model
-	n.Tokens = x.info.PromptTokens()
-	n.Priority = x.priority()
-	n.Memory = n.Tokens + x.info.MaxTokens
-	n.Capacity = x.service.Engine.Capacity
+	input.Model = x.info.Model
+	input.Tokens = x.info.PromptTokens()
+	input.Priority = x.priority()
+	input.Memory = input.Tokens + x.info.MaxTokens
+	input.Capacity = x.service.Engine.Capacity
 	shared := x.info.Shared()
 	for _, p := range shared {
-		n.Shared += p.Tokens
+		input.Shared += p.Tokens
 	}
 	if len(shared) > 0 {
-		n.Affinity = xxhash.Sum64String(shared[len(shared)-1].ID)
+		input.Affinity = xxhash.Sum64String(shared[len(shared)-1].ID)
 	}
-	return n
+	return input
 }
 
 // lookUpCoverage finds how much of the prompt each replica holds or can fetch.
--- a/service/gateway/exchange_suspects.go
+++ b/service/gateway/exchange_suspects.go
@@ -101,9 +101,12 @@
 // silent, it does not dial, as that could take long.
 func (x *exchange) recordLostRun(ctx context.Context, a *attempt, err error, now time.Time) {
 	u := &a.choice.Upstream
-	silent := ctx.Err() != nil || isUnreachable(err) // The client left, the deadline passed, or the network path fell silent.
+	// The client left, the deadline passed, or the network path fell silent.
+	silent := ctx.Err() != nil || isUnreachable(err)
 	if !silent && !x.pool.IsActive(u.ID) {
-		return // It shut down as planned and cut its remaining answers, which is common for long ones.
+		// It shut down as planned and cut its remaining answers, which is common for
+		// long ones.
+		return
 	}
 	run := suspects.LostRun{
 		Content:   x.fingerprint(),
--- a/service/gateway/follow.go
+++ b/service/gateway/follow.go
@@ -38,8 +38,8 @@
 	// changes is no failure.
 	onFailure func(now time.Time)
 	// onAnswer is called after each call that succeeded, with the time when it was
-	// started.
-	onAnswer func(begun, now time.Time)
+	// started, unless the machine was suspended meanwhile.
+	onAnswer func(startedAt, now time.Time)
 	log      *slog.Logger
 
 	mu         sync.Mutex
@@ -57,7 +57,7 @@
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		suspendedBefore := boottime.Refresh()
-		begun := boottime.Now()
+		startedAt := boottime.Now()
 		call, longPoll, done := f.beginCall(ctx)
 		err := f.poll(call, longPoll)
 		interrupted := call.Err() != nil
@@ -68,7 +68,7 @@
 			// The answer may be from before the machine was suspended.
 		case err == nil:
 			f.recordSuccess(now)
-			f.onAnswer(begun, now)
+			f.onAnswer(startedAt, now)
 		case ctx.Err() != nil:
 			return
 		case interrupted: // The store is asked again at once.
--- a/service/gateway/follow_test.go
+++ b/service/gateway/follow_test.go
@@ -35,20 +35,20 @@
 // without a "store lost" in the twelve seconds before.
 func TestLostHistoryDoesNotCountAsUnreachableStore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	var away, whole atomic.Int64
+	var failures, listings atomic.Int64
 	f := &follower{
 		store: &lostHistoryStore{}, table: site.TableUpstreams, name: "upstreams", longPoll: readerHold,
 		apply: func(_ []site.Row, all bool, _ time.Time) {
-			if all && whole.Add(1) == 1 {
+			if all && listings.Add(1) == 1 {
 				time.AfterFunc(50*time.Millisecond, cancel)
 			}
 		},
-		onFailure: func(time.Time) { away.Add(1) },
+		onFailure: func(time.Time) { failures.Add(1) },
 		onAnswer:  func(_, _ time.Time) {},
 		log:       slog.New(slog.DiscardHandler),
 		version:   1, listed: true,
 	}
 	f.run(ctx)
-	assert.Equal(t, whole.Load(), int64(1))
-	assert.Equal(t, away.Load(), int64(0))
+	assert.Equal(t, listings.Load(), int64(1))
+	assert.Equal(t, failures.Load(), int64(0))
 }
--- a/service/gateway/links_test.go
+++ b/service/gateway/links_test.go
@@ -189,9 +189,9 @@
 // cause.
 func TestLinkRateIsSharedByAllConnections(t *testing.T) {
 	const (
-		mbit  = 10
-		total = 500_000
-		took  = total / (mbit * bytesPerMbit) * float64(time.Second)
+		mbit        = 10
+		total       = 500_000
+		minDuration = total / (mbit * bytesPerMbit) * float64(time.Second)
 	)
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -200,7 +200,7 @@
 	defer func() { _ = server.Close() }() // No longer needed.
 	near := newLink(mbit)
 	addr := l.connect(t, near, nil, server.Addr().(*net.TCPAddr).AddrPort())
-	begun := time.Now()
+	started := time.Now()
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() {
@@ -220,6 +220,6 @@
 		})
 	}
 	wg.Wait()
-	assert.Assert(t, float64(time.Since(begun)+2*maxLinkLag) > took, "%v", time.Since(begun))
+	assert.Assert(t, float64(time.Since(started)+2*maxLinkLag) > minDuration, "%v", time.Since(started))
 	assert.Equal(t, near.received.Load(), int64(total))
 }
--- a/service/gateway/queue.go
+++ b/service/gateway/queue.go
@@ -60,13 +60,13 @@
 // stepQueues admits prompts for which there is room and reports whether any still wait.
 func (g *Gateway) stepQueues() (waiting bool) {
 	g.queuesMu.Lock()
-	list := make([]*route.PromptQueue, 0, len(g.queues))
+	queues := make([]*route.PromptQueue, 0, len(g.queues))
 	for _, q := range g.queues {
-		list = append(list, q)
+		queues = append(queues, q)
 	}
 	g.queuesMu.Unlock()
 	now := boottime.Now()
-	for _, q := range list {
+	for _, q := range queues {
 		q.Step(now)
 		waiting = waiting || q.Len() > 0
 	}
@@ -166,6 +166,7 @@
 	return !ok || c.Wait <= time.Duration(share*float64(x.route.Target))
 }
 
+// overloaded is the answer to a prompt that the queue refused.
 func overloaded(err error) refusal {
 	retry := minQueueRetryAfter
 	var refused *route.RefusedError
--- a/service/gateway/silence_test.go
+++ b/service/gateway/silence_test.go
@@ -33,11 +33,11 @@
 // forEachSilentDirection runs a test for each direction in which a network path may
 // silently drop packets, and for both.
 func forEachSilentDirection(t *testing.T, test func(t *testing.T, silence func(*netproxy.Proxy))) {
-	for name, way := range map[string][2]bool{"to": {true, false}, "from": {false, true}, "both": {true, true}} {
+	for name, direction := range map[string][2]bool{"to": {true, false}, "from": {false, true}, "both": {true, true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			test(t, func(p *netproxy.Proxy) {
-				assert.Equal(t, p.Silence(way[0], way[1], func() bool { return true }), 1)
+				assert.Equal(t, p.Silence(direction[0], direction[1], func() bool { return true }), 1)
 			})
 		})
 	}
@@ -53,17 +53,17 @@
 	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		e := &tellingEngines{}
 		e.tell(part("a", 100))
-		teller := newTestHoldings(t, "n0", e)
-		p := serveBehindProxy(t, methodHeld, teller.serve)
-		told := holdingsSubscriber(t, p.Addr())
-		teller.refresh(t.Context())
-		told.refresh(t.Context())
-		eventually(t, "what is held is told on", func() bool { return told.holds("a") })
+		source := newTestHoldings(t, "n0", e)
+		p := serveBehindProxy(t, methodHeld, source.serve)
+		subscriber := holdingsSubscriber(t, p.Addr())
+		source.refresh(t.Context())
+		subscriber.refresh(t.Context())
+		eventually(t, "holdings are passed on", func() bool { return subscriber.holds("a") })
 		silence(p)
-		begun := time.Now()
+		started := time.Now()
 		e.tell(part("b", 100))
-		eventually(t, "changes are told on", func() bool { return told.holds("b") })
-		assert.Assert(t, time.Since(begun) < maxCallTime, "%v", time.Since(begun))
+		eventually(t, "changes are passed on", func() bool { return subscriber.holds("b") })
+		assert.Assert(t, time.Since(started) < maxCallTime, "%v", time.Since(started))
 	})
 }
 
@@ -72,12 +72,12 @@
 func holdingsSubscriber(t *testing.T, addr netip.AddrPort) *holdings {
 	for i := range 20 { // Find a name with which the node's source is not itself.
 		owner := control.Member{Name: "n0", DataHall: "h", State: control.MemberAlive, Peer: addr, Incarnation: 1}
-		told := newTestHoldings(t, fmt.Sprintf("told%d", i), nil, owner)
-		if from, ok := told.source("h"); ok && from == addr {
-			return told
+		subscriber := newTestHoldings(t, fmt.Sprintf("told%d", i), nil, owner)
+		if from, ok := subscriber.source("h"); ok && from == addr {
+			return subscriber
 		}
 	}
-	t.Fatal("each node tells itself")
+	t.Fatal("each node would be its own source")
 	return nil
 }
 
@@ -93,11 +93,11 @@
 		assert.NilError(t, err)
 		changes := func() {
 			t.Helper()
-			begun := time.Now()
+			started := time.Now()
 			l, err := h.asker.Changes(t.Context(), site.TableUpstreams, 1, readerHold)
 			assert.NilError(t, err)
 			assert.Equal(t, len(l.Rows), 1)
-			assert.Assert(t, time.Since(begun) < maxCallTime)
+			assert.Assert(t, time.Since(started) < maxCallTime)
 		}
 		changes()
 		silence(h.way)
@@ -114,22 +114,22 @@
 // goes silent, the next call must succeed.
 func TestStoreEventsResumeAfterConnectionGoesSilent(t *testing.T) {
 	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
-		follows := newWatchers(nil, control.Member{}, nil, nil)
+		source := newWatchers(nil, control.Member{}, nil, nil)
 		batch := site.CacheChanges{Boot: 1, Next: 10, Changes: []site.CacheChange{{Realm: "r", Part: "a", Tokens: 1}}}
-		follows.keep("s", 0, batch)
-		p := serveBehindProxy(t, methodEvents, follows.serve)
+		source.keep("s", 0, batch)
+		p := serveBehindProxy(t, methodEvents, source.serve)
 		self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1, Link: 10}
 		other := control.Member{Name: "n1", DataHall: "h", Incarnation: 1, Link: 200, Peer: p.Addr()}
 		m := control.NewMembers(self, time.Second, nil, newRand())
 		m.Merge([]control.Member{other}, time.Now())
 		client := peer.NewClient("key")
 		t.Cleanup(client.Close)
-		asks := newWatchers(nil, self, m, client)
+		subscriber := newWatchers(nil, self, m, client)
 		store := &site.Service{Name: "s", Store: &site.Store{MaxWatches: spareWatches + 1}}
 		ask := func() (site.CacheChanges, error) {
 			ctx, cancel := context.WithTimeout(t.Context(), maxCallTime)
 			defer cancel()
-			return asks.changes(ctx, store, 1, 0, eventWait)
+			return subscriber.changes(ctx, store, 1, 0, eventWait)
 		}
 		c, err := ask()
 		assert.NilError(t, err)
--- a/service/gateway/suspension.go
+++ b/service/gateway/suspension.go
@@ -26,8 +26,8 @@
 
 	mu      sync.Mutex
 	handled atomic.Int64 // Total of boottime.Refresh that has been handled, in nanoseconds.
-	// since is when the node found that its machine had been suspended, until it has heard
-	// from the store or from other nodes since; zero otherwise.
+	// since is when a suspension was detected, until the node has heard from the store or
+	// from other nodes after it; nil otherwise.
 	since    atomic.Pointer[time.Time]
 	answered map[site.Table]time.Time // Start of the last call that was answered.
 }
@@ -105,10 +105,10 @@
 }
 
 // recordAnswer records that a call for a table was answered, and when it was started.
-func (s *suspension) recordAnswer(t site.Table, begun time.Time) {
+func (s *suspension) recordAnswer(t site.Table, startedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answered[t] = begun
+	s.answered[t] = startedAt
 }
 
 // runEvery calls fn periodically, each time after checking for a suspension.
--- a/service/gateway/suspension_test.go
+++ b/service/gateway/suspension_test.go
@@ -99,25 +99,25 @@
 func TestFollowerPollsAtOnceAfterSuspension(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	calls := make(chan time.Duration, 10)
-	heard := make(chan time.Time, 10)
+	answered := make(chan time.Time, 10)
 	f := &follower{
 		store: longPollStore{calls}, table: site.TableOperator, longPoll: time.Hour, log: slog.New(slog.DiscardHandler),
 		apply:     func([]site.Row, bool, time.Time) {},
-		onFailure: func(time.Time) { t.Error("the store is not away") },
-		onAnswer:  func(begun, _ time.Time) { heard <- begun },
+		onFailure: func(time.Time) { t.Error("the store is reachable") },
+		onAnswer:  func(begun, _ time.Time) { answered <- begun },
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		f.run(ctx)
 	}()
-	<-heard // The whole table.
+	<-answered // The whole table.
 	assert.Equal(t, <-calls, time.Hour)
 	simulateSuspension(8 * time.Second)
-	woke := boottime.Now()
+	resumedAt := boottime.Now()
 	f.pollNow()
 	assert.Equal(t, <-calls, time.Duration(0))
-	assert.Assert(t, (<-heard).After(woke))
+	assert.Assert(t, (<-answered).After(resumedAt))
 	cancel()
 	<-done
 }
