--- a/service/gateway/attempt.go
+++ b/service/gateway/attempt.go
@@ -15,140 +15,144 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// fate is what is known of one attempt at a replica.
-type fate int
+// attemptResult is what is known about one attempt to send a request to a replica.
+type attemptResult int
 
-// Fates of attempts.
+// Results of attempts.
 const (
-	// fateUnsent: no byte has left, so it did not run.
-	fateUnsent fate = iota
-	// fateOver: no byte has left, as there is nobody to send it for any more.
-	fateOver
-	// fateWithdrawn: no byte has left, as the replica takes no request any more.
-	fateWithdrawn
-	// fateNotRun: the replica says that it did not run.
-	fateNotRun
-	// fateUnknown: it may have run.
-	fateUnknown
-	// fateAnswered: there is an answer.
-	fateAnswered
+	// resultUnsent: no connection could be made, so the request did not run.
+	resultUnsent attemptResult = iota
+	// resultAbandoned: nothing was sent because nobody waits for the answer any more.
+	resultAbandoned
+	// resultReplicaWithdrawn: nothing was sent because the replica no longer accepts
+	// requests.
+	resultReplicaWithdrawn
+	// resultNotRun: the replica answered that it did not run the request.
+	resultNotRun
+	// resultUnknown: the request may have run.
+	resultUnknown
+	// resultAnswered: the replica has begun an answer.
+	resultAnswered
 )
 
-// attempt is one try of a request at one replica.
+// attempt is one attempt to have a request served by one replica.
 type attempt struct {
-	conns   *upstreamConns
-	codec   Codec
-	choice  route.Choice
-	flight  *route.InFlightRequest
-	plan    *route.Plan
-	realm   string // Of the prompt's kept state.
-	begun   time.Time
-	took    time.Duration // To the first byte of the answer's body.
-	last    time.Time     // When bytes of the body came last.
-	longest time.Duration // Pause between them.
-	conn    *upstreamConn
-	stop    func() bool
-	// written is set once the whole request was handed to the connection.
-	written atomic.Bool
-	writing chan struct{}
-	crossed bool
-	// answered is set once the replica has given its whole answer.
+	conns          *upstreamConns
+	codec          Codec
+	choice         route.Choice
+	inFlight       *route.InFlightRequest
+	plan           *route.Plan
+	realm          string // Namespace of the prompt's cached state, see realmName.
+	startedAt      time.Time
+	firstByteAfter time.Duration // From startedAt to the first byte of the answer's body.
+	lastBytesAt    time.Time     // When bytes of the body last arrived.
+	longestPause   time.Duration // Longest time between two reads of the body.
+	conn           *upstreamConn
+	cancelAbort    func() bool // Keeps the end of the context from aborting conn.
+	// written is set once the whole request has been written to the connection.
+	written    atomic.Bool
+	writeDone  chan struct{} // Closed when write returns.
+	mismatched bool          // Answers to other requests came first.
+	// answered is set once the replica's whole answer has been read.
 	answered bool
 
-	head   *http1.Head
-	body   *http1.Body
-	answer site.ResponseInfo
+	head *http1.Head
+	body *http1.Body
+	info site.ResponseInfo
 }
 
-// newAttempt records that a request is about to be sent to a replica.
+// newAttempt counts the request as in flight at the chosen replica and returns the
+// attempt.
 func newAttempt(x *exchange, c route.Choice, p *route.Plan, now time.Time) *attempt {
 	return &attempt{
-		conns:   x.g.conns,
-		codec:   x.g.codec,
-		choice:  c,
-		flight:  x.pool.Begin(c, now),
-		plan:    p,
-		begun:   now,
-		writing: make(chan struct{}),
+		conns:     x.g.conns,
+		codec:     x.g.codec,
+		choice:    c,
+		inFlight:  x.pool.Begin(c, now),
+		plan:      p,
+		startedAt: now,
+		writeDone: make(chan struct{}),
 	}
 }
 
-// first records that the first byte of the answer has come.
-func (a *attempt) first(now time.Time) {
-	if a.took > 0 {
+// recordFirstByte records that the first byte of the answer's body has arrived.
+func (a *attempt) recordFirstByte(now time.Time) {
+	if a.firstByteAfter > 0 {
 		return
 	}
-	a.took = now.Sub(a.begun)
-	a.plan.FirstByte(a.flight.FirstByte(now), now)
+	a.firstByteAfter = now.Sub(a.startedAt)
+	a.plan.FirstByte(a.inFlight.FirstByte(now), now)
 }
 
-// gap notes the pause before bytes of a stream.
-func (a *attempt) gap(now time.Time) {
-	if !a.last.IsZero() {
-		a.longest = max(a.longest, now.Sub(a.last))
+// recordBodyBytes records the arrival of more of the body, to find the longest pause.
+func (a *attempt) recordBodyBytes(now time.Time) {
+	if !a.lastBytesAt.IsZero() {
+		a.longestPause = max(a.longestPause, now.Sub(a.lastBytesAt))
 	}
-	a.last = now
+	a.lastBytesAt = now
 }
 
-// end records how the attempt ended.
+// end records the outcome of the attempt.
 func (a *attempt) end(o route.Outcome, now time.Time) {
-	a.flight.End(o, now)
+	a.inFlight.End(o, now)
 }
 
-// begin sends a request to a replica and waits for the head of its answer. It
-// ends when ctx does.
-func (a *attempt) begin(ctx context.Context, x *exchange, d *site.Dispatch) (f fate, err error) {
-	rested := restedLong
+// sendRequest sends the request to the replica and waits for the head of its answer, at
+// most until ctx ends.
+func (a *attempt) sendRequest(ctx context.Context, x *exchange, d *site.Dispatch) (result attemptResult, err error) {
+	maxIdle := maxIdleRepeatable
 	if !x.route.Repeatable() {
-		rested = restedShort
+		maxIdle = maxIdleOnce
 	}
-	if a.conn, err = a.conns.take(a.choice.ID, a.choice.Addr, rested); err != nil {
-		return fateUnsent, err
+	if a.conn, err = a.conns.get(a.choice.ID, a.choice.Addr, maxIdle); err != nil {
+		return resultUnsent, err
 	}
 	conn := a.conn.conn
-	if x.over(ctx) { // A grant, or connecting, may have taken long.
+	if x.abandoned(ctx) { // Getting a grant or connecting may have taken long.
 		a.conn.close()
 		a.conn = nil
-		return fateOver, nil
+		return resultAbandoned, nil
 	}
 	if !x.pool.Accepts(&a.choice.Upstream, boottime.Now()) {
-		a.conns.give(a.choice.ID, a.conn)
+		a.conns.put(a.choice.ID, a.conn)
 		a.conn = nil
-		return fateWithdrawn, nil
+		return resultReplicaWithdrawn, nil
 	}
-	// It ends reads and writes, and what a replica has not yet taken does not reach it
-	// late.
-	a.stop = context.AfterFunc(ctx, func() { http1.Abort(conn) })
+	// Aborting ends reads and writes, and drops bytes that the replica has not received
+	// yet, so that they don't reach it late.
+	a.cancelAbort = context.AfterFunc(ctx, func() { http1.Abort(conn) })
 	length := http1.NoLength
 	if len(x.body) > 0 || x.head.Has("Content-Length") || x.head.Has("Transfer-Encoding") {
 		length = len(x.body)
 	}
 	message := http1.AppendRequest(nil, x.head.Method, x.head.Target, a.codec.UpstreamHeaders(x.head, d), length)
 	go a.write(message, x.body)
-	a.head, a.body, a.crossed, err = a.conn.readAnswer(x.head.Method, x.terms.ID, a.codec)
+	a.head, a.body, a.mismatched, err = a.conn.readAnswer(x.head.Method, x.info.ID, a.codec)
 	if err != nil {
-		a.discard()
-		return fateUnknown, err
+		a.closeConn()
+		return resultUnknown, err
 	}
-	a.answer = a.codec.ResponseInfo(a.head)
-	if a.answer.NotRun {
-		return fateNotRun, nil
+	a.info = a.codec.ResponseInfo(a.head)
+	if a.info.NotRun {
+		return resultNotRun, nil
 	}
-	return fateAnswered, nil
+	return resultAnswered, nil
 }
 
 const (
-	// restedLong and restedShort bound how long a connection may have rested. A
-	// replica may forget one early, and a request lost that way must not be
-	// sent again if it may run once only. At 1.5 s for those, 0.4 connections were
-	// made for each request; now 0.25 are, and no more requests are lost.
-	restedLong  = 10 * time.Second
-	restedShort = 6 * time.Second
+	// maxIdleRepeatable and maxIdleOnce bound how long a connection may have been idle
+	// before it is used again, for requests that may be repeated and for those that may
+	// run only once. A replica may close an idle connection early, and a request lost
+	// that way must not be sent again if it may run only once. At 1.5 s for those, 0.4
+	// connections were made per request; at 6 s it is 0.25, and no more requests are
+	// lost.
+	maxIdleRepeatable = 10 * time.Second
+	maxIdleOnce       = 6 * time.Second
 )
 
-// write sends the request; reading the answer notices when it fails.
+// write sends the request. It returns no error: reading the answer fails if writing did.
 func (a *attempt) write(message, body []byte) {
-	defer close(a.writing)
+	defer close(a.writeDone)
 	buffers := net.Buffers{message}
 	if len(body) > 0 {
 		buffers = append(buffers, body)
@@ -158,70 +162,71 @@
 	}
 }
 
-// finish gives the connection back if it may be used again, and closes it
-// otherwise.
-func (a *attempt) finish() {
+// releaseConn puts the connection back into the pool if it can be used again, and closes
+// it otherwise.
+func (a *attempt) releaseConn() {
 	if a.conn == nil {
 		return
 	}
-	stopped := a.stop()
-	last := a.head == nil || a.head.Close() || a.crossed || !a.body.Done() ||
+	notAborted := a.cancelAbort()
+	unusable := a.head == nil || a.head.Close() || a.mismatched || !a.body.Done() ||
 		a.body.Framing() == http1.FramingClose || !a.written.Load()
-	if last || !stopped {
-		a.discard()
+	if unusable || !notAborted {
+		a.closeConn()
 		return
 	}
-	a.conn.keepFrom(a.head)
-	a.conns.give(a.choice.ID, a.conn)
+	a.conn.readKeepAlive(a.head)
+	a.conns.put(a.choice.ID, a.conn)
 	a.conn = nil
 }
 
-// discard closes the connection, which also has the replica stop its work.
-func (a *attempt) discard() {
+// closeConn closes the connection, which also makes the replica stop working on the
+// request.
+func (a *attempt) closeConn() {
 	if a.conn == nil {
 		return
 	}
-	a.stop()
+	a.cancelAbort()
 	a.conn.close()
-	<-a.writing
+	<-a.writeDone
 	a.conn = nil
 }
 
-// lostPeer says whether an error shows that the replica can't be reached, as
-// against one that closed the connection.
-func lostPeer(err error) bool {
-	var timeout net.Error
-	return errors.As(err, &timeout) && timeout.Timeout() && !errors.Is(err, os.ErrDeadlineExceeded)
+// isUnreachable reports whether an error means that the replica can't be reached, rather
+// than that it closed the connection.
+func isUnreachable(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout() && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// silentLeast is for how long a replica must have said nothing on a connection that is
-// given up for those that rest to be given up with it. Most answers begin sooner, so
-// that slow ones cost few new connections.
-const silentLeast = time.Second
-
-// dropResting closes the resting connections to a replica from which an attempt that
-// ended had heard nothing for long: where a path has lost what was open on it, each of
-// them would cost another request its whole time.
-func (x *exchange) dropResting(a *attempt, now time.Time) {
-	heard := a.begun
-	if a.last.After(heard) {
-		heard = a.last
-	}
-	quiet := now.Sub(heard)
-	if quiet < silentLeast {
+// minSilence is how long a replica must have sent nothing on an abandoned connection for
+// its idle connections to be closed too. Most answers begin sooner, so slow ones cost
+// few new connections.
+const minSilence = time.Second
+
+// closeIdleAfterSilence closes the idle connections to a replica that had sent nothing
+// for a long time when an attempt ended. If the network path has silently dropped its
+// open connections, each idle one would cost another request all of its time.
+func (x *exchange) closeIdleAfterSilence(a *attempt, now time.Time) {
+	lastHeard := a.startedAt
+	if a.lastBytesAt.After(lastHeard) {
+		lastHeard = a.lastBytesAt
+	}
+	silence := now.Sub(lastHeard)
+	if silence < minSilence {
 		return
 	}
-	if n := x.g.conns.lost(a.choice.ID); n > 0 {
+	if n := x.g.conns.closeIdle(a.choice.ID); n > 0 {
 		x.g.metrics.dropped.Add(int64(n))
-		x.g.log.Warn("idle connections closed", "request", x.terms.ID, "replica", a.choice.ID, "quiet", quiet, "closed", n)
+		x.g.log.Warn("idle connections closed", "request", x.info.ID, "replica", a.choice.ID, "quiet", silence, "closed", n)
 	}
 }
 
-// readWhole reads a body that is answered whole.
-func (a *attempt) readWhole() ([]byte, error) { return http1.ReadAll(a.body, maxWhole) }
+// readBody reads the whole body of an answer that is not a stream.
+func (a *attempt) readBody() ([]byte, error) { return http1.ReadAll(a.body, maxAnswerBytes) }
 
-// maxWhole bounds a replica's answer that is not a stream, in bytes.
-const maxWhole = 32 << 20
+// maxAnswerBytes bounds a replica's answer that is not a stream.
+const maxAnswerBytes = 32 << 20
 
-// failedStatus says whether an answer is a failure of the replica's own.
-func failedStatus(status int) bool { return status >= http.StatusInternalServerError }
+// isServerError reports whether a status means that the replica itself failed.
+func isServerError(status int) bool { return status >= http.StatusInternalServerError }
--- a/service/gateway/engine_caches_test.go
+++ b/service/gateway/engine_caches_test.go
@@ -164,7 +164,7 @@
 	server.Handle(peer.RolePeer, methodCacheUpdates, relay.serve)
 	server.Start()
 	t.Cleanup(server.Close)
-	asker := toldBy(t, server.Addr())
+	asker := holdingsSubscriber(t, server.Addr())
 	relay.refresh(t.Context())
 	asker.refresh(t.Context())
 	eventually(t, "cached parts are passed on", func() bool { return asker.holds("a") })
--- a/service/gateway/exchange_suspects.go
+++ b/service/gateway/exchange_suspects.go
@@ -11,25 +11,27 @@
 	"github.com/drumpath/drumpath/service/suspects"
 )
 
-// watchedRetry is when to come back with a watched request while another of its kind is
-// under way: one that ends its replica does so within some hundred milliseconds.
-const watchedRetry = 500 * time.Millisecond
+// suspectRetryAfter is the Retry-After of a request with suspect content while another
+// one with the same content runs. Content that ends its replica does so within some
+// hundred milliseconds.
+const suspectRetryAfter = 500 * time.Millisecond
 
-// fingerprint names what the request asks and for whom. It is made only once, and only
-// for requests that need it.
+// fingerprint identifies the request's content and organisation. It is computed only
+// once, and only for requests that need it.
 func (x *exchange) fingerprint() site.Fingerprint {
-	if !x.hashed {
+	if !x.fingerprinted {
 		x.content = site.NewFingerprint(x.organisationName(), x.head.Method, x.head.Get("Host"), x.head.Target, x.body)
-		x.hashed = true
+		x.fingerprinted = true
 	}
 	return x.content
 }
 
-func (x *exchange) sketch() uint64 {
+// quickHash is a cheap, non-cryptographic hash of the same data as fingerprint.
+func (x *exchange) quickHash() uint64 {
 	return suspect.QuickHash(x.organisationName(), x.head.Method, x.head.Get("Host"), x.head.Target, x.body)
 }
 
-// organisationName is "" for a request without one.
+// organisationName returns "" for a request without an organisation.
 func (x *exchange) organisationName() string {
 	if x.organisation == nil {
 		return ""
@@ -37,76 +39,83 @@
 	return x.organisation.Name
 }
 
-// suspected judges the request by what is known of its content.
-func (x *exchange) suspected() suspect.Case {
+// suspectCase returns what is known about replicas that ended under the request's
+// content.
+func (x *exchange) suspectCase() suspect.Case {
 	if x.g.suspects.Empty() {
-		return suspect.Case{} // Nothing has to be hashed.
+		return suspect.Case{} // Skips the hashing.
 	}
 	return x.g.suspects.Case(x.fingerprint())
 }
 
-// blocked refuses a request under which replicas have ended. Without it each repeat ended
-// one more replica, 17 to 21 of 18 in 16 s; now three end.
-func (x *exchange) blocked() (f refusal, yes bool) {
-	c := x.suspected()
+// refusalIfBlocked refuses a request under which replicas have ended. Without it each
+// repeat ended one more replica: 17 to 21 of 18 in 16 s, where three end now.
+func (x *exchange) refusalIfBlocked() (f refusal, blocked bool) {
+	c := x.suspectCase()
 	if c.Verdict() != suspect.Blocked {
 		return f, false
 	}
-	x.g.log.Warn("request blocked", "request", x.terms.ID, "content", c.Content, "ends", len(c.Ends), "replicas", c.Replicas(), "attempts", x.ran)
-	if x.ran > 0 {
+	x.g.log.Warn("request blocked", "request", x.info.ID, "content", c.Content, "ends", len(c.Ends), "replicas", c.Replicas(), "attempts", x.mayHaveRun)
+	if x.mayHaveRun > 0 {
 		return refuse(http.StatusBadGateway, reasonEndsReplicas), true
 	}
 	return refuse(http.StatusBadRequest, reasonEndsReplicas), true
 }
 
-// cleared says whether the request may be sent to a replica now.
-func (x *exchange) cleared(ctx context.Context) (f refusal, ok bool) {
+// awaitClearance waits until the request may be sent to a replica; ok is false if it is
+// refused. A request with suspect content needs a grant to run.
+func (x *exchange) awaitClearance(ctx context.Context) (f refusal, ok bool) {
 	x.g.suspects.WaitLearned(ctx)
-	if f, yes := x.blocked(); yes {
+	if f, blocked := x.refusalIfBlocked(); blocked {
 		return f, false
 	}
-	c := x.suspected()
-	if c.Verdict() == suspect.Allowed || x.g.suspects.MayRun(ctx, c.Content, boottime.Until(x.limit)) {
-		x.watched = c.Verdict() != suspect.Allowed
+	c := x.suspectCase()
+	if c.Verdict() == suspect.Allowed || x.g.suspects.MayRun(ctx, c.Content, boottime.Until(x.deadline)) {
+		x.suspectRun = c.Verdict() != suspect.Allowed
 		return f, true
 	}
-	if x.ran > 0 {
-		return refuse(http.StatusBadGateway, reasonLost), false
+	if x.mayHaveRun > 0 {
+		return refuse(http.StatusBadGateway, reasonAnswerLost), false
 	}
-	return comeBack(reasonWatched, watchedRetry), false
+	return retryLater(reasonSuspected, suspectRetryAfter), false
 }
 
-// sent ends an attempt at a watched request: the next one is let run by whatever has been
-// heard of this one, or at once.
-func (x *exchange) sent(finished bool) {
-	if x.watched && !finished {
+// endSuspectRun ends an attempt. If it ran by a grant for suspect content and got no
+// whole answer, it gives the grant back, so that the next attempt need not wait for it
+// to expire.
+func (x *exchange) endSuspectRun(finished bool) {
+	if x.suspectRun && !finished {
 		x.g.suspects.EndRun(x.content)
 	}
-	x.watched = false
+	x.suspectRun = false
 }
 
-// finished notes that a replica ran the request to its end.
-func (x *exchange) finished(now time.Time) {
-	x.g.suspects.RecordFinish(x.sketch(), x.fingerprint, now)
+// recordFinish records that a replica finished the request.
+func (x *exchange) recordFinish(now time.Time) {
+	x.g.suspects.RecordFinish(x.quickHash(), x.fingerprint, now)
 }
 
-// lostRun notes that the answer to an attempt was lost while it may have run. Whether its
-// replica has ended a new connection tells, or else the attempts of others and the
-// platform's list. One whose connection fell silent is not asked: that could take long.
-func (x *exchange) lostRun(ctx context.Context, a *attempt, err error, now time.Time) {
+// recordLostRun records that the answer to an attempt was lost while the request may
+// have run. To find out whether the replica has ended, it dials a new connection;
+// failing that, other attempts and the platform's list tell. If the connection fell
+// silent, it does not dial, as that could take long.
+func (x *exchange) recordLostRun(ctx context.Context, a *attempt, err error, now time.Time) {
 	u := &a.choice.Upstream
-	silent := ctx.Err() != nil || lostPeer(err) // Its client left, its time was over, or the path fell silent.
+	// The client left, the deadline passed, or the network path fell silent.
+	silent := ctx.Err() != nil || isUnreachable(err)
 	if !silent && !x.pool.IsActive(u.ID) {
-		return // It left as planned, and cut what it still had: long answers meet that often.
+		// It shut down as planned and cut its remaining answers, which is common for
+		// long ones.
+		return
 	}
 	run := suspects.LostRun{
 		Content:   x.fingerprint(),
-		QuickHash: x.sketch(),
-		Request:   x.terms.ID,
+		QuickHash: x.quickHash(),
+		Request:   x.info.ID,
 		Replica:   u.ID,
 		StartKey:  suspects.StartKeyOf(u.ID, u.Started),
 		Addr:      u.Addr,
-		StartedAt: a.begun,
+		StartedAt: a.startedAt,
 		LostAt:    now,
 	}
 	if silent {
@@ -116,20 +125,20 @@
 	conn, err := dialUpstream(u.Addr.String())
 	switch {
 	case err == nil:
-		x.g.conns.give(u.ID, conn)
+		x.g.conns.put(u.ID, conn)
 		run.Reachable = true
 		x.g.suspects.RecordLostRun(run)
 	case suspects.NotListening(err):
-		x.lost(u, boottime.Now())
+		x.recordUnreachable(u, boottime.Now())
 		x.g.suspects.RecordEnd(run, boottime.Now())
 	default:
 		x.g.suspects.RecordLostRun(run)
 	}
 }
 
-// notReached notes that a replica took no connection.
-func (x *exchange) notReached(u *site.Upstream, err error, now time.Time) {
-	x.lost(u, now)
+// recordNotReached records that a replica accepted no connection.
+func (x *exchange) recordNotReached(u *site.Upstream, err error, now time.Time) {
+	x.recordUnreachable(u, now)
 	if suspects.NotListening(err) {
 		x.g.suspects.RecordNotListening(suspects.StartKeyOf(u.ID, u.Started), now)
 	}
--- a/service/gateway/links_test.go
+++ b/service/gateway/links_test.go
@@ -14,54 +14,54 @@
 )
 
 const (
-	// linkChunk is how many bytes pass a link at once, so that connections share
-	// it evenly: 3 ms of 10 Mbit/s.
-	linkChunk = 4 << 10
-	// linkBuffer bounds what a connection holds before the link, in bytes, so
-	// that a sender notices the link's rate.
-	linkBuffer = 64 << 10
-	// linkCatchUp is what a link makes up for when timers are late.
-	linkCatchUp = 10 * time.Millisecond
-	// bytesPerMbit turns Mbit/s into bytes a second.
+	// linkChunkBytes is how many bytes pass a link at once, so that connections share it
+	// evenly: 3 ms of 10 Mbit/s.
+	linkChunkBytes = 4 << 10
+	// linkBufferBytes bounds what a connection buffers before the link, so that a sender
+	// notices the link's rate.
+	linkBufferBytes = 64 << 10
+	// maxLinkLag is how much a link makes up for when timers are late.
+	maxLinkLag = 10 * time.Millisecond
+	// bytesPerMbit converts Mbit/s to bytes per second.
 	bytesPerMbit = 1e6 / 8
 )
 
-// link is how a node is connected; all its connections share the rate of each
+// link simulates a node's network link; all its connections share the rate of each
 // direction.
 type link struct {
-	in, out lane
-	// got is how many bytes have come in.
-	got atomic.Int64
-	// frozen links carry nothing more, though connections stay open and are
-	// accepted, as those of a process that is stopped.
+	in, out linkDirection
+	// received counts the bytes that have come in.
+	received atomic.Int64
+	// frozen links carry no more data, though connections stay open and are accepted,
+	// like those of a stopped process.
 	frozen atomic.Bool
 }
 
 func newLink(mbit float64) *link {
 	rate := mbit * bytesPerMbit
-	return &link{in: lane{rate: rate}, out: lane{rate: rate}}
+	return &link{in: linkDirection{rate: rate}, out: linkDirection{rate: rate}}
 }
 
-// lane is one direction of a link.
-type lane struct {
-	rate float64 // Bytes a second.
+// linkDirection is one direction of a link.
+type linkDirection struct {
+	rate float64 // Bytes per second.
 
-	mu   sync.Mutex
-	free time.Time // When all that was let in before has passed.
+	mu        sync.Mutex
+	busyUntil time.Time // When all bytes reserved so far have passed.
 }
 
-// pass lets n bytes in and returns when they are through.
-func (l *lane) pass(n int, now time.Time) time.Time {
+// reserve schedules n bytes and returns when they have passed.
+func (l *linkDirection) reserve(n int, now time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if late := now.Add(-linkCatchUp); l.free.Before(late) {
-		l.free = late
+	if late := now.Add(-maxLinkLag); l.busyUntil.Before(late) {
+		l.busyUntil = late
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
-	return l.free
+	l.busyUntil = l.busyUntil.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
+	return l.busyUntil
 }
 
-// links carries connections between nodes that have links.
+// links forwards connections between nodes that have links.
 type links struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -82,18 +82,18 @@
 	l.mu.Lock()
 	l.cancel()
 	for c := range l.open {
-		_ = c.Close() // What it carries ends.
+		_ = c.Close() // Its goroutine notices.
 	}
 	l.mu.Unlock()
 	l.wg.Wait()
 }
 
-// keep has Close close c; ok is false when that is over.
+// keep registers c to be closed by Close; ok is false if that has been called.
 func (l *links) keep(c io.Closer) (ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ctx.Err() != nil {
-		_ = c.Close() // Nobody has it.
+		_ = c.Close() // Nothing uses it yet.
 		return false
 	}
 	l.open[c] = struct{}{}
@@ -107,8 +107,8 @@
 	_ = c.Close() // Both ends see it.
 }
 
-// connect returns an address at which the node at the near link reaches a target
-// behind the far one; a link that is nil has no bound.
+// connect returns an address at which the node at the near link reaches a target behind
+// the far one; a nil link is unlimited.
 func (l *links) connect(t testing.TB, near, far *link, target netip.AddrPort) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,10 +123,10 @@
 			l.wg.Go(func() { l.join(conn, near, far, target) })
 		}
 	})
-	return ln.Addr().(*net.TCPAddr).AddrPort() // It listens on TCP.
+	return ln.Addr().(*net.TCPAddr).AddrPort() // It is a TCP listener.
 }
 
-// join carries one connection until either end closes it.
+// join forwards one connection until either end closes it.
 func (l *links) join(from net.Conn, near, far *link, target netip.AddrPort) {
 	to, err := net.Dial("tcp", target.String())
 	if err != nil {
@@ -134,7 +134,7 @@
 		return
 	}
 	for _, c := range []net.Conn{from, to} {
-		_ = c.(*net.TCPConn).SetReadBuffer(linkBuffer) // Only the sender's view depends on it.
+		_ = c.(*net.TCPConn).SetReadBuffer(linkBufferBytes) // Only the sender's view depends on it.
 		if !l.keep(c) {
 			return
 		}
@@ -145,11 +145,11 @@
 	both.Wait()
 }
 
-// carry copies what src sends at the pace of the sender's and the receiver's link.
+// carry copies what src sends at the rate of the sender's and the receiver's link.
 func (l *links) carry(dst, src net.Conn, sender, receiver *link) {
 	defer l.drop(src)
 	defer l.drop(dst)
-	buf := make([]byte, linkChunk)
+	buf := make([]byte, linkChunkBytes)
 	for {
 		n, err := src.Read(buf)
 		if err != nil || !l.pace(n, sender, receiver) {
@@ -166,10 +166,10 @@
 	now := time.Now()
 	due := now
 	if sender != nil {
-		due = sender.out.pass(n, now)
+		due = sender.out.reserve(n, now)
 	}
 	if receiver != nil {
-		if in := receiver.in.pass(n, now); in.After(due) {
+		if in := receiver.in.reserve(n, now); in.After(due) {
 			due = in
 		}
 	}
@@ -180,26 +180,27 @@
 		}
 	}
 	if receiver != nil {
-		receiver.got.Add(int64(n))
+		receiver.received.Add(int64(n))
 	}
 	return l.ctx.Err() == nil
 }
 
-// A link that lets more through than its rate would hide what narrow ones delay.
-func TestLinkKeepsItsRateForAllConnections(t *testing.T) {
+// A link that let more through than its rate would hide the delays that slow links
+// cause.
+func TestLinkRateIsSharedByAllConnections(t *testing.T) {
 	const (
-		mbit  = 10
-		total = 500_000
-		took  = total / (mbit * bytesPerMbit) * float64(time.Second)
+		mbit        = 10
+		total       = 500_000
+		minDuration = total / (mbit * bytesPerMbit) * float64(time.Second)
 	)
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	l := newLinks()
 	defer l.Close()
-	defer func() { _ = server.Close() }() // It has served.
+	defer func() { _ = server.Close() }() // No longer needed.
 	near := newLink(mbit)
 	addr := l.connect(t, near, nil, server.Addr().(*net.TCPAddr).AddrPort())
-	begun := time.Now()
+	started := time.Now()
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() {
@@ -219,6 +220,6 @@
 		})
 	}
 	wg.Wait()
-	assert.Assert(t, float64(time.Since(begun)+2*linkCatchUp) > took, "%v", time.Since(begun))
-	assert.Equal(t, near.got.Load(), int64(total))
+	assert.Assert(t, float64(time.Since(started)+2*maxLinkLag) > minDuration, "%v", time.Since(started))
+	assert.Equal(t, near.received.Load(), int64(total))
 }
--- a/service/gateway/queue.go
+++ b/service/gateway/queue.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// queueEvery is how often it is looked whether an engine has room for the
-	// first prompt that waits, beside each time that this node's own leave some.
-	queueEvery = 20 * time.Millisecond
-	// beginShare is the part of a route's target within which an engine must be
-	// expected to begin a prompt for it to be sent there.
-	beginShare = 0.25
-	// lateBeginShare is that for a prompt that can no longer be answered in good
-	// time: it is not to delay those that can, at other nodes too. The share grows
-	// to lateMostShare until the prompt's limit, so that it is served all the same.
-	lateBeginShare = 0.1
-	lateMostShare  = 0.5
-	// stopTime is for how long a prompt waits once the node has been told to stop:
-	// what is sent later may not end within the grace period.
-	stopTime = time.Second
-	// leastRetry is the least time after which a refused caller is to come back:
+	// queuePollInterval is how often the queues are checked for whether an engine has
+	// room for the first prompt, in addition to each time that one of this node's own
+	// prompts leaves.
+	queuePollInterval = 20 * time.Millisecond
+	// startWaitShare is the share of a route's target within which an engine must be
+	// expected to start a prompt for it to be sent there.
+	startWaitShare = 0.25
+	// lateStartWaitShare is the same for a prompt that can no longer meet its target: it
+	// must not delay prompts that can, also those of other nodes. The share grows to
+	// maxLateStartWaitShare at the prompt's deadline, so that it is served nevertheless.
+	lateStartWaitShare    = 0.1
+	maxLateStartWaitShare = 0.5
+	// queueTimeAfterStop is how long a prompt may wait once the node has been told to
+	// stop: one sent later might not finish within the grace period.
+	queueTimeAfterStop = time.Second
+	// minQueueRetryAfter is the least Retry-After of a full queue: a client that retries
 	// sooner would find the same queue.
-	leastRetry = 250 * time.Millisecond
+	minQueueRetryAfter = 250 * time.Millisecond
 )
 
-// promptQueue is the queue in front of a service of engines.
+// promptQueue returns the queue in front of a service of engines.
 func (g *Gateway) promptQueue(service string) *route.PromptQueue {
 	g.queuesMu.Lock()
 	defer g.queuesMu.Unlock()
@@ -41,8 +42,8 @@
 	return q
 }
 
-// runQueues looks at the queues again and again while prompts wait in them. On most
-// nodes none do most of the time, and need not be woken 50 times a second.
+// runQueues steps the queues periodically while prompts wait in them. On most nodes none
+// wait most of the time, and the node need not wake up 50 times a second.
 func (g *Gateway) runQueues(ctx context.Context) {
 	for {
 		select {
@@ -51,100 +52,100 @@
 		case <-g.queued:
 		}
 		for ctx.Err() == nil && g.stepQueues() {
-			sleep(ctx, queueEvery)
+			sleep(ctx, queuePollInterval)
 		}
 	}
 }
 
-// stepQueues lets in prompts for which there is room and says whether any still wait.
+// stepQueues admits prompts for which there is room and reports whether any still wait.
 func (g *Gateway) stepQueues() (waiting bool) {
 	g.queuesMu.Lock()
-	list := make([]*route.PromptQueue, 0, len(g.queues))
+	queues := make([]*route.PromptQueue, 0, len(g.queues))
 	for _, q := range g.queues {
-		list = append(list, q)
+		queues = append(queues, q)
 	}
 	g.queuesMu.Unlock()
 	now := boottime.Now()
-	for _, q := range list {
+	for _, q := range queues {
 		q.Step(now)
 		waiting = waiting || q.Len() > 0
 	}
 	return waiting
 }
 
-// enqueue waits until the prompt is let in; ok is false if it is refused.
+// enqueue waits until the prompt is admitted; ok is false if it is refused.
 func (x *exchange) enqueue(ctx context.Context) (f refusal, ok bool) {
-	if x.service.Engine == nil || x.need.Tokens == 0 || x.g.beliefs.without.PromptQueue {
+	if x.service.Engine == nil || x.pickInput.Tokens == 0 || x.g.beliefs.without.PromptQueue {
 		return refusal{}, true
 	}
 	now := boottime.Now()
-	own := x.ownTime(now)
-	x.lateFrom, x.sendBy = x.came.Add(x.route.LatencyTarget-own), x.limit.Add(-own)
-	ask := route.QueueRequest{
-		Cost:     float64(x.need.Tokens),
+	processing := x.processingTime(now)
+	x.lateAfter, x.sendBy = x.receivedAt.Add(x.route.LatencyTarget-processing), x.deadline.Add(-processing)
+	request := route.QueueRequest{
+		Cost:     float64(x.pickInput.Tokens),
 		Priority: x.priority(),
 		Deadline: x.sendBy,
-		Fits:     x.fits,
+		Fits:     x.canStartSoon,
 	}
 	if x.organisation != nil {
-		ask.Organisation = x.organisation.Name
+		request.Organisation = x.organisation.Name
 	}
-	w, err := x.g.promptQueue(x.service.Name).Enqueue(ask, now)
+	w, err := x.g.promptQueue(x.service.Name).Enqueue(request, now)
 	if err != nil {
 		return overloaded(err), false
 	}
-	x.place = w
-	select { // Most need no timers.
+	x.waiting = w
+	select { // Most prompts are admitted at once and need no timers.
 	case <-w.Ready():
-		return letIn(w)
+		return queueResult(w)
 	default:
 	}
-	return x.wait(ctx, w, now)
+	return x.waitInQueue(ctx, w, now)
 }
 
-// wait waits in the queue. Once the prompt can't be answered in good time any more it
-// gives way to those that can; when it can't be answered at all it is refused.
-func (x *exchange) wait(ctx context.Context, w *route.WaitingPrompt, now time.Time) (f refusal, ok bool) {
+// waitInQueue waits for admission. Once the prompt can no longer meet its target it
+// yields to those that can; when it can't be answered at all any more it is refused.
+func (x *exchange) waitInQueue(ctx context.Context, w *route.WaitingPrompt, now time.Time) (f refusal, ok bool) {
 	select {
 	case x.g.queued <- struct{}{}:
 	default:
 	}
-	lateTimer, limitTimer := time.NewTimer(x.lateFrom.Sub(now)), time.NewTimer(x.sendBy.Sub(now))
+	lateTimer, limitTimer := time.NewTimer(x.lateAfter.Sub(now)), time.NewTimer(x.sendBy.Sub(now))
 	defer lateTimer.Stop()
 	defer limitTimer.Stop()
 	stopped := x.g.stopped
 	for {
 		select {
 		case <-w.Ready():
-			return letIn(w)
+			return queueResult(w)
 		case <-stopped:
 			stopped = nil
-			limitTimer.Reset(min(stopTime, boottime.Until(x.sendBy)))
+			limitTimer.Reset(min(queueTimeAfterStop, boottime.Until(x.sendBy)))
 			continue
 		case <-ctx.Done():
 			w.Done(boottime.Now())
-			return x.outOfTime(), false
+			return x.deadlineRefusal(), false
 		case <-lateTimer.C:
 			w.MarkLate(boottime.Now())
 			continue
 		case <-limitTimer.C:
 		}
 		w.GiveUp(boottime.Now())
-		return letIn(w)
+		return queueResult(w)
 	}
 }
 
-// letIn says whether a prompt that waits no longer was let in.
-func letIn(w *route.WaitingPrompt) (f refusal, ok bool) {
+// queueResult returns whether a prompt that has left the queue was admitted.
+func queueResult(w *route.WaitingPrompt) (f refusal, ok bool) {
 	if err := w.Err(); err != nil {
 		return overloaded(err), false
 	}
 	return refusal{}, true
 }
 
-// ownTime is how long the prompt takes at an engine to its first token, without what
-// waits there before it; 0 if there is no engine for it.
-func (x *exchange) ownTime(now time.Time) time.Duration {
+// processingTime is how long an engine needs for the prompt's first token, without the
+// work queued there before it; 0 if there is no engine.
+func (x *exchange) processingTime(now time.Time) time.Duration {
 	c, ok := x.pick(now)
 	if !ok {
 		return 0
@@ -152,30 +153,32 @@
 	return c.Expected - c.Wait
 }
 
-// fits says whether an engine is expected to begin the prompt soon. Where there is no
-// engine at all it says so too: the attempt finds out, and the caller is told at once.
-func (x *exchange) fits(late bool, now time.Time) bool {
+// canStartSoon reports whether an engine is expected to start the prompt soon. It is
+// also true if there is no engine at all: the attempt then fails and the client is told
+// at once.
+func (x *exchange) canStartSoon(late bool, now time.Time) bool {
 	c, ok := x.pick(now)
-	share := beginShare
+	share := startWaitShare
 	if late {
-		past := float64(now.Sub(x.lateFrom)) / float64(max(1, x.sendBy.Sub(x.lateFrom)))
-		share = lateBeginShare + past*(lateMostShare-lateBeginShare)
+		elapsed := float64(now.Sub(x.lateAfter)) / float64(max(1, x.sendBy.Sub(x.lateAfter)))
+		share = lateStartWaitShare + elapsed*(maxLateStartWaitShare-lateStartWaitShare)
 	}
 	return !ok || c.Wait <= time.Duration(share*float64(x.route.LatencyTarget))
 }
 
+// overloaded is the answer to a prompt that the queue refused.
 func overloaded(err error) refusal {
-	retry := leastRetry
+	retry := minQueueRetryAfter
 	var refused *route.RefusedError
 	if errors.As(err, &refused) {
 		retry = max(retry, refused.RetryAfter)
 	}
-	return comeBack(reasonOverloaded, retry)
+	return retryLater(reasonOverloaded, retry)
 }
 
-// leaveQueue lets the next prompt be looked at: this one has been sent, or is over.
+// leaveQueue frees the prompt's place: it has been sent, or the request has ended.
 func (x *exchange) leaveQueue(now time.Time) {
-	if x.place != nil {
-		x.place.Done(now)
+	if x.waiting != nil {
+		x.waiting.Done(now)
 	}
 }
--- a/service/gateway/readers.go
+++ b/service/gateway/readers.go
@@ -264,7 +264,7 @@
 		return l, err
 	}
 	// The response may have arrived before the machine was suspended; then it is not recent.
-	r.apply(q, l, boottime.Refresh()-before < leastSuspension)
+	r.apply(q, l, boottime.Refresh()-before < minSuspension)
 	r.logRows(q, l, sourceStore, begun)
 	return l, nil
 }
--- a/service/gateway/readers_bench_test.go
+++ b/service/gateway/readers_bench_test.go
@@ -75,5 +75,5 @@
 		assert.Equal(b, len(got.Rows[0].Value), len(value))
 		version = row.Version
 	}
-	b.ReportMetric(float64(link.got.Load())/float64(b.N), "link-B/op")
+	b.ReportMetric(float64(link.received.Load())/float64(b.N), "link-B/op")
 }
--- a/service/gateway/relay.go
+++ b/service/gateway/relay.go
@@ -11,79 +11,78 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// relay passes a stream of events on to the client.
+// relay passes a stream of server-sent events on to the client.
 //
-// Only whole events are passed on, each as soon as its end has come, so that a
-// stream can go on from another replica behind the last of them. The head and
-// the first event go out together: until then the request may still be tried
-// elsewhere.
+// Only whole events are passed on, each as soon as it is complete, so that another
+// replica can resume the stream after the last of them. The head and the first event are
+// sent together: until then the request may still be tried elsewhere.
 type relay struct {
 	out    *clientWriter
-	head   *http1.Head // Of the first replica's answer.
-	lastID string      // Of the last event that was passed on.
-	// held are bytes of an event whose end has not come.
-	held []byte
+	head   *http1.Head // Head of the first replica's answer.
+	lastID string      // ID of the last event that was passed on.
+	// partial is the beginning of an event that is not complete yet.
+	partial []byte
 }
 
-// Sizes of relaying, in bytes.
+// Sizes in bytes.
 const (
-	relayBuffer = 8 << 10
-	// maxEvent is the largest event that is held back; a larger one is passed
-	// on in pieces.
-	maxEvent = 256 << 10
+	relayBufferSize = 8 << 10
+	// maxEventBytes is the largest event that is buffered; a larger one is passed on in
+	// pieces.
+	maxEventBytes = 256 << 10
 )
 
-// takeStream passes a replica's stream on. If it breaks off, a resumable one
-// goes on elsewhere.
-func (x *exchange) takeStream(ctx context.Context, a *attempt) (bool, refusal) {
+// relayStream passes a replica's stream on. If it breaks off and may be repeated,
+// another replica resumes it.
+func (x *exchange) relayStream(ctx context.Context, a *attempt) (bool, refusal) {
 	first := x.stream == nil
 	r := x.stream
 	if first {
 		r = &relay{out: x.out, head: a.head}
 	}
-	r.held = nil
+	r.partial = nil
 	err := x.copyEvents(r, a)
 	now := boottime.Now()
-	if x.out.begun {
+	if x.out.started {
 		x.stream = r
 	}
 	if err == nil {
 		a.end(route.OutcomeOK, now)
 		a.answered = true
-		x.finished(now)
+		x.recordFinish(now)
 		r.finish()
 		x.logAnswer(a, now)
 		return false, refusal{}
 	}
-	a.end(x.outcomeOf(ctx), now)
-	x.lostRun(ctx, a, err, now)
+	a.end(x.outcomeOfFailure(ctx), now)
+	x.recordLostRun(ctx, a, err, now)
 	if ctx.Err() != nil {
-		x.dropResting(a, now)
-		return false, x.outOfTime()
+		x.closeIdleAfterSilence(a, now)
+		return false, x.deadlineRefusal()
 	}
 	if x.out.failed {
 		return false, refusal{}
 	}
-	x.g.log.Warn("stream broke off", "request", x.terms.ID, "content", x.fingerprint(), "replica", a.choice.ID, "last_event", r.lastID, "err", err)
-	return x.repeat(a.choice.ID, now)
+	x.g.log.Warn("stream broke off", "request", x.info.ID, "content", x.fingerprint(), "replica", a.choice.ID, "last_event", r.lastID, "err", err)
+	return x.mayRepeat(a.choice.ID, now)
 }
 
-// copyEvents passes events on until the stream's end, which it returns nil for.
+// copyEvents passes events on until the end of the stream, for which it returns nil.
 func (x *exchange) copyEvents(r *relay, a *attempt) error {
-	buf := make([]byte, relayBuffer)
+	buf := make([]byte, relayBufferSize)
 	for {
 		n, err := a.body.Read(buf)
 		if n > 0 {
 			now := boottime.Now()
-			x.first(a, now)
-			a.gap(now)
-			r.take(buf[:n])
+			x.recordFirstByte(a, now)
+			a.recordBodyBytes(now)
+			r.write(buf[:n])
 		}
 		switch {
 		case x.out.failed:
 			return errClientLeft
-		case err == io.EOF && a.body.Framing() == http1.FramingClose && len(r.held) > 0:
-			// It ended inside an event, so the connection was cut.
+		case err == io.EOF && a.body.Framing() == http1.FramingClose && len(r.partial) > 0:
+			// The stream ended inside an event, so the connection was lost.
 			return http1.ErrBodyTruncated
 		case err == io.EOF:
 			return nil
@@ -93,26 +92,26 @@
 	}
 }
 
-// take passes on the events that are whole with these bytes.
-func (r *relay) take(b []byte) {
-	r.held = append(r.held, b...)
-	end := lastEventEnd(r.held)
-	if end == 0 && len(r.held) > maxEvent {
-		end = len(r.held)
+// write passes on the events that are complete with these bytes.
+func (r *relay) write(b []byte) {
+	r.partial = append(r.partial, b...)
+	end := lastEventEnd(r.partial)
+	if end == 0 && len(r.partial) > maxEventBytes {
+		end = len(r.partial)
 	}
 	if end == 0 {
 		return
 	}
-	events := r.skipKnown(r.held[:end])
+	events := r.skipRepeated(r.partial[:end])
 	if len(events) > 0 {
-		r.pass(events)
+		r.send(events)
 	}
-	r.held = append([]byte(nil), r.held[end:]...)
+	r.partial = append([]byte(nil), r.partial[end:]...)
 }
 
-// skipKnown drops events at the front that were passed on before: a replica may
-// send some of them again when a stream goes on.
-func (r *relay) skipKnown(events []byte) []byte {
+// skipRepeated drops events at the front that were passed on before: a replica that
+// resumes a stream may send some of them again.
+func (r *relay) skipRepeated(events []byte) []byte {
 	for len(events) > 0 && r.lastID != "" {
 		end := firstEventEnd(events)
 		if end == 0 || !notAfter(eventID(events[:end]), r.lastID) {
@@ -123,43 +122,43 @@
 	return events
 }
 
-// notAfter says whether an event's number is known not to be behind another's.
+// notAfter reports whether an event's number is known to be at most that of another.
 func notAfter(id, last string) bool {
 	a, errA := strconv.ParseInt(id, 10, 64)
 	b, errB := strconv.ParseInt(last, 10, 64)
 	return errA == nil && errB == nil && a <= b
 }
 
-func (r *relay) pass(events []byte) {
+func (r *relay) send(events []byte) {
 	if id := lastEventID(events); id != "" {
 		r.lastID = id
 	}
-	if !r.out.begun {
-		r.out.begin(r.head.Status, r.head.EndToEnd(), events)
+	if !r.out.started {
+		r.out.startStream(r.head.Status, r.head.EndToEnd(), events)
 		return
 	}
-	r.out.more(events)
+	r.out.writeMore(events)
 }
 
-// finish ends the stream, with what is held.
+// finish ends the stream, with what is buffered.
 func (r *relay) finish() {
-	if len(r.held) > 0 {
-		r.pass(r.held)
-		r.held = nil
+	if len(r.partial) > 0 {
+		r.send(r.partial)
+		r.partial = nil
 	}
-	if !r.out.begun {
-		r.out.begin(r.head.Status, r.head.EndToEnd(), nil)
+	if !r.out.started {
+		r.out.startStream(r.head.Status, r.head.EndToEnd(), nil)
 	}
-	r.out.end()
+	r.out.endStream()
 }
 
-// eventEnds are the blank lines that end an event.
-var eventEnds = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
+// eventSeparators are the blank lines that end an event.
+var eventSeparators = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
-// lastEventEnd is where the last whole event ends, 0 if there is none.
+// lastEventEnd returns where the last complete event ends, 0 if there is none.
 func lastEventEnd(b []byte) int {
 	end := 0
-	for _, sep := range eventEnds {
+	for _, sep := range eventSeparators {
 		if i := bytes.LastIndex(b, sep); i >= 0 {
 			end = max(end, i+len(sep))
 		}
@@ -167,10 +166,10 @@
 	return end
 }
 
-// firstEventEnd is where the first event ends, 0 if it is not whole.
+// firstEventEnd returns where the first event ends, 0 if it is not complete.
 func firstEventEnd(b []byte) int {
 	end := 0
-	for _, sep := range eventEnds {
+	for _, sep := range eventSeparators {
 		if i := bytes.Index(b, sep); i >= 0 && (end == 0 || i+len(sep) < end) {
 			end = i + len(sep)
 		}
@@ -178,7 +177,7 @@
 	return end
 }
 
-// eventID is the id of an event, "" if it has none.
+// eventID returns the ID of an event, "" if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -188,7 +187,7 @@
 	return ""
 }
 
-// lastEventID is the id of the last event that has one.
+// lastEventID returns the ID of the last event that has one.
 func lastEventID(events []byte) string {
 	id := ""
 	for line := range bytes.SplitSeq(events, []byte("\n")) {
--- a/service/gateway/silence_test.go
+++ b/service/gateway/silence_test.go
@@ -16,8 +16,9 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// serveBehind serves a method between nodes; it is reached through the proxy only.
-func serveBehind(t *testing.T, method string, fn peer.HandlerFunc) *netproxy.Proxy {
+// serveBehindProxy serves a method between nodes that can be reached only through the
+// proxy.
+func serveBehindProxy(t *testing.T, method string, fn peer.HandlerFunc) *netproxy.Proxy {
 	server, err := peer.NewServer(netip.MustParseAddrPort("127.0.0.1:0"), map[peer.Role]string{peer.RolePeer: "key"}, slog.New(slog.DiscardHandler))
 	assert.NilError(t, err)
 	server.Handle(peer.RolePeer, method, fn)
@@ -29,60 +30,61 @@
 	return p
 }
 
-// eachWay runs a test for each way in which a path may lose what is on it.
-func eachWay(t *testing.T, test func(t *testing.T, silence func(*netproxy.Proxy))) {
-	for name, way := range map[string][2]bool{"to": {true, false}, "from": {false, true}, "both": {true, true}} {
+// forEachSilentDirection runs a test for each direction in which a network path may
+// silently drop packets, and for both.
+func forEachSilentDirection(t *testing.T, test func(t *testing.T, silence func(*netproxy.Proxy))) {
+	for name, direction := range map[string][2]bool{"to": {true, false}, "from": {false, true}, "both": {true, true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			test(t, func(p *netproxy.Proxy) {
-				assert.Equal(t, p.Silence(way[0], way[1], func() bool { return true }), 1)
+				assert.Equal(t, p.Silence(direction[0], direction[1], func() bool { return true }), 1)
 			})
 		})
 	}
 }
 
-// callTime is by when a call that is held by another node for a second must have ended
-// once its connection is silent, and one on a new connection have been answered, with
-// 3 s for a machine that has other things to do.
-const callTime = cachePollWait + answerSlack + cachePollRetry + 3*time.Second
+// maxCallTime is enough for a held call to time out on a silent connection and be
+// answered on a new one, plus 3 s for a busy machine.
+const maxCallTime = cachePollWait + answerSlack + cachePollRetry + 3*time.Second
 
-// What engines hold is told on one connection between two nodes. After it went silent,
-// the node that was told had nothing of that hall's engines for good.
-func TestTellerIsHeardAgainAfterItsConnectionWentSilent(t *testing.T) {
-	eachWay(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
+// What engines hold is sent over one connection between two nodes. After it had gone
+// silent, the receiving node had no data about the data hall's engines for good.
+func TestHoldingsResumeAfterConnectionGoesSilent(t *testing.T) {
+	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		e := &fakeEngine{}
 		e.add(part("a", 100))
-		teller := newTestCacheFollower(t, "n0", e)
-		p := serveBehind(t, methodCacheUpdates, teller.serve)
-		told := toldBy(t, p.Addr())
-		teller.refresh(t.Context())
-		told.refresh(t.Context())
-		eventually(t, "what is held is told on", func() bool { return told.holds("a") })
+		source := newTestCacheFollower(t, "n0", e)
+		p := serveBehindProxy(t, methodCacheUpdates, source.serve)
+		subscriber := holdingsSubscriber(t, p.Addr())
+		source.refresh(t.Context())
+		subscriber.refresh(t.Context())
+		eventually(t, "holdings are passed on", func() bool { return subscriber.holds("a") })
 		silence(p)
-		begun := time.Now()
+		started := time.Now()
 		e.add(part("b", 100))
-		eventually(t, "changes are told on", func() bool { return told.holds("b") })
-		assert.Assert(t, time.Since(begun) < callTime, "%v", time.Since(begun))
+		eventually(t, "changes are passed on", func() bool { return subscriber.holds("b") })
+		assert.Assert(t, time.Since(started) < maxCallTime, "%v", time.Since(started))
 	})
 }
 
-// toldBy returns a node that is told what engines hold by the node at addr.
-func toldBy(t *testing.T, addr netip.AddrPort) *engineCacheFollower {
-	for i := range 20 { // Find a name for which the teller is not the node itself.
+// holdingsSubscriber returns a node that receives what engines hold from the node at
+// addr.
+func holdingsSubscriber(t *testing.T, addr netip.AddrPort) *engineCacheFollower {
+	for i := range 20 { // Find a name with which the node's source is not itself.
 		owner := control.Member{Name: "n0", DataHall: "h", State: control.MemberAlive, Peer: addr, Incarnation: 1}
-		told := newTestCacheFollower(t, fmt.Sprintf("told%d", i), nil, owner)
-		if from, ok := told.source("h"); ok && from == addr {
-			return told
+		subscriber := newTestCacheFollower(t, fmt.Sprintf("told%d", i), nil, owner)
+		if from, ok := subscriber.source("h"); ok && from == addr {
+			return subscriber
 		}
 	}
-	t.Fatal("each node tells itself")
+	t.Fatal("each node would be its own source")
 	return nil
 }
 
-// A reader's connection went silent: the store is asked instead, and the reader again
-// once it is no longer passed over.
-func TestReaderIsAskedAgainAfterItsConnectionWentSilent(t *testing.T) {
-	eachWay(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
+// After a reader's connection goes silent the store is asked instead, and then the
+// reader again once it is trusted again.
+func TestReaderIsUsedAgainAfterConnectionGoesSilent(t *testing.T) {
+	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		h := newTestHall(t)
 		h.store.add("a")
 		h.readStore(t)
@@ -91,11 +93,11 @@
 		assert.NilError(t, err)
 		changes := func() {
 			t.Helper()
-			begun := time.Now()
+			started := time.Now()
 			l, err := h.asker.Changes(t.Context(), site.TableUpstreams, 1, storePollWait)
 			assert.NilError(t, err)
 			assert.Equal(t, len(l.Rows), 1)
-			assert.Assert(t, time.Since(begun) < callTime)
+			assert.Assert(t, time.Since(started) < maxCallTime)
 		}
 		changes()
 		silence(h.proxy)
@@ -108,25 +110,26 @@
 	})
 }
 
-// A store's events are told on by the node that follows it.
-func TestWatcherIsHeardAgainAfterItsConnectionWentSilent(t *testing.T) {
-	eachWay(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
-		follows := newStoreEventRelay(nil, control.Member{}, nil, nil)
+// Another node that follows a store passes its events on. After the connection to it
+// goes silent, the next call must succeed.
+func TestStoreEventsResumeAfterConnectionGoesSilent(t *testing.T) {
+	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
+		source := newStoreEventRelay(nil, control.Member{}, nil, nil)
 		batch := site.CacheChanges{Boot: 1, Next: 10, Changes: []site.CacheChange{{Realm: "r", Part: "a", Tokens: 1}}}
-		follows.record("s", 0, batch)
-		p := serveBehind(t, methodStoreEvents, follows.serve)
+		source.record("s", 0, batch)
+		p := serveBehindProxy(t, methodStoreEvents, source.serve)
 		self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1, Link: 10}
 		other := control.Member{Name: "n1", DataHall: "h", Incarnation: 1, Link: 200, Peer: p.Addr()}
 		m := control.NewMembers(self, time.Second, nil, newRand())
 		m.Merge([]control.Member{other}, time.Now())
 		client := peer.NewClient("key")
 		t.Cleanup(client.Close)
-		asks := newStoreEventRelay(nil, self, m, client)
+		subscriber := newStoreEventRelay(nil, self, m, client)
 		store := &site.Service{Name: "s", Store: &site.Store{MaxWatches: spareWatches + 1}}
 		ask := func() (site.CacheChanges, error) {
-			ctx, cancel := context.WithTimeout(t.Context(), callTime)
+			ctx, cancel := context.WithTimeout(t.Context(), maxCallTime)
 			defer cancel()
-			return asks.changes(ctx, store, 1, 0, eventPollWait)
+			return subscriber.changes(ctx, store, 1, 0, eventPollWait)
 		}
 		c, err := ask()
 		assert.NilError(t, err)
--- a/service/gateway/stores.go
+++ b/service/gateway/stores.go
@@ -295,7 +295,7 @@
 // replaced reports whether KV cache of a realm will not be used again: newer weights were
 // named long enough ago that no replica has the old ones and no fetch for them is in flight.
 func (s *kvStoreFollower) replaced(realm string, now time.Time) bool {
-	model, version, ok := weightsOf(realm)
+	model, version, ok := parseRealm(realm)
 	if !ok {
 		return false
 	}
@@ -315,4 +315,4 @@
 
 // replacedTerm is twice the longest fetch, plus a margin for nodes that hear of new weights
 // late.
-const replacedTerm = 2*fetchTerm + time.Second
+const replacedTerm = 2*maxFetchTimeout + time.Second
--- a/service/gateway/suspension.go
+++ b/service/gateway/suspension.go
@@ -12,106 +12,109 @@
 )
 
 const (
-	// leastSuspension is from how long on a suspension of the machine has the node hear
-	// anew what holds: shorter ones age what it knows by less than news are late.
-	leastSuspension = 100 * time.Millisecond
-	// wakeMost bounds for how long a node waits for that. Where nobody tells it, what it
-	// knows is as good as where the store is away.
-	wakeMost = 2 * time.Second
+	// minSuspension is the shortest suspension of the machine after which the node syncs
+	// again: shorter ones age its state by less than updates are delayed anyway.
+	minSuspension = 100 * time.Millisecond
+	// maxResyncWait bounds how long a node waits to be synced again. If nothing answers,
+	// its state is as good as while the store is unreachable.
+	maxResyncWait = 2 * time.Second
 )
 
-// suspension is what a node knows of suspensions of its machine.
+// suspension tracks suspensions of the node's machine.
 type suspension struct {
-	count atomic.Int64
+	count atomic.Int64 // For metrics.
 
 	mu      sync.Mutex
-	handled atomic.Int64 // Of boottime.Refresh, in nanoseconds.
-	// since is when the node found that its machine had been suspended, until it has heard
-	// from the store or from other nodes since; zero otherwise.
-	since atomic.Pointer[time.Time]
-	heard map[site.Table]time.Time
+	handled atomic.Int64 // Total of boottime.Refresh that has been handled, in nanoseconds.
+	// since is when a suspension was detected, until the node has heard from the store or
+	// from other nodes after it; nil otherwise.
+	since    atomic.Pointer[time.Time]
+	answered map[site.Table]time.Time // Start of the last call that was answered.
 }
 
 func newSuspension() *suspension {
-	s := &suspension{heard: map[site.Table]time.Time{}}
+	s := &suspension{answered: map[site.Table]time.Time{}}
 	s.handled.Store(int64(boottime.Refresh()))
 	return s
 }
 
-// look finds out whether the machine has been suspended. Whatever acts on what the node
-// knows looks first, so that it is found at the next decision and not at the next tick.
-func (g *Gateway) look() {
+// checkSuspension detects whether the machine has been suspended. It is called before
+// every decision by the node's state, so that a suspension is noticed then and not at
+// the next timer tick.
+func (g *Gateway) checkSuspension() {
 	total := boottime.Refresh()
 	s := g.suspension
-	if total-time.Duration(s.handled.Load()) < leastSuspension {
+	if total-time.Duration(s.handled.Load()) < minSuspension {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := total - time.Duration(s.handled.Load())
-	if d < leastSuspension {
-		return // Another has found it meanwhile.
+	suspended := total - time.Duration(s.handled.Load())
+	if suspended < minSuspension {
+		return // Another goroutine has handled it.
 	}
 	now := boottime.Now()
 	s.since.Store(&now)
 	s.count.Add(1)
-	g.wake(d)
+	g.resetAfterSuspension(suspended)
 	s.handled.Store(int64(total))
 }
 
-// wake drops what a suspended machine may have missed. What is only remembered with its age
-// is as old as it is by boottime.Now: leases, loads, clocks, budgets.
-func (g *Gateway) wake(d time.Duration) {
-	resting := g.conns.lostAll()
+// resetAfterSuspension drops state that a suspended machine may have missed changes of.
+// State that is kept with its age, such as leases, loads, clocks and budgets, ages by
+// boottime.Now, which includes the suspension.
+func (g *Gateway) resetAfterSuspension(suspended time.Duration) {
+	closed := g.conns.closeAllIdle()
 	for _, f := range g.followers {
-		f.wake()
+		f.pollNow()
 	}
 	stores := g.stores.restart()
 	g.holdings.restart()
-	g.log.Warn("machine was suspended", "node", g.conf().Node.Name, "for", d, "in_flight", g.inFlight.Load(),
-		"resting", resting, "stores", stores)
+	g.log.Warn("machine was suspended", "node", g.conf().Node.Name, "for", suspended, "in_flight", g.inFlight.Load(),
+		"resting", closed, "stores", stores)
 }
 
-// awake says whether the node has heard what holds since its machine was last suspended.
-func (g *Gateway) awake() bool {
+// synced reports whether the node has heard the current state since its machine was last
+// suspended.
+func (g *Gateway) synced() bool {
 	since := g.suspension.since.Load()
 	if since == nil {
 		return true
 	}
-	took := boottime.Since(*since)
-	if took < wakeMost && !g.suspension.heardSince(*since) {
+	waited := boottime.Since(*since)
+	if waited < maxResyncWait && !g.suspension.resyncedSince(*since) {
 		return false
 	}
 	if g.suspension.since.CompareAndSwap(since, nil) {
-		g.log.Info("serving resumed after suspension", "node", g.conf().Node.Name, "after", took)
+		g.log.Info("serving resumed after suspension", "node", g.conf().Node.Name, "after", waited)
 	}
 	return true
 }
 
-func (s *suspension) heardSince(since time.Time) bool {
+func (s *suspension) resyncedSince(since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard[site.TableOperator].After(since) && s.heard[site.TableUpstreams].After(since)
+	return s.answered[site.TableOperator].After(since) && s.answered[site.TableUpstreams].After(since)
 }
 
-// heardOf is when the last call for a table that was answered was begun.
-func (s *suspension) heardOf(t site.Table) time.Time {
+// lastAnswered is when the last answered call for a table was started.
+func (s *suspension) lastAnswered(t site.Table) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard[t]
+	return s.answered[t]
 }
 
-// hear notes that a call for a table, which was begun at a time, was answered.
-func (s *suspension) hear(t site.Table, begun time.Time) {
+// recordAnswer records that a call for a table was answered, and when it was started.
+func (s *suspension) recordAnswer(t site.Table, startedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[t] = begun
+	s.answered[t] = startedAt
 }
 
-// every has fn called again and again, after a look at the clock.
-func (g *Gateway) every(d time.Duration, fn timer.Func) {
+// runEvery calls fn periodically, each time after checking for a suspension.
+func (g *Gateway) runEvery(d time.Duration, fn timer.Func) {
 	g.timer.Subscribe(d, func(ctx context.Context) {
-		g.look()
+		g.checkSuspension()
 		fn(ctx)
 	})
 }
--- a/service/gateway/upstream_conns.go
+++ b/service/gateway/upstream_conns.go
@@ -8,34 +8,34 @@
 	"github.com/drumpath/drumpath/pkg/boottime"
 )
 
-// upstreamConns keeps resting connections to replicas, by start of the replica.
+// upstreamConns pools idle connections to replicas, by ID of the replica.
 type upstreamConns struct {
 	mu     sync.Mutex
 	idle   map[string][]*upstreamConn
-	closed bool // None is kept any more.
+	closed bool // Connections are not pooled any more.
 }
 
 func newUpstreamConns() *upstreamConns {
 	return &upstreamConns{idle: map[string][]*upstreamConn{}}
 }
 
-// take returns the connection that rested shortest and at most for a time, or
-// dials one. The error says that no byte has left.
-func (u *upstreamConns) take(id string, addr netip.AddrPort, most time.Duration) (*upstreamConn, error) {
+// get returns the most recently used connection that has been idle for less than
+// maxIdle, or dials one. An error means that no byte was sent.
+func (u *upstreamConns) get(id string, addr netip.AddrPort, maxIdle time.Duration) (*upstreamConn, error) {
 	now := boottime.Now()
 	for {
-		c := u.pop(id)
+		c := u.popIdle(id)
 		if c == nil {
 			return dialUpstream(addr.String())
 		}
-		if c.usable(now, most) {
+		if c.usable(now, maxIdle) {
 			return c, nil
 		}
 		c.close()
 	}
 }
 
-func (u *upstreamConns) pop(id string) *upstreamConn {
+func (u *upstreamConns) popIdle(id string) *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	list := u.idle[id]
@@ -47,9 +47,9 @@
 	return c
 }
 
-// give takes back a connection that may be used again.
-func (u *upstreamConns) give(id string, c *upstreamConn) {
-	c.at = boottime.Now()
+// put returns a connection that can be used again to the pool.
+func (u *upstreamConns) put(id string, c *upstreamConn) {
+	c.idleSince = boottime.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.closed {
@@ -59,15 +59,14 @@
 	u.idle[id] = append(u.idle[id], c)
 }
 
-// prune closes connections that have rested too long; the timer service calls
-// it.
+// prune closes connections that have been idle too long; the timer service calls it.
 func (u *upstreamConns) prune(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, list := range u.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.at) < c.idle {
+			if now.Sub(c.idleSince) < c.maxIdle {
 				kept = append(kept, c)
 			} else {
 				c.close()
@@ -80,9 +79,8 @@
 	}
 }
 
-// lost closes the resting connections to a replica that can't be reached, and says how
-// many there were.
-func (u *upstreamConns) lost(id string) (closed int) {
+// closeIdle closes the idle connections to a replica and returns how many there were.
+func (u *upstreamConns) closeIdle(id string) (closed int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	closed = len(u.idle[id])
@@ -93,8 +91,8 @@
 	return closed
 }
 
-// lostAll closes all resting connections, and says how many there were.
-func (u *upstreamConns) lostAll() (closed int) {
+// closeAllIdle closes all idle connections and returns how many there were.
+func (u *upstreamConns) closeAllIdle() (closed int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, list := range u.idle {
@@ -111,5 +109,5 @@
 	u.mu.Lock()
 	u.closed = true
 	u.mu.Unlock()
-	u.lostAll()
+	u.closeAllIdle()
 }
