--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -86,32 +86,32 @@
 	{
 		"a claim is given once", "pkg/control/claims.go",
 		"platform.Condition{Key: w.claim.row, Version: w.claim.version})", "platform.Condition{Key: w.claim.row + \"x\", Version: 0})",
-		"./pkg/control", "TestClaimIsGivenOnce",
+		"./pkg/control", "TestClaimIsGrantedOnce",
 	},
 	{
 		"a claim given up on is voided", "pkg/control/claims.go",
-		"	w.given = true\n	w.value.State = ClaimVoid", "	w.given = true",
-		"./pkg/control", "TestLateClaimIsVoided",
+		"	w.noWaiter = true\n	w.value.State = ClaimVoid", "	w.noWaiter = true",
+		"./pkg/control", "TestAbandonedClaimIsVoidedWhenItsWriteLands",
 	},
 	{
 		"a lost answer of a claim is settled", "pkg/control/claims.go",
-		"	ours := row.Version > 0 && have.Nonce == w.claim.nonce", "	ours := false",
-		"./pkg/control", "TestLostAnswerOfAClaimIsSettled",
+		"	ownRow := row.Version > 0 && current.Nonce == w.claim.nonce", "	ownRow := false",
+		"./pkg/control", "TestClaimIsGrantedAfterLostCommitAnswer",
 	},
 	{
 		"of two changes for one version one wins", "pkg/control/log.go",
-		"		Conditions: []platform.Condition{{Key: rowHead, Version: e.Version - 1}},\n", "",
-		"./pkg/control", "TestLogHistoryUnderFaults|TestConflictsAreTyped",
+		"		Conditions: []platform.Condition{{Key: headRowKey, Version: e.Version - 1}},\n", "",
+		"./pkg/control", "TestLogHistoryIsLinearizableUnderFaults|TestProposeReturnsConflictError",
 	},
 	{
 		"a lost answer of a change is settled by its nonce", "pkg/control/log.go",
 		"	return found.Nonce == e.Nonce, nil", "	return false, nil",
-		"./pkg/control", "TestProposeSettlesALostAnswer",
+		"./pkg/control", "TestProposeSucceedsAfterLostCommitAnswer",
 	},
 	{
 		"configuration never steps back", "pkg/control/log.go",
 		"d.State != nil && d.State.Version > l.state.Version", "d.State != nil",
-		"./pkg/control", "TestTakeNeverStepsBack",
+		"./pkg/control", "TestMergeNeverLowersVersion",
 	},
 	{
 		"configuration is pulled from peers, by those who start and those who hear of it", "service/node/spread.go",
@@ -125,28 +125,28 @@
 	},
 	{
 		"a lease's taker waits a term", "pkg/control/leases.go",
-		`return s.row.Holder == "" || now.Sub(s.since) >= l.term`, "return true",
-		"./pkg/control", "TestLeasesStateMachine",
+		`return lease.row.Holder == "" || now.Sub(lease.unchangedSince) >= l.term`, "return true",
+		"./pkg/control", "TestAtMostOneNodeHoldsLease",
 	},
 	{
 		"a holder stops before its term is over", "pkg/control/leases.go",
-		"	s.until = sent.Add(l.term - l.term/leaseMargin)", "	s.until = sent.Add(2 * l.term)",
-		"./pkg/control", "TestTakerWaitsAWholeTerm",
+		"	lease.validUntil = sentAt.Add(l.term - l.term/leaseMarginDivisor)", "	lease.validUntil = sentAt.Add(2 * l.term)",
+		"./pkg/control", "TestLeaseIsTakenOverOnlyAfterFullTerm",
 	},
 	{
 		"an order needs a lease that is held", "pkg/control/leases.go",
-		"	if !l.now().Before(s.until) {\n		return Fence{}, false\n	}\n	s.seq++", "	s.seq++",
-		"./pkg/control", "TestFenceNeedsAHeldLease",
+		"	if !l.now().Before(lease.validUntil) {\n		return Fence{}, false\n	}\n	lease.lastSeq++", "	lease.lastSeq++",
+		"./pkg/control", "TestFenceRequiresHeldLease",
 	},
 	{
-		"a held-for-dead node is told so", "pkg/control/members_news.go",
+		"a held-for-dead node is told so", "pkg/control/members_updates.go",
 		"e != nil && (e.State == MemberSuspect", "false && e != nil && (e.State == MemberSuspect",
-		"./pkg/control", "TestHalvesFindEachOtherAfterACut",
+		"./pkg/control", "TestHalvesRejoinAfterPartition",
 	},
 	{
 		"a silent node is probed through others", "pkg/control/members.go",
-		"		for _, helper := range m.helpers(a.target.Name) {", "		for _, helper := range m.helpers(a.target.Name)[:0] {",
-		"./pkg/control", "TestCutBetweenTwoIsBridgedByOthers",
+		"		for _, helper := range m.pickHelpers(a.target.Name) {", "		for _, helper := range m.pickHelpers(a.target.Name)[:0] {",
+		"./pkg/control", "TestIndirectProbesKeepMemberAliveDuringPairwisePartition",
 	},
 	{
 		"a leaving upstream gets no new work", "pkg/route/fleet.go",
@@ -245,17 +245,17 @@
 	},
 	{
 		"members: known news are told less often", "pkg/control/members.go",
-		"	knownWeight = 2\n", "	knownWeight = 0\n",
+		"	duplicateWeight = 2\n", "	duplicateWeight = 0\n",
 		"./pkg/control", "TestProbesCostFewBytesBetweenHalls",
 	},
 	{
 		"members: other halls are probed less often", "pkg/control/members.go",
-		"	nearBoost  = 4\n", "	nearBoost  = 1\n",
+		"	localProbeBoost          = 4\n", "	localProbeBoost          = 1\n",
 		"./pkg/control", "TestProbesCostFewBytesBetweenHalls",
 	},
 	{
 		"members: probes within a hall take more news", "pkg/control/members.go",
-		"	nearUpdates = 30\n", "	nearUpdates = 6\n",
+		"	maxLocalUpdates  = 30\n", "	maxLocalUpdates  = 6\n",
 		"./pkg/control", "TestProbesCostFewBytesBetweenHalls",
 	},
 	{
--- a/pkg/control/claims.go
+++ b/pkg/control/claims.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// claimBatch is the most rows in one transaction.
-	claimBatch = 100
-	// claimPause is the wait after a transaction that was not applied, or whose
+	// maxClaimBatch is the most rows in one transaction.
+	maxClaimBatch = 100
+	// claimRetryPause is the wait after a transaction that was not applied, or whose
 	// answer was lost.
-	claimPause = 50 * time.Millisecond
-	// maxRecorded is the largest body kept with a claim.
-	maxRecorded = 8 << 10
-	// maxPending bounds writes that wait for the service to come back.
-	maxPending = 10_000
-	// closeWait is how long Close tries to write what is pending.
-	closeWait = 2 * time.Second
+	claimRetryPause = 50 * time.Millisecond
+	// maxRecordedBody is the largest body kept with a claim.
+	maxRecordedBody = 8 << 10
+	// maxPendingClaimWrites bounds writes that wait for the service to come back.
+	maxPendingClaimWrites = 10_000
+	// claimsCloseTimeout is how long Close tries to write what is pending.
+	claimsCloseTimeout = 2 * time.Second
 )
 
 // Claims lets requests that may run only once be run by at most one node.
@@ -53,11 +53,11 @@
 
 // claimWrite is one row to be written and what its writer is told.
 type claimWrite struct {
-	claim  *Claim
-	value  claimRow
-	unsure bool // A write of it may have taken effect, or may yet.
-	done   chan error
-	given  bool // Its writer no longer waits.
+	claim          *Claim
+	value          claimRow
+	outcomeUnknown bool // A write of it may have taken effect, or may yet.
+	done           chan error
+	noWaiter       bool // Its writer no longer waits.
 }
 
 // NewClaims starts the group commit of this node's claims to a table service,
@@ -71,15 +71,15 @@
 		closing: make(chan struct{}),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.wg.Go(c.run)
+	c.wg.Go(c.runWriter)
 	return c
 }
 
 // Close waits a while for pending writes and stops.
 func (c *Claims) Close() {
 	close(c.closing)
-	c.signal()
-	stop := time.AfterFunc(closeWait, c.cancel)
+	c.wakeWriter()
+	stop := time.AfterFunc(claimsCloseTimeout, c.cancel)
 	c.wg.Wait()
 	stop.Stop()
 	c.cancel()
@@ -92,7 +92,7 @@
 	return len(c.pending) + c.writing
 }
 
-func (c *Claims) written() {
+func (c *Claims) clearWriting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writing = 0
@@ -109,7 +109,7 @@
 		value: claimRow{State: ClaimHeld, Nonce: claim.nonce, Node: c.node},
 		done:  make(chan error, 1),
 	}
-	if !c.add(w) {
+	if !c.enqueue(w) {
 		return nil, ErrNoClaim
 	}
 	select {
@@ -133,10 +133,10 @@
 // Finish records a result with a claim, in the background.
 func (c *Claims) Finish(claim *Claim, r Result) {
 	row := claimRow{State: ClaimDone, Nonce: claim.nonce, Node: c.node}
-	if len(r.Body) <= maxRecorded {
+	if len(r.Body) <= maxRecordedBody {
 		row.Result = &r
 	}
-	c.add(&claimWrite{claim: claim, value: row, done: make(chan error, 1), given: true})
+	c.enqueue(&claimWrite{claim: claim, value: row, done: make(chan error, 1), noWaiter: true})
 }
 
 // Void gives up a claim whose request was certainly not run; it waits until
@@ -147,7 +147,7 @@
 		value: claimRow{State: ClaimVoid, Nonce: claim.nonce, Node: c.node},
 		done:  make(chan error, 1),
 	}
-	if !c.add(w) {
+	if !c.enqueue(w) {
 		return
 	}
 	select {
@@ -159,18 +159,18 @@
 	}
 }
 
-func (c *Claims) add(w *claimWrite) bool {
+func (c *Claims) enqueue(w *claimWrite) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.pending) >= maxPending || c.ctx.Err() != nil {
+	if len(c.pending) >= maxPendingClaimWrites || c.ctx.Err() != nil {
 		return false
 	}
 	c.pending = append(c.pending, w)
-	c.signal()
+	c.wakeWriter()
 	return true
 }
 
-func (c *Claims) signal() {
+func (c *Claims) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -182,28 +182,28 @@
 func (c *Claims) abandon(w *claimWrite) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w.given {
+	if w.noWaiter {
 		return false
 	}
-	w.given = true
+	w.noWaiter = true
 	w.value.State = ClaimVoid
 	return true
 }
 
-// decide tells a write's outcome to whoever waits; it returns false if the
+// resolve tells a write's outcome to whoever waits; it returns false if the
 // write has been abandoned meanwhile, so that it must go on as a voiding.
-func (c *Claims) decide(w *claimWrite, state ClaimState, err error) bool {
+func (c *Claims) resolve(w *claimWrite, state ClaimState, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w.value.State != state {
 		return false
 	}
-	w.given = true
+	w.noWaiter = true
 	w.done <- err
 	return true
 }
 
-func (c *Claims) run() {
+func (c *Claims) runWriter() {
 	for {
 		select {
 		case <-c.wake:
@@ -223,8 +223,8 @@
 	}
 }
 
-// sent is a write and the state that the transaction under way carries for it.
-type sent struct {
+// batchedWrite is a write and the state that the transaction under way carries for it.
+type batchedWrite struct {
 	*claimWrite
 	value claimRow
 }
@@ -235,7 +235,7 @@
 	if len(batch) == 0 {
 		return false
 	}
-	defer c.written()
+	defer c.clearWriting()
 	txn, err := claimTxn(batch)
 	if err != nil {
 		c.log.Error("claims not encoded", "err", err)
@@ -246,15 +246,15 @@
 	var conflict *tablestore.ConflictError
 	switch {
 	case err == nil:
-		c.committed(batch)
+		c.handleCommitted(batch)
 	case errors.As(err, &conflict):
-		c.conflicted(batch, conflict.Rows)
+		c.handleConflict(batch, conflict.Rows)
 	case errors.Is(err, tablestore.ErrNotApplied):
-		c.notApplied(batch)
+		c.handleNotApplied(batch)
 		c.pause()
 	default:
 		for _, w := range batch {
-			w.unsure = true
+			w.outcomeUnknown = true
 		}
 		c.requeue(batch)
 		c.pause()
@@ -264,34 +264,34 @@
 
 func (c *Claims) pause() {
 	select {
-	case <-time.After(claimPause):
+	case <-time.After(claimRetryPause):
 	case <-c.ctx.Done():
 	}
 }
 
 // nextBatch takes pending writes, at most one for each row.
-func (c *Claims) nextBatch() []sent {
+func (c *Claims) nextBatch() []batchedWrite {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var batch []sent
-	var rest []*claimWrite
+	var batch []batchedWrite
+	var remaining []*claimWrite
 	rows := map[string]bool{}
 	for _, w := range c.pending {
-		if len(batch) == claimBatch || rows[w.claim.row] {
-			rest = append(rest, w)
+		if len(batch) == maxClaimBatch || rows[w.claim.row] {
+			remaining = append(remaining, w)
 			continue
 		}
 		rows[w.claim.row] = true
-		batch = append(batch, sent{claimWrite: w, value: w.value})
+		batch = append(batch, batchedWrite{claimWrite: w, value: w.value})
 	}
-	c.pending = rest
+	c.pending = remaining
 	c.writing = len(batch)
 	return batch
 }
 
 // requeue puts writes back before all others, so that the order of writes to
 // one row stays.
-func (c *Claims) requeue(batch []sent) {
+func (c *Claims) requeue(batch []batchedWrite) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	front := make([]*claimWrite, 0, len(batch)+len(c.pending))
@@ -299,10 +299,10 @@
 		front = append(front, w.claimWrite)
 	}
 	c.pending = append(front, c.pending...)
-	c.signal()
+	c.wakeWriter()
 }
 
-func claimTxn(batch []sent) (txn tablestore.Txn, err error) {
+func claimTxn(batch []batchedWrite) (txn tablestore.Txn, err error) {
 	for _, w := range batch {
 		body, err := json.Marshal(w.value)
 		if err != nil {
@@ -314,76 +314,76 @@
 	return txn, nil
 }
 
-func (c *Claims) committed(batch []sent) {
-	var again []sent
+func (c *Claims) handleCommitted(batch []batchedWrite) {
+	var retry []batchedWrite
 	for _, w := range batch {
 		w.claim.version++
-		w.unsure = false
-		if !c.decide(w.claimWrite, w.value.State, nil) {
-			again = append(again, w)
+		w.outcomeUnknown = false
+		if !c.resolve(w.claimWrite, w.value.State, nil) {
+			retry = append(retry, w)
 		}
 	}
-	c.requeue(again)
+	c.requeue(retry)
 }
 
-// notApplied fails claims that certainly have not landed; everything else is
+// handleNotApplied fails claims that certainly have not landed; everything else is
 // tried again.
-func (c *Claims) notApplied(batch []sent) {
-	var again []sent
+func (c *Claims) handleNotApplied(batch []batchedWrite) {
+	var retry []batchedWrite
 	for _, w := range batch {
 		switch {
-		case w.value.State == ClaimHeld && !w.unsure && c.decide(w.claimWrite, ClaimHeld, ErrNoClaim):
-		case w.value.State == ClaimVoid && w.claim.version == 0 && !w.unsure:
+		case w.value.State == ClaimHeld && !w.outcomeUnknown && c.resolve(w.claimWrite, ClaimHeld, ErrNoClaim):
+		case w.value.State == ClaimVoid && w.claim.version == 0 && !w.outcomeUnknown:
 			// There never was a claim to void.
-			c.decide(w.claimWrite, ClaimVoid, nil)
+			c.resolve(w.claimWrite, ClaimVoid, nil)
 		default:
-			again = append(again, w)
+			retry = append(retry, w)
 		}
 	}
-	c.requeue(again)
+	c.requeue(retry)
 }
 
-// conflicted settles the writes whose row was not as expected, and sends the
+// handleConflict settles the writes whose row was not as expected, and sends the
 // others again.
-func (c *Claims) conflicted(batch []sent, rows []tablestore.Row) {
-	found := map[string]tablestore.Row{}
+func (c *Claims) handleConflict(batch []batchedWrite, rows []tablestore.Row) {
+	rowsByKey := map[string]tablestore.Row{}
 	for _, r := range rows {
-		found[r.Key] = r
+		rowsByKey[r.Key] = r
 	}
-	var again []sent
+	var retry []batchedWrite
 	for _, w := range batch {
-		row, ok := found[w.claim.row]
-		if !ok || !c.settle(w, row) {
-			again = append(again, w)
+		row, ok := rowsByKey[w.claim.row]
+		if !ok || !c.resolveConflict(w, row) {
+			retry = append(retry, w)
 		}
 	}
-	c.requeue(again)
+	c.requeue(retry)
 }
 
-// settle decides a write by the row that was found; it returns false if the
+// resolveConflict decides a write by the row that was found; it returns false if the
 // write is to be sent again, on top of that row.
-func (c *Claims) settle(w sent, row tablestore.Row) bool {
-	var have claimRow
+func (c *Claims) resolveConflict(w batchedWrite, row tablestore.Row) bool {
+	var current claimRow
 	if row.Version > 0 {
-		if err := json.Unmarshal(row.Value, &have); err != nil {
+		if err := json.Unmarshal(row.Value, &current); err != nil {
 			c.log.Error("claim row can't be decoded", "row", row.Key, "err", err)
-			return c.decide(w.claimWrite, w.value.State, &TakenError{State: ClaimHeld})
+			return c.resolve(w.claimWrite, w.value.State, &TakenError{State: ClaimHeld})
 		}
 	}
-	ours := row.Version > 0 && have.Nonce == w.claim.nonce
+	ownRow := row.Version > 0 && current.Nonce == w.claim.nonce
 	switch {
-	case ours && have.State == w.value.State:
+	case ownRow && current.State == w.value.State:
 		// An earlier write of ours had landed, its answer lost.
 		w.claim.version = row.Version
-		return c.decide(w.claimWrite, w.value.State, nil)
-	case ours, row.Version == 0, have.State == ClaimVoid && w.value.State == ClaimHeld:
+		return c.resolve(w.claimWrite, w.value.State, nil)
+	case ownRow, row.Version == 0, current.State == ClaimVoid && w.value.State == ClaimHeld:
 		w.claim.version = row.Version
 		return false
 	case w.value.State == ClaimHeld:
-		return c.decide(w.claimWrite, ClaimHeld, &TakenError{State: have.State, Node: have.Node, Result: have.Result})
+		return c.resolve(w.claimWrite, ClaimHeld, &TakenError{State: current.State, Node: current.Node, Result: current.Result})
 	default:
 		// The row is another's, so ours neither landed nor can: voiding it is
 		// done, and a result has nowhere to go.
-		return c.decide(w.claimWrite, w.value.State, nil)
+		return c.resolve(w.claimWrite, w.value.State, nil)
 	}
 }
--- a/pkg/control/claims_test.go
+++ b/pkg/control/claims_test.go
@@ -18,7 +18,7 @@
 
 func (f *fixture) claims(t testing.TB, node string) *Claims {
 	t.Helper()
-	c := NewClaims(node, tablestore.NewTable(f.table.Addr(), testTimeout), quiet)
+	c := NewClaims(node, tablestore.NewTable(f.table.Addr(), testTimeout), discardLog)
 	t.Cleanup(c.Close)
 	return c
 }
@@ -30,7 +30,7 @@
 	return c.Acquire(ctx, "corrib", key)
 }
 
-func TestClaimIsGivenOnce(t *testing.T) {
+func TestClaimIsGrantedOnce(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.claims(t, "a"), f.claims(t, "b")
 	claim, err := acquire(t, a, "k", time.Second)
@@ -48,7 +48,7 @@
 	assert.Equal(t, string(taken.Result.Body), "ok")
 }
 
-func TestClaimsOfOrganisationsAreApart(t *testing.T) {
+func TestClaimKeysOfOrganisationsDoNotCollide(t *testing.T) {
 	assert.Assert(t, claimKey("a", "bc") != claimKey("ab", "c"))
 }
 
@@ -65,7 +65,7 @@
 	assert.Assert(t, errors.As(err, &taken), "%v", err)
 }
 
-func TestLostAnswerOfAClaimIsSettled(t *testing.T) {
+func TestClaimIsGrantedAfterLostCommitAnswer(t *testing.T) {
 	f := newFixture(t)
 	a := f.claims(t, "a")
 	f.table.SetFault(standin.Fault{LoseAnswers: 1})
@@ -74,7 +74,7 @@
 }
 
 // A claim whose write lands after its claimer gave up must not stay held.
-func TestLateClaimIsVoided(t *testing.T) {
+func TestAbandonedClaimIsVoidedWhenItsWriteLands(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.claims(t, "a"), f.claims(t, "b")
 	f.table.SetFault(standin.Fault{LoseAnswers: 1000, LateMillis: 250})
@@ -87,7 +87,7 @@
 	assert.NilError(t, err)
 }
 
-func TestNoClaimDuringAnOutage(t *testing.T) {
+func TestAcquireFailsWhileTableServiceIsDown(t *testing.T) {
 	f := newFixture(t)
 	a := f.claims(t, "a")
 	f.table.SetFault(standin.Fault{Down: true})
@@ -97,7 +97,7 @@
 	waitUntil(t, func() bool { return a.Pending() == 0 })
 }
 
-func TestClaimsAreWrittenInGroups(t *testing.T) {
+func TestClaimsAreBatchedIntoFewTransactions(t *testing.T) {
 	f := newFixture(t)
 	a := f.claims(t, "a")
 	f.table.SetFault(standin.Fault{LatencyMillis: 20})
@@ -151,15 +151,15 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func TestClaimHistoryUnderFaults(t *testing.T) {
+func TestClaimHistoryIsLinearizableUnderFaults(t *testing.T) {
 	f := newFixture(t)
 	var mu sync.Mutex
 	var ops []porcupine.Operation
 	var grants atomic.Int64
 	start := time.Now()
 	stop := make(chan struct{})
-	var faulty sync.WaitGroup
-	faulty.Go(func() {
+	var faults sync.WaitGroup
+	faults.Go(func() {
 		for i := 0; ; i++ {
 			select {
 			case <-stop:
@@ -194,7 +194,7 @@
 	}
 	wg.Wait()
 	close(stop)
-	faulty.Wait()
+	faults.Wait()
 	assert.Assert(t, porcupine.CheckOperations(claimModel.ToModel(), ops))
 	assert.Assert(t, grants.Load() <= 12)
 }
--- a/pkg/control/collector.go
+++ b/pkg/control/collector.go
@@ -14,11 +14,11 @@
 	// has one transaction under way at a time, so the table service's load is
 	// bounded whatever the fleet's size.
 	Collectors = 4
-	// collectRows is the most rows in one transaction.
-	collectRows = 400
-	// collectPace is the least time between a collector's transactions. All
+	// maxJoinedRows is the most rows in one transaction.
+	maxJoinedRows = 400
+	// minCollectInterval is the least time between a collector's transactions. All
 	// collectors together stay under 200 a second, of the service's 300.
-	collectPace = 20 * time.Millisecond
+	minCollectInterval = 20 * time.Millisecond
 	// collectTimeout bounds a transaction of a collector.
 	collectTimeout = 5 * time.Second
 )
@@ -29,15 +29,15 @@
 type Collector struct {
 	table Table
 
-	mu      sync.Mutex
-	pending []*collected
-	busy    bool
-	closed  bool
-	wg      sync.WaitGroup
+	mu       sync.Mutex
+	pending  []*pendingTxn
+	draining bool
+	closed   bool
+	wg       sync.WaitGroup
 }
 
-// collected is a transaction and where its outcome goes.
-type collected struct {
+// pendingTxn is a transaction and where its outcome goes.
+type pendingTxn struct {
 	txn  tablestore.Txn
 	done chan error
 }
@@ -48,15 +48,15 @@
 // Commit carries out a transaction, perhaps joined with others. The errors are
 // those of the table service.
 func (c *Collector) Commit(ctx context.Context, txn tablestore.Txn) error {
-	w := &collected{txn: txn, done: make(chan error, 1)}
+	w := &pendingTxn{txn: txn, done: make(chan error, 1)}
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return tablestore.ErrNotApplied
 	}
 	c.pending = append(c.pending, w)
-	if !c.busy {
-		c.busy = true
+	if !c.draining {
+		c.draining = true
 		c.wg.Go(c.drain)
 	}
 	c.mu.Unlock()
@@ -79,25 +79,25 @@
 // drain writes until nothing is pending.
 func (c *Collector) drain() {
 	for {
-		batch := c.next()
+		batch := c.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
 		start := time.Now()
-		c.write(batch)
-		time.Sleep(collectPace - time.Since(start))
+		c.commitJoined(batch)
+		time.Sleep(minCollectInterval - time.Since(start))
 	}
 }
 
-// next takes pending transactions that touch different rows.
-func (c *Collector) next() []*collected {
+// nextBatch takes pending transactions that touch different rows.
+func (c *Collector) nextBatch() []*pendingTxn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var batch, rest []*collected
+	var batch, remaining []*pendingTxn
 	rows := map[string]bool{}
 	for _, w := range c.pending {
-		if len(rows)+len(w.txn.Puts) > collectRows && len(batch) > 0 || touches(w.txn, rows) {
-			rest = append(rest, w)
+		if len(rows)+len(w.txn.Puts) > maxJoinedRows && len(batch) > 0 || touchesAny(w.txn, rows) {
+			remaining = append(remaining, w)
 			continue
 		}
 		for _, p := range w.txn.Puts {
@@ -105,12 +105,12 @@
 		}
 		batch = append(batch, w)
 	}
-	c.pending = rest
-	c.busy = len(batch) > 0
+	c.pending = remaining
+	c.draining = len(batch) > 0
 	return batch
 }
 
-func touches(txn tablestore.Txn, rows map[string]bool) bool {
+func touchesAny(txn tablestore.Txn, rows map[string]bool) bool {
 	for _, p := range txn.Puts {
 		if rows[p.Key] {
 			return true
@@ -119,8 +119,8 @@
 	return false
 }
 
-// write commits a batch, without those that conflict.
-func (c *Collector) write(batch []*collected) {
+// commitJoined commits a batch, without those that conflict.
+func (c *Collector) commitJoined(batch []*pendingTxn) {
 	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 	defer cancel()
 	for len(batch) > 0 {
@@ -132,42 +132,42 @@
 		err := c.table.Commit(ctx, joined)
 		var conflict *tablestore.ConflictError
 		if !errors.As(err, &conflict) {
-			finish(batch, err)
+			resolveAll(batch, err)
 			return
 		}
-		left := conflicts(batch, conflict)
-		if len(left) == len(batch) {
+		remaining := resolveConflicting(batch, conflict)
+		if len(remaining) == len(batch) {
 			// The conflict is on no row of theirs; nothing was applied.
-			finish(batch, tablestore.ErrNotApplied)
+			resolveAll(batch, tablestore.ErrNotApplied)
 			return
 		}
-		batch = left
+		batch = remaining
 	}
 }
 
-func finish(batch []*collected, err error) {
+func resolveAll(batch []*pendingTxn, err error) {
 	for _, w := range batch {
 		w.done <- err
 	}
 }
 
-// conflicts ends the transactions that conflict, each with its own rows, and
+// resolveConflicting ends the transactions that conflict, each with its own rows, and
 // returns the others.
-func conflicts(batch []*collected, conflict *tablestore.ConflictError) (left []*collected) {
+func resolveConflicting(batch []*pendingTxn, conflict *tablestore.ConflictError) (remaining []*pendingTxn) {
 	for _, w := range batch {
-		own := &tablestore.ConflictError{}
+		ownConflict := &tablestore.ConflictError{}
 		for _, row := range conflict.Rows {
 			for _, cond := range w.txn.Conditions {
 				if cond.Key == row.Key {
-					own.Rows = append(own.Rows, row)
+					ownConflict.Rows = append(ownConflict.Rows, row)
 				}
 			}
 		}
-		if len(own.Rows) == 0 {
-			left = append(left, w)
+		if len(ownConflict.Rows) == 0 {
+			remaining = append(remaining, w)
 			continue
 		}
-		w.done <- own
+		w.done <- ownConflict
 	}
-	return left
+	return remaining
 }
--- a/pkg/control/collector_test.go
+++ b/pkg/control/collector_test.go
@@ -29,7 +29,7 @@
 }
 
 // Many transactions become few, and a conflict is only the conflicting ones'.
-func TestCollectorJoinsAndSeparatesConflicts(t *testing.T) {
+func TestCollectorConflictFailsOnlyConflictingTransactions(t *testing.T) {
 	f := newFixture(t)
 	c := f.collector(t)
 	for i := range 5 {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestCollectorPassesUncertaintyOn(t *testing.T) {
+func TestCollectorReturnsUnknownOutcome(t *testing.T) {
 	f := newFixture(t)
 	c := f.collector(t)
 	f.table.SetFault(standin.Fault{LoseAnswers: 1})
--- a/pkg/control/entry.go
+++ b/pkg/control/entry.go
@@ -15,8 +15,8 @@
 	Command config.Command `json:"command"`
 }
 
-// head is the row whose version is the configuration's version.
-type head struct {
+// headRow is the row whose version is the configuration's version.
+type headRow struct {
 	Version uint64 `json:"version"`
 }
 
@@ -29,15 +29,15 @@
 
 // ConflictError says that another change came first.
 type ConflictError struct {
-	Wanted uint64 // The version the change was meant for, 0 if any.
-	Winner uint64 // The version of the change that won.
-	With   string // That change, if it was for the same object.
+	Wanted        uint64 // The version the change was meant for, 0 if any.
+	Winner        uint64 // The version of the change that won.
+	WinnerCommand string // That change, if it was for the same object.
 }
 
 // Error names the winner's version.
 func (e *ConflictError) Error() string {
-	if e.With != "" {
-		return fmt.Sprintf("conflict: version %d changed the same object: %s", e.Winner, e.With)
+	if e.WinnerCommand != "" {
+		return fmt.Sprintf("conflict: version %d changed the same object: %s", e.Winner, e.WinnerCommand)
 	}
 	return fmt.Sprintf("conflict: version %d was wanted, but the configuration is at version %d", e.Wanted, e.Winner)
 }
--- a/pkg/control/lease.go
+++ b/pkg/control/lease.go
@@ -13,13 +13,13 @@
 
 // Lease is one lease as this node holds or sees it.
 type Lease struct {
-	name  string
-	row   leaseRow
-	seen  uint64    // Row version last read.
-	since time.Time // When that version was first seen, on this node's clock.
-	until time.Time // Held until; zero if not held.
-	held  time.Time // Since when it is held.
-	seq   uint64    // Of the last order given under it.
+	name           string
+	row            leaseRow
+	rowVersion     uint64    // Row version last read.
+	unchangedSince time.Time // When that version was first seen, on this node's clock.
+	validUntil     time.Time // Held until; zero if not held.
+	heldSince      time.Time // Since when it is held.
+	lastSeq        uint64    // Of the last order given under it.
 }
 
 // Fence orders the orders given under leases.
--- a/pkg/control/leases.go
+++ b/pkg/control/leases.go
@@ -20,11 +20,11 @@
 	// hashed into them, so the table service's load does not grow with the
 	// number of upstreams.
 	LeaseGroups = 16
-	// leaseMargin is the share of a term by which a holder stops early, for
+	// leaseMarginDivisor is the share of a term by which a holder stops early, for
 	// clocks that run at different rates and for the way of an order.
-	leaseMargin = 4
-	// RenewShare is the share of a term after which a lease is renewed.
-	RenewShare = 3
+	leaseMarginDivisor = 4
+	// RenewalsPerTerm is the share of a term after which a lease is renewed.
+	RenewalsPerTerm = 3
 )
 
 // Leases are this node's leases on duties that may have one doer only.
@@ -77,48 +77,48 @@
 // back those that fall to another; the timer service calls it.
 func (l *Leases) Step(ctx context.Context) {
 	members := l.members.Working()
-	var read []string
+	var toRead []string
 	for name := range l.leases {
 		owner, ok := Owner(members, name)
 		mine := ok && owner.Name == l.node
 		switch held := l.Held(name); {
 		case held && mine:
-			if l.renewable(name) {
+			if l.renewalDue(name) {
 				l.renew(ctx, name)
 			}
 		case held:
-			l.giveBack(ctx, name)
+			l.release(ctx, name)
 		case mine:
-			read = append(read, name)
+			toRead = append(toRead, name)
 		}
 	}
-	if len(read) == 0 {
+	if len(toRead) == 0 {
 		return
 	}
-	rows, err := l.table.Read(ctx, read...)
+	rows, err := l.table.Read(ctx, toRead...)
 	if err != nil {
 		l.log.Debug("leases not read", "err", err)
 		return
 	}
 	for _, row := range rows {
-		if l.takeable(row) {
-			l.take(ctx, row.Key)
+		if l.canAcquire(row) {
+			l.acquire(ctx, row.Key)
 		}
 	}
 }
 
-// renewable says whether a third of the term has passed since the last renewal.
-func (l *Leases) renewable(name string) bool {
+// renewalDue says whether a third of the term has passed since the last renewal.
+func (l *Leases) renewalDue(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now().Sub(l.leases[name].since) >= l.term/RenewShare
+	return l.now().Sub(l.leases[name].unchangedSince) >= l.term/RenewalsPerTerm
 }
 
 // Held says whether this node holds a lease now.
 func (l *Leases) Held(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now().Before(l.leases[name].until)
+	return l.now().Before(l.leases[name].validUntil)
 }
 
 // Fence returns the fence for the next order under a lease; ok is false if it
@@ -126,30 +126,30 @@
 func (l *Leases) Fence(name string) (f Fence, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.leases[name]
-	if !l.now().Before(s.until) {
+	lease := l.leases[name]
+	if !l.now().Before(lease.validUntil) {
 		return Fence{}, false
 	}
-	s.seq++
-	return Fence{Epoch: s.row.Epoch, Seq: s.seq}, true
+	lease.lastSeq++
+	return Fence{Epoch: lease.row.Epoch, Seq: lease.lastSeq}, true
 }
 
-// Settled says whether a lease has been held for a whole term, so that an order
+// HeldForFullTerm says whether a lease has been held for a whole term, so that an order
 // of the last holder that is under way has arrived. Orders to upstreams that do
 // not check fences wait for that.
-func (l *Leases) Settled(name string) bool {
+func (l *Leases) HeldForFullTerm(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.leases[name]
+	lease := l.leases[name]
 	now := l.now()
-	return now.Before(s.until) && now.Sub(s.held) >= l.term
+	return now.Before(lease.validUntil) && now.Sub(lease.heldSince) >= l.term
 }
 
 // Release gives all leases back, for a planned stop.
 func (l *Leases) Release(ctx context.Context) {
 	for name := range l.leases {
 		if l.Held(name) {
-			l.giveBack(ctx, name)
+			l.release(ctx, name)
 		}
 	}
 }
@@ -159,37 +159,37 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []LeaseStatus
-	for name, s := range l.leases {
-		if now.Before(s.until) {
-			list = append(list, LeaseStatus{Name: name, Epoch: s.row.Epoch, Valid: s.until.Sub(now)})
+	for name, lease := range l.leases {
+		if now.Before(lease.validUntil) {
+			list = append(list, LeaseStatus{Name: name, Epoch: lease.row.Epoch, Valid: lease.validUntil.Sub(now)})
 		}
 	}
 	return list
 }
 
-// takeable notes a row as seen now and says whether its lease may be taken.
-func (l *Leases) takeable(row tablestore.Row) bool {
+// canAcquire notes a row as seen now and says whether its lease may be taken.
+func (l *Leases) canAcquire(row tablestore.Row) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.leases[row.Key]
+	lease := l.leases[row.Key]
 	now := l.now()
-	if row.Version != s.seen || s.since.IsZero() {
-		s.seen, s.since = row.Version, now
-		s.row = leaseRow{}
+	if row.Version != lease.rowVersion || lease.unchangedSince.IsZero() {
+		lease.rowVersion, lease.unchangedSince = row.Version, now
+		lease.row = leaseRow{}
 		if row.Version > 0 {
-			if err := json.Unmarshal(row.Value, &s.row); err != nil {
+			if err := json.Unmarshal(row.Value, &lease.row); err != nil {
 				l.log.Error("lease row can't be decoded", "row", row.Key, "err", err)
 				return false
 			}
 		}
 	}
-	return s.row.Holder == "" || now.Sub(s.since) >= l.term
+	return lease.row.Holder == "" || now.Sub(lease.unchangedSince) >= l.term
 }
 
-func (l *Leases) take(ctx context.Context, name string) {
+func (l *Leases) acquire(ctx context.Context, name string) {
 	l.mu.Lock()
-	s := l.leases[name]
-	next := leaseRow{Holder: l.node, Epoch: s.row.Epoch + 1, Nonce: newNonce()}
+	lease := l.leases[name]
+	next := leaseRow{Holder: l.node, Epoch: lease.row.Epoch + 1, Nonce: newNonce()}
 	l.mu.Unlock()
 	if l.write(ctx, name, next) {
 		l.log.Info("lease acquired", "lease", name, "epoch", next.Epoch)
@@ -204,12 +204,12 @@
 	l.write(ctx, name, next)
 }
 
-// giveBack ends a lease; it is not used from the moment the write is sent.
-func (l *Leases) giveBack(ctx context.Context, name string) {
+// release ends a lease; it is not used from the moment the write is sent.
+func (l *Leases) release(ctx context.Context, name string) {
 	l.mu.Lock()
-	s := l.leases[name]
-	s.until = time.Time{}
-	next := leaseRow{Epoch: s.row.Epoch, Nonce: newNonce()}
+	lease := l.leases[name]
+	lease.validUntil = time.Time{}
+	next := leaseRow{Epoch: lease.row.Epoch, Nonce: newNonce()}
 	l.mu.Unlock()
 	if l.write(ctx, name, next) {
 		l.log.Info("lease released", "lease", name)
@@ -221,60 +221,60 @@
 // have landed extends nothing.
 func (l *Leases) write(ctx context.Context, name string, next leaseRow) bool {
 	l.mu.Lock()
-	s := l.leases[name]
-	base := s.seen
+	lease := l.leases[name]
+	baseVersion := lease.rowVersion
 	l.mu.Unlock()
 	body, err := json.Marshal(next)
 	if err != nil {
 		return false
 	}
 	// Validity counts from before the write is sent.
-	sent := l.now()
+	sentAt := l.now()
 	err = l.table.Commit(ctx, tablestore.Txn{
-		Conditions: []tablestore.Condition{{Key: name, Version: base}},
+		Conditions: []tablestore.Condition{{Key: name, Version: baseVersion}},
 		Puts:       []tablestore.Put{{Key: name, Value: body}},
 	})
-	if err != nil && !l.landed(ctx, name, next.Nonce, base, err) {
+	if err != nil && !l.landed(ctx, name, next.Nonce, baseVersion, err) {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fresh := s.row.Epoch != next.Epoch
-	s.row = next
-	s.seen, s.since = base+1, sent
+	newEpoch := lease.row.Epoch != next.Epoch
+	lease.row = next
+	lease.rowVersion, lease.unchangedSince = baseVersion+1, sentAt
 	if next.Holder != l.node {
 		return true
 	}
-	if fresh {
-		s.held, s.seq = sent, 0
+	if newEpoch {
+		lease.heldSince, lease.lastSeq = sentAt, 0
 	}
-	s.until = sent.Add(l.term - l.term/leaseMargin)
+	lease.validUntil = sentAt.Add(l.term - l.term/leaseMarginDivisor)
 	return true
 }
 
 // landed says whether a write whose answer was lost has taken effect.
-func (l *Leases) landed(ctx context.Context, name, nonce string, base uint64, err error) bool {
+func (l *Leases) landed(ctx context.Context, name, nonce string, baseVersion uint64, err error) bool {
 	var conflict *tablestore.ConflictError
 	if errors.As(err, &conflict) {
-		l.lost(name)
+		l.invalidate(name)
 		return false
 	}
 	if !eris.Is(err, tablestore.ErrUnknown) {
 		return false
 	}
 	rows, err := l.table.Read(ctx, name)
-	if err != nil || rows[0].Version != base+1 {
+	if err != nil || rows[0].Version != baseVersion+1 {
 		return false
 	}
 	var row leaseRow
 	return json.Unmarshal(rows[0].Value, &row) == nil && row.Nonce == nonce
 }
 
-// lost ends a lease whose row another has written.
-func (l *Leases) lost(name string) {
+// invalidate ends a lease whose row another has written.
+func (l *Leases) invalidate(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.leases[name]
-	s.until = time.Time{}
-	s.since = time.Time{}
+	lease := l.leases[name]
+	lease.validUntil = time.Time{}
+	lease.unchangedSince = time.Time{}
 }
--- a/pkg/control/leases_test.go
+++ b/pkg/control/leases_test.go
@@ -16,16 +16,16 @@
 
 // memTable is a table service in memory whose answers can be lost.
 type memTable struct {
-	rows map[string]tablestore.Row
-	lose bool // The next commit takes effect unanswered.
-	fail bool // The next call does nothing and is not answered.
+	rows       map[string]tablestore.Row
+	loseAnswer bool // The next commit takes effect unanswered.
+	failCall   bool // The next call does nothing and is not answered.
 }
 
 func newMemTable() *memTable { return &memTable{rows: map[string]tablestore.Row{}} }
 
 func (m *memTable) Commit(_ context.Context, txn tablestore.Txn) error {
-	if m.fail {
-		m.fail = false
+	if m.failCall {
+		m.failCall = false
 		return tablestore.ErrUnknown
 	}
 	for _, c := range txn.Conditions {
@@ -36,16 +36,16 @@
 	for _, p := range txn.Puts {
 		m.rows[p.Key] = tablestore.Row{Key: p.Key, Version: m.rows[p.Key].Version + 1, Value: p.Value}
 	}
-	if m.lose {
-		m.lose = false
+	if m.loseAnswer {
+		m.loseAnswer = false
 		return tablestore.ErrUnknown
 	}
 	return nil
 }
 
 func (m *memTable) Read(_ context.Context, keys ...string) ([]tablestore.Row, error) {
-	if m.fail {
-		m.fail = false
+	if m.failCall {
+		m.failCall = false
 		return nil, tablestore.ErrUnavailable
 	}
 	var rows []tablestore.Row
@@ -59,21 +59,21 @@
 
 const testTerm = 12 * time.Second
 
-// leaseWorld is a few nodes, each with a clock of its own rate and a view in
+// leaseFixture is a few nodes, each with a clock of its own rate and a view in
 // which it is alone, so that all want every lease.
-type leaseWorld struct {
-	table  *memTable
-	now    time.Time
-	nodes  []*Leases
-	engine Fence // Of the last order taken.
+type leaseFixture struct {
+	table        *memTable
+	now          time.Time
+	nodes        []*Leases
+	lastAccepted Fence // Of the last order taken.
 }
 
-func newLeaseWorld(n int) *leaseWorld {
-	w := &leaseWorld{table: newMemTable(), now: testNow}
+func newLeaseFixture(n int) *leaseFixture {
+	w := &leaseFixture{table: newMemTable(), now: testNow}
 	for i := range n {
 		name := fmt.Sprint("vm-", i)
 		m := NewMembers(Member{Name: name, Incarnation: 1}, time.Second, nil, rand.New(rand.NewPCG(1, 1)))
-		l := newLeases(name, testTerm, w.table, m, quiet)
+		l := newLeases(name, testTerm, w.table, m, discardLog)
 		rate := 1 + float64(i)*0.05
 		l.now = func() time.Time {
 			return testNow.Add(time.Duration(float64(w.now.Sub(testNow)) * rate))
@@ -85,7 +85,7 @@
 
 const testLease = "lease/00"
 
-func (w *leaseWorld) holders() int {
+func (w *leaseFixture) holders() int {
 	n := 0
 	for _, l := range w.nodes {
 		if l.Held(testLease) {
@@ -95,20 +95,20 @@
 	return n
 }
 
-// order gives an order to the engine, which checks fences.
-func (w *leaseWorld) order(f Fence) bool {
-	if f.Epoch < w.engine.Epoch || (f.Epoch == w.engine.Epoch && f.Seq <= w.engine.Seq) {
+// acceptOrder gives an order to the engine, which checks fences.
+func (w *leaseFixture) acceptOrder(f Fence) bool {
+	if f.Epoch < w.lastAccepted.Epoch || (f.Epoch == w.lastAccepted.Epoch && f.Seq <= w.lastAccepted.Seq) {
 		return false
 	}
-	w.engine = f
+	w.lastAccepted = f
 	return true
 }
 
 // Whatever is lost, frozen or delayed, at most one node holds a lease, and an
 // engine that checks fences never takes an order older than its last.
-func TestLeasesStateMachine(t *testing.T) {
+func TestAtMostOneNodeHoldsLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newLeaseWorld(3)
+		w := newLeaseFixture(3)
 		epochOf := map[uint64]int{} // Epoch to the node that ordered under it.
 		var delayed []Fence
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -121,8 +121,8 @@
 			case 2:
 				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(t, "ms")) * time.Millisecond)
 			case 3:
-				w.table.lose = rapid.Bool().Draw(t, "lose")
-				w.table.fail = !w.table.lose
+				w.table.loseAnswer = rapid.Bool().Draw(t, "lose")
+				w.table.failCall = !w.table.loseAnswer
 			case 4:
 				if f, ok := l.Fence(testLease); ok {
 					owner, used := epochOf[f.Epoch]
@@ -133,9 +133,9 @@
 			case 5:
 				if len(delayed) > 0 {
 					k := rapid.IntRange(0, len(delayed)-1).Draw(t, "order")
-					before := w.engine
-					if w.order(delayed[k]) {
-						assert.Assert(t, w.engine.Epoch >= before.Epoch)
+					before := w.lastAccepted
+					if w.acceptOrder(delayed[k]) {
+						assert.Assert(t, w.lastAccepted.Epoch >= before.Epoch)
 					}
 				}
 			case 6:
@@ -146,8 +146,8 @@
 	})
 }
 
-func TestTakerWaitsAWholeTerm(t *testing.T) {
-	w := newLeaseWorld(2)
+func TestLeaseIsTakenOverOnlyAfterFullTerm(t *testing.T) {
+	w := newLeaseFixture(2)
 	a, b := w.nodes[0], w.nodes[1]
 	a.Step(t.Context())
 	assert.Assert(t, a.Held(testLease))
@@ -159,33 +159,33 @@
 	assert.Assert(t, !a.Held(testLease), "a holder that does not renew stops before its term is over")
 	b.Step(t.Context())
 	assert.Assert(t, b.Held(testLease))
-	assert.Assert(t, !b.Settled(testLease), "orders without fences wait for another term")
+	assert.Assert(t, !b.HeldForFullTerm(testLease), "orders without fences wait for another term")
 	f, ok := b.Fence(testLease)
 	assert.Assert(t, ok)
 	assert.Equal(t, f.Epoch, uint64(2))
 }
 
-func TestLostRenewalIsSettled(t *testing.T) {
-	w := newLeaseWorld(1)
+func TestRenewalWithLostAnswerKeepsLease(t *testing.T) {
+	w := newLeaseFixture(1)
 	a := w.nodes[0]
 	a.Step(t.Context())
 	w.now = w.now.Add(testTerm / 2)
-	w.table.lose = true
+	w.table.loseAnswer = true
 	a.Step(t.Context())
 	w.now = w.now.Add(testTerm / 2)
 	assert.Assert(t, a.Held(testLease))
 }
 
-func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
-	w := newLeaseWorld(2)
+func TestReleasedLeaseIsAcquiredAtOnce(t *testing.T) {
+	w := newLeaseFixture(2)
 	w.nodes[0].Step(t.Context())
 	w.nodes[0].Release(t.Context())
 	w.nodes[1].Step(t.Context())
 	assert.Assert(t, w.nodes[1].Held(testLease))
 }
 
-func TestFenceNeedsAHeldLease(t *testing.T) {
-	w := newLeaseWorld(1)
+func TestFenceRequiresHeldLease(t *testing.T) {
+	w := newLeaseFixture(1)
 	a := w.nodes[0]
 	_, ok := a.Fence(testLease)
 	assert.Assert(t, !ok)
@@ -201,9 +201,9 @@
 }
 
 // A holder's machine is suspended for longer than a term; its steady clock stands still.
-func TestLeasesAreOverAfterASuspension(t *testing.T) {
+func TestLeaseExpiresDuringSuspend(t *testing.T) {
 	m := NewMembers(Member{Name: "vm-0", Incarnation: 1}, time.Second, nil, rand.New(rand.NewPCG(1, 1)))
-	l := newLeases("vm-0", testTerm, newMemTable(), m, quiet)
+	l := newLeases("vm-0", testTerm, newMemTable(), m, discardLog)
 	l.Step(t.Context())
 	assert.Assert(t, l.Held(testLease))
 	boottime.SimulateSuspend(testTerm)
--- a/pkg/control/log.go
+++ b/pkg/control/log.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	rowHead           = "config/head"
-	snapshotName      = "config/snapshot"
-	logRing           = 4096 // Rows of the log in the table service.
-	snapshotEvery     = 64   // Versions between snapshots.
-	readBatch         = 64   // Log rows read at once.
-	keptEntries       = 1024 // Entries kept for peers.
-	settlePause       = 100 * time.Millisecond
-	maxPayloadEntries = 256
+	headRowKey       = "config/head"
+	snapshotObject   = "config/snapshot"
+	logRows          = 4096 // Rows of the log in the table service.
+	snapshotEvery    = 64   // Versions between snapshots.
+	readBatch        = 64   // Log rows read at once.
+	maxKeptEntries   = 1024 // Entries kept for peers.
+	commitRetryPause = 100 * time.Millisecond
+	maxDeltaEntries  = 256
 )
 
 // Log is this node's copy of the configuration log.
@@ -38,7 +38,7 @@
 	objects objectStore
 	log     *slog.Logger
 
-	propose sync.Mutex // One proposal of this node at a time; taken before mu.
+	proposeMu sync.Mutex // One proposal of this node at a time; taken before mu.
 
 	mu       sync.Mutex
 	state    *config.State
@@ -104,7 +104,7 @@
 		return Delta{}
 	}
 	missing := l.state.Version - version
-	if missing > uint64(len(l.entries)) || missing > maxPayloadEntries {
+	if missing > uint64(len(l.entries)) || missing > maxDeltaEntries {
 		return Delta{State: l.state}
 	}
 	return Delta{Entries: l.entries[uint64(len(l.entries))-missing:]}
@@ -145,8 +145,8 @@
 		next = &skipped
 	}
 	l.entries = append(l.entries, e)
-	if len(l.entries) > 2*keptEntries {
-		l.entries = append([]Entry(nil), l.entries[keptEntries:]...)
+	if len(l.entries) > 2*maxKeptEntries {
+		l.entries = append([]Entry(nil), l.entries[maxKeptEntries:]...)
 	}
 	l.setState(next)
 }
@@ -163,7 +163,7 @@
 // Refresh catches up with the table service.
 func (l *Log) Refresh(ctx context.Context) (err error) {
 	defer func() { err = eris.Wrap(err, "refresh configuration") }()
-	rows, err := l.table.Read(ctx, rowHead)
+	rows, err := l.table.Read(ctx, headRowKey)
 	if err != nil {
 		return err
 	}
@@ -173,26 +173,26 @@
 // catchUp reads entries up to a version, from a snapshot if they are gone.
 func (l *Log) catchUp(ctx context.Context, version uint64) error {
 	for {
-		have := l.State().Version
-		if have >= version {
+		current := l.State().Version
+		if current >= version {
 			return nil
 		}
-		if version-have > logRing/2 {
-			if err := l.takeSnapshot(ctx, have); err != nil {
+		if version-current > logRows/2 {
+			if err := l.loadSnapshot(ctx, current); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := l.readEntries(ctx, have, min(version, have+readBatch)); err != nil {
+		if err := l.readEntries(ctx, current, min(version, current+readBatch)); err != nil {
 			return err
 		}
 	}
 }
 
-func (l *Log) readEntries(ctx context.Context, have, upTo uint64) error {
+func (l *Log) readEntries(ctx context.Context, current, upTo uint64) error {
 	var keys []string
-	for v := have + 1; v <= upTo; v++ {
-		keys = append(keys, rowEntry(v))
+	for v := current + 1; v <= upTo; v++ {
+		keys = append(keys, entryRowKey(v))
 	}
 	rows, err := l.table.Read(ctx, keys...)
 	if err != nil {
@@ -203,8 +203,8 @@
 		if err := json.Unmarshal(row.Value, &entries[i]); err != nil {
 			return eris.Wrapf(err, "log row %s", row.Key)
 		}
-		if entries[i].Version != have+1+uint64(i) {
-			return l.takeSnapshot(ctx, have)
+		if entries[i].Version != current+1+uint64(i) {
+			return l.loadSnapshot(ctx, current)
 		}
 	}
 	l.Merge(Delta{Entries: entries})
@@ -215,23 +215,23 @@
 // what is newer; the state of a large fleet is megabytes.
 func (l *Log) Load(ctx context.Context) (err error) {
 	defer func() { err = eris.Wrap(err, "load configuration") }()
-	return l.takeSnapshot(ctx, l.State().Version)
+	return l.loadSnapshot(ctx, l.State().Version)
 }
 
-// takeSnapshot loads the snapshot, which must be newer than what there is.
-func (l *Log) takeSnapshot(ctx context.Context, have uint64) error {
-	var s config.State
-	if err := l.objects.Get(ctx, snapshotName, &s); err != nil {
+// loadSnapshot loads the snapshot, which must be newer than what there is.
+func (l *Log) loadSnapshot(ctx context.Context, current uint64) error {
+	var snapshot config.State
+	if err := l.objects.Get(ctx, snapshotObject, &snapshot); err != nil {
 		return err
 	}
-	if s.Version <= have {
-		return eris.Errorf("snapshot is at version %d, not past %d", s.Version, have)
+	if snapshot.Version <= current {
+		return eris.Errorf("snapshot is at version %d, not past %d", snapshot.Version, current)
 	}
-	l.Merge(Delta{State: &s})
+	l.Merge(Delta{State: &snapshot})
 	return nil
 }
 
-func rowEntry(version uint64) string { return fmt.Sprintf("config/log/%d", version%logRing) }
+func entryRowKey(version uint64) string { return fmt.Sprintf("config/log/%d", version%logRows) }
 
 // Propose has a command accepted and returns its version. With ifVersion not 0
 // the configuration must be at that version. The error is a *ConflictError, a
@@ -239,16 +239,16 @@
 // tablestore.ErrNotApplied.
 func (l *Log) Propose(ctx context.Context, cmd config.Command, ifVersion uint64) (version uint64, err error) {
 	defer func() { err = eris.Wrap(err, "propose") }()
-	l.propose.Lock()
-	defer l.propose.Unlock()
-	for started := l.State().Version; ; {
+	l.proposeMu.Lock()
+	defer l.proposeMu.Unlock()
+	for startVersion := l.State().Version; ; {
 		base := l.State()
 		if ifVersion != 0 && base.Version != ifVersion {
 			return 0, &ConflictError{Wanted: ifVersion, Winner: base.Version}
 		}
 		if _, err := base.Apply(cmd); err != nil {
-			if other, ok := l.sameObject(cmd, started); ok {
-				return 0, &ConflictError{Winner: other.Version, With: other.Command.String()}
+			if other, ok := l.findSameObject(cmd, startVersion); ok {
+				return 0, &ConflictError{Winner: other.Version, WinnerCommand: other.Command.String()}
 			}
 			return 0, err
 		}
@@ -259,21 +259,21 @@
 		}
 		if won {
 			l.Merge(Delta{Entries: []Entry{entry}})
-			l.snapshot(ctx, entry.Version)
+			l.writeSnapshotIfDue(ctx, entry.Version)
 			return entry.Version, nil
 		}
 		if err := l.Refresh(ctx); err != nil {
 			return 0, eris.Wrap(tablestore.ErrNotApplied, err.Error())
 		}
-		if other, ok := l.sameObject(cmd, started); ok {
-			return 0, &ConflictError{Winner: other.Version, With: other.Command.String()}
+		if other, ok := l.findSameObject(cmd, startVersion); ok {
+			return 0, &ConflictError{Winner: other.Version, WinnerCommand: other.Command.String()}
 		}
 	}
 }
 
-// sameObject finds an entry after a version that changed the command's object.
-func (l *Log) sameObject(cmd config.Command, after uint64) (Entry, bool) {
-	for _, e := range l.Recent(keptEntries) {
+// findSameObject finds an entry after a version that changed the command's object.
+func (l *Log) findSameObject(cmd config.Command, after uint64) (Entry, bool) {
+	for _, e := range l.Recent(maxKeptEntries) {
 		if e.Version > after && e.Command.Kind == cmd.Kind && e.Command.Name == cmd.Name {
 			return e, true
 		}
@@ -290,7 +290,7 @@
 	if err != nil {
 		return false, err
 	}
-	unsure := false
+	outcomeUnknown := false
 	for {
 		err := l.table.Commit(ctx, txn)
 		var conflict *tablestore.ConflictError
@@ -298,23 +298,23 @@
 		case err == nil:
 			return true, nil
 		case errors.As(err, &conflict):
-			if !unsure {
+			if !outcomeUnknown {
 				return false, nil
 			}
-			if won, err := l.isOurs(ctx, e); err == nil {
+			if won, err := l.isOwnEntry(ctx, e); err == nil {
 				return won, nil
 			}
 		case errors.Is(err, tablestore.ErrNotApplied):
-			if !unsure {
+			if !outcomeUnknown {
 				return false, err
 			}
 		default:
-			unsure = true
+			outcomeUnknown = true
 		}
 		select {
 		case <-ctx.Done():
 			return false, &OutcomeUnknownError{Version: e.Version, Nonce: e.Nonce}
-		case <-time.After(settlePause):
+		case <-time.After(commitRetryPause):
 		}
 	}
 }
@@ -324,19 +324,19 @@
 	if err != nil {
 		return tablestore.Txn{}, err
 	}
-	headBody, err := json.Marshal(head{Version: e.Version})
+	headBody, err := json.Marshal(headRow{Version: e.Version})
 	if err != nil {
 		return tablestore.Txn{}, err
 	}
 	return tablestore.Txn{
-		Conditions: []tablestore.Condition{{Key: rowHead, Version: e.Version - 1}},
-		Puts:       []tablestore.Put{{Key: rowHead, Value: headBody}, {Key: rowEntry(e.Version), Value: body}},
+		Conditions: []tablestore.Condition{{Key: headRowKey, Version: e.Version - 1}},
+		Puts:       []tablestore.Put{{Key: headRowKey, Value: headBody}, {Key: entryRowKey(e.Version), Value: body}},
 	}, nil
 }
 
-// isOurs reads back whose entry a version is.
-func (l *Log) isOurs(ctx context.Context, e Entry) (bool, error) {
-	rows, err := l.table.Read(ctx, rowEntry(e.Version))
+// isOwnEntry reads back whose entry a version is.
+func (l *Log) isOwnEntry(ctx context.Context, e Entry) (bool, error) {
+	rows, err := l.table.Read(ctx, entryRowKey(e.Version))
 	if err != nil {
 		return false, err
 	}
@@ -350,12 +350,12 @@
 	return found.Nonce == e.Nonce, nil
 }
 
-// snapshot writes a snapshot now and then; a failed one is made up by the next.
-func (l *Log) snapshot(ctx context.Context, version uint64) {
+// writeSnapshotIfDue writes a snapshot now and then; a failed one is made up by the next.
+func (l *Log) writeSnapshotIfDue(ctx context.Context, version uint64) {
 	if version%snapshotEvery != 0 {
 		return
 	}
-	if err := l.objects.Put(ctx, snapshotName, l.State()); err != nil {
+	if err := l.objects.Put(ctx, snapshotObject, l.State()); err != nil {
 		l.log.Warn("snapshot not written", "version", version, "err", err)
 	}
 }
--- a/pkg/control/log_test.go
+++ b/pkg/control/log_test.go
@@ -19,7 +19,7 @@
 
 const testTimeout = 300 * time.Millisecond
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 type fixture struct {
 	table   *standin.Table
@@ -44,7 +44,7 @@
 	}
 }
 
-func (f *fixture) log(node string) *Log { return newLog(node, f.client, f.store, quiet) }
+func (f *fixture) log(node string) *Log { return newLog(node, f.client, f.store, discardLog) }
 
 func createModel(name string) config.Command {
 	return config.Command{
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestProposeSettlesALostAnswer(t *testing.T) {
+func TestProposeSucceedsAfterLostCommitAnswer(t *testing.T) {
 	f := newFixture(t)
 	l := f.log("a")
 	f.table.SetFault(standin.Fault{LoseAnswers: 1, Path: tablestore.PathCommit})
@@ -65,7 +65,7 @@
 	assert.Equal(t, f.table.Commits(), 1)
 }
 
-func TestProposeSettlesALateWrite(t *testing.T) {
+func TestProposeCommitsOnceWhenWriteLandsLate(t *testing.T) {
 	f := newFixture(t)
 	l := f.log("a")
 	f.table.SetFault(standin.Fault{LoseAnswers: 1, LateMillis: 200, Path: tablestore.PathCommit})
@@ -76,7 +76,7 @@
 	assert.Equal(t, f.table.Commits(), 1, "the late write must not land as well")
 }
 
-func TestProposeInOutageSaysUnknownOrNotApplied(t *testing.T) {
+func TestProposeDuringOutageReturnsUnknownOrNotApplied(t *testing.T) {
 	f := newFixture(t)
 	l := f.log("a")
 	f.table.SetFault(standin.Fault{Down: true})
@@ -87,7 +87,7 @@
 	assert.Assert(t, errors.As(err, &unknown) || errors.Is(err, tablestore.ErrNotApplied), "%v", err)
 }
 
-func TestConflictsAreTyped(t *testing.T) {
+func TestProposeReturnsConflictError(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.log("a"), f.log("b")
 	_, err := a.Propose(t.Context(), createModel("m"), 0)
@@ -103,7 +103,7 @@
 	assert.Equal(t, v, uint64(2))
 }
 
-func TestNewNodeCatchesUpPastTheRing(t *testing.T) {
+func TestNewNodeCatchesUpFromSnapshotEntriesOrDelta(t *testing.T) {
 	f := newFixture(t)
 	a := f.log("a")
 	for i := range 3 * snapshotEvery {
@@ -123,7 +123,7 @@
 	assert.Equal(t, d.State().Version, uint64(3*snapshotEvery))
 }
 
-func TestTakeNeverStepsBack(t *testing.T) {
+func TestMergeNeverLowersVersion(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.log("a"), f.log("b")
 	_, err := a.Propose(t.Context(), createModel("m1"), 0)
@@ -164,7 +164,7 @@
 	},
 }
 
-func TestLogHistoryUnderFaults(t *testing.T) {
+func TestLogHistoryIsLinearizableUnderFaults(t *testing.T) {
 	f := newFixture(t)
 	var mu sync.Mutex
 	var ops []porcupine.Operation
@@ -172,7 +172,7 @@
 	var wg sync.WaitGroup
 	for node := range 4 {
 		wg.Go(func() {
-			l := newLog(fmt.Sprint("n", node), tablestore.NewTable(f.table.Addr(), testTimeout), f.store, quiet)
+			l := newLog(fmt.Sprint("n", node), tablestore.NewTable(f.table.Addr(), testTimeout), f.store, discardLog)
 			for i := range 8 {
 				in := logInput{name: fmt.Sprintf("m-%d-%d", node, i)}
 				call := time.Since(start)
--- a/pkg/control/member.go
+++ b/pkg/control/member.go
@@ -47,21 +47,21 @@
 	return m.State > old.State
 }
 
-// wideShare is the part of the widest link that a node's link must have for the
+// minWidestLinkShare is the part of the widest link that a node's link must have for the
 // node to be among the widest.
-const wideShare = 0.5
+const minWidestLinkShare = 0.5
 
 // WithWidestLinks lists the members whose links are about as wide as the widest one's.
 // Duties that send much fall to these: a node with a narrow link would hold up all
 // that wait for it, and its own requests.
 func WithWidestLinks(members []Member) []Member {
-	most := 0.0
+	widest := 0.0
 	for _, m := range members {
-		most = max(most, m.Link)
+		widest = max(widest, m.Link)
 	}
 	var list []Member
 	for _, m := range members {
-		if m.Link >= wideShare*most {
+		if m.Link >= minWidestLinkShare*widest {
 			list = append(list, m)
 		}
 	}
--- a/pkg/control/members.go
+++ b/pkg/control/members.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// ackShare is the share of a period after which others are asked.
-	ackShare = 3
+	// ackTimeoutDivisor is the share of a period after which others are asked.
+	ackTimeoutDivisor = 3
 	// indirectProbes is how many others are asked to probe a silent node.
 	indirectProbes = 3
-	// maxUpdates bounds a probe's size whatever the fleet's, and nearUpdates that of one within
+	// maxRemoteUpdates bounds a probe's size whatever the fleet's, and nearUpdates that of one within
 	// a data hall, where bytes are not paid for: with 6 there as well, that a hall of 98
 	// nodes was lost took 295 nodes 63 periods to tell, with 30 18.
-	maxUpdates  = 6
-	nearUpdates = 30
+	maxRemoteUpdates = 6
+	maxLocalUpdates  = 30
 	// spreadFactor times log2 of the fleet is how often an update is sent on.
 	spreadFactor = 3
-	// knownWeight is how much being told what one tells oneself counts against telling it
+	// duplicateWeight is how much being told what one tells oneself counts against telling it
 	// again: somebody else knew it already. Over 40 periods from a start of all of 71 nodes
 	// probes take 317 bytes a node and period to other halls with it, 417 without.
-	knownWeight = 2
-	// nearBoost is how much more seldom than at random members of other halls are probed
+	duplicateWeight = 2
+	// localProbeBoost is how much more seldom than at random members of other halls are probed
 	// where a hall has nearEnough others to be probed often: bytes between halls are paid for.
-	nearBoost  = 4
-	nearEnough = 8
+	localProbeBoost          = 4
+	localMembersForFullBoost = 8
 	// suspectPeriods times log10 of the fleet is how long a node is suspect.
 	suspectPeriods = 4
-	// deadTerm is how long the dead are remembered, so that old news of them
+	// deadRetention is how long the dead are remembered, so that old news of them
 	// isn't taken for new.
-	deadTerm = 10 * time.Minute
-	// reachPeriods is every how many periods a dead node or a seed is probed,
+	deadRetention = 10 * time.Minute
+	// rejoinProbePeriods is every how many periods a dead node or a seed is probed,
 	// so that halves of a cut fleet find each other again.
-	reachPeriods = 8
+	rejoinProbePeriods = 8
 )
 
 // Members is this node's view of the fleet.
@@ -46,21 +46,21 @@
 // until most seem to know it, so the cost a second is the same at any size. It does no
 // I/O: Tick and Handle return what is to be sent.
 type Members struct {
-	mu     sync.Mutex
-	self   Member
-	period time.Duration
-	rng    *rand.Rand
-	seeds  []netip.AddrPort
-	known  map[string]*memberEntry
-	byPeer map[netip.AddrPort]string
-	near   []string // Members of the own hall that are yet to be probed in this round.
-	far    []string // Those of other halls.
-	seq    uint64
-	ticks  int
-	awaits map[uint64]*await
-	news   map[string]int // Member to how often its update was sent.
-	watch  []func()
-	view   *View // Nil when out of date.
+	mu            sync.Mutex
+	self          Member
+	period        time.Duration
+	rng           *rand.Rand
+	seeds         []netip.AddrPort
+	known         map[string]*memberEntry
+	byPeer        map[netip.AddrPort]string
+	localRound    []string // Members of the own hall that are yet to be probed in this round.
+	remoteRound   []string // Those of other halls.
+	seq           uint64
+	ticks         int
+	pendingProbes map[uint64]*pendingProbe
+	updateSends   map[string]int // Member to how often its update was sent.
+	watchers      []func()
+	view          *View // Nil when out of date.
 	// generation rises with each change of who works.
 	generation uint64
 }
@@ -70,13 +70,13 @@
 	since time.Time // When it came into its state.
 }
 
-// await is a probe that has not been answered.
-type await struct {
-	target  Member
-	sent    time.Time
-	asked   bool
-	origin  netip.AddrPort // Who asked for it, if it is an indirect one.
-	originQ uint64
+// pendingProbe is a probe that has not been answered.
+type pendingProbe struct {
+	target       Member
+	sent         time.Time
+	indirectSent bool
+	requester    netip.AddrPort // Who asked for it, if it is an indirect one.
+	requesterSeq uint64
 }
 
 // NewMembers returns a view that knows only this node and the seeds' addresses.
@@ -86,17 +86,17 @@
 		self.Incarnation = uint64(time.Now().UnixMilli())
 	}
 	m := &Members{
-		self:   self,
-		period: period,
-		rng:    rng,
-		seeds:  seeds,
-		known:  map[string]*memberEntry{},
-		byPeer: map[netip.AddrPort]string{},
-		awaits: map[uint64]*await{},
-		news:   map[string]int{},
+		self:          self,
+		period:        period,
+		rng:           rng,
+		seeds:         seeds,
+		known:         map[string]*memberEntry{},
+		byPeer:        map[netip.AddrPort]string{},
+		pendingProbes: map[uint64]*pendingProbe{},
+		updateSends:   map[string]int{},
 	}
 	m.known[self.Name] = &memberEntry{Member: self}
-	m.news[self.Name] = 0
+	m.updateSends[self.Name] = 0
 	return m
 }
 
@@ -104,7 +104,7 @@
 func (m *Members) Watch(fn func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.watch = append(m.watch, fn)
+	m.watchers = append(m.watchers, fn)
 }
 
 // AddSeed adds an address at which there should be a node.
@@ -144,7 +144,7 @@
 	m.mu.Lock()
 	m.self.Incarnation++
 	m.self.State = MemberLeaving
-	m.set(m.self, now)
+	m.setMember(m.self, now)
 	var out []Packet
 	for _, e := range m.known {
 		if e.Name != m.self.Name && e.State != MemberDead {
@@ -155,7 +155,7 @@
 		}
 	}
 	m.mu.Unlock()
-	m.notify()
+	m.notifyWatchers()
 	return out
 }
 
@@ -168,10 +168,10 @@
 	m.mu.Lock()
 	changed := m.expire(now)
 	out := m.probeNext(now)
-	m.stamp(out, version)
+	m.setConfigVersion(out, version)
 	m.mu.Unlock()
 	if changed {
-		m.notify()
+		m.notifyWatchers()
 	}
 	return out
 }
@@ -182,12 +182,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Packet
-	for seq, a := range m.awaits {
-		if a.asked || a.origin.IsValid() || now.Sub(a.sent) < m.period/ackShare {
+	for seq, a := range m.pendingProbes {
+		if a.indirectSent || a.requester.IsValid() || now.Sub(a.sent) < m.period/ackTimeoutDivisor {
 			continue
 		}
-		a.asked = true
-		for _, helper := range m.helpers(a.target.Name) {
+		a.indirectSent = true
+		for _, helper := range m.pickHelpers(a.target.Name) {
 			out = append(out, m.packet(helper.Peer, Probe{
 				Kind:       ProbeIndirect,
 				Seq:        seq,
@@ -196,7 +196,7 @@
 			}))
 		}
 	}
-	m.stamp(out, version)
+	m.setConfigVersion(out, version)
 	return out
 }
 
@@ -210,20 +210,20 @@
 		out = append(out, m.packet(from, Probe{Kind: ProbeAck, Seq: p.Seq, Bare: p.Bare}))
 	case ProbeIndirect:
 		seq := m.nextSeq()
-		m.awaits[seq] = &await{sent: now, origin: from, originQ: p.Seq, target: Member{Name: p.TargetName}}
+		m.pendingProbes[seq] = &pendingProbe{sent: now, requester: from, requesterSeq: p.Seq, target: Member{Name: p.TargetName}}
 		out = append(out, m.packet(p.Target, Probe{Kind: ProbePing, Seq: seq}))
 	case ProbeAck:
-		if a, ok := m.awaits[p.Seq]; ok {
-			delete(m.awaits, p.Seq)
-			if a.origin.IsValid() {
-				out = append(out, m.packet(a.origin, Probe{Kind: ProbeAck, Seq: a.originQ}))
+		if a, ok := m.pendingProbes[p.Seq]; ok {
+			delete(m.pendingProbes, p.Seq)
+			if a.requester.IsValid() {
+				out = append(out, m.packet(a.requester, Probe{Kind: ProbeAck, Seq: a.requesterSeq}))
 			}
 		}
 	}
-	m.stamp(out, version)
+	m.setConfigVersion(out, version)
 	m.mu.Unlock()
 	if changed {
-		m.notify()
+		m.notifyWatchers()
 	}
 	return out
 }
@@ -234,15 +234,15 @@
 	changed := m.merge(list, now)
 	m.mu.Unlock()
 	if changed {
-		m.notify()
+		m.notifyWatchers()
 	}
 }
 
-func (m *Members) notify() {
+func (m *Members) notifyWatchers() {
 	m.mu.Lock()
-	watch := slices.Clone(m.watch)
+	watchers := slices.Clone(m.watchers)
 	m.mu.Unlock()
-	for _, fn := range watch {
+	for _, fn := range watchers {
 		fn()
 	}
 }
--- a/pkg/control/members_probing.go
+++ b/pkg/control/members_probing.go
@@ -11,13 +11,13 @@
 // expire turns silent members suspect, suspects dead, and forgets the long
 // dead.
 func (m *Members) expire(now time.Time) (changed bool) {
-	for seq, a := range m.awaits {
+	for seq, a := range m.pendingProbes {
 		if now.Sub(a.sent) < m.period {
 			continue
 		}
-		delete(m.awaits, seq)
+		delete(m.pendingProbes, seq)
 		e, known := m.known[a.target.Name]
-		if a.origin.IsValid() || !known || e.State == MemberDead || e.State == MemberSuspect {
+		if a.requester.IsValid() || !known || e.State == MemberDead || e.State == MemberSuspect {
 			continue
 		}
 		u := e.Member
@@ -26,21 +26,21 @@
 		if e.State == MemberLeaving {
 			u.State = MemberDead
 		}
-		m.set(u, now)
+		m.setMember(u, now)
 		changed = true
 	}
-	term := time.Duration(suspectPeriods*max(1, math.Log10(float64(len(m.known)+1)))) * m.period
+	suspectTimeout := time.Duration(suspectPeriods*max(1, math.Log10(float64(len(m.known)+1)))) * m.period
 	for name, e := range m.known {
 		switch {
-		case e.State == MemberSuspect && now.Sub(e.since) >= term:
+		case e.State == MemberSuspect && now.Sub(e.since) >= suspectTimeout:
 			u := e.Member
 			u.State = MemberDead
-			m.set(u, now)
+			m.setMember(u, now)
 			changed = true
-		case e.State == MemberDead && now.Sub(e.since) >= deadTerm:
+		case e.State == MemberDead && now.Sub(e.since) >= deadRetention:
 			delete(m.known, name)
 			delete(m.byPeer, e.Peer)
-			delete(m.news, name)
+			delete(m.updateSends, name)
 			m.view = nil
 		}
 	}
@@ -51,17 +51,17 @@
 // known as a seed.
 func (m *Members) probeNext(now time.Time) []Packet {
 	m.ticks++
-	near, far, doubt := m.countOthers()
+	local, remote, remoteSuspect := m.countOthers()
 	var out []Packet
-	isFar := m.rng.Float64() < farShare(near, far)
-	if isFar || doubt {
-		out = m.probeOne(out, &m.far, true, now)
+	probeRemote := m.rng.Float64() < remoteShare(local, remote)
+	if probeRemote || remoteSuspect {
+		out = m.probeOne(out, &m.remoteRound, true, now)
 	}
-	if !isFar || len(out) == 0 {
-		out = m.probeOne(out, &m.near, false, now)
+	if !probeRemote || len(out) == 0 {
+		out = m.probeOne(out, &m.localRound, false, now)
 	}
-	if len(out) == 0 || m.ticks%reachPeriods == 0 {
-		if addr, ok := m.lost(); ok {
+	if len(out) == 0 || m.ticks%rejoinProbePeriods == 0 {
+		if addr, ok := m.pickUnreachable(); ok {
 			out = append(out, m.packet(addr, Probe{Kind: ProbePing, Seq: m.nextSeq()}))
 		}
 	}
@@ -70,36 +70,36 @@
 
 // countOthers counts the members of the own hall and of others that may be probed; doubt says
 // that one of the latter is suspect, as when a hall is lost: then they are probed each time.
-func (m *Members) countOthers() (near, far int, doubt bool) {
+func (m *Members) countOthers() (local, remote int, remoteSuspect bool) {
 	for name, e := range m.known {
 		switch {
 		case name == m.self.Name || e.State == MemberDead:
 		case e.DataHall == m.self.DataHall:
-			near++
+			local++
 		default:
-			far++
-			doubt = doubt || e.State == MemberSuspect
+			remote++
+			remoteSuspect = remoteSuspect || e.State == MemberSuspect
 		}
 	}
-	return near, far, doubt
+	return local, remote, remoteSuspect
 }
 
 // farShare is the share of probes that go to other halls: as many as at random where the own
 // hall has nobody else, and the fewer the more it has, down to a nearBoost part. Members of
 // large halls are probed by each other instead, and what happens there is told on.
-func farShare(near, far int) float64 {
-	if far == 0 {
+func remoteShare(local, remote int) float64 {
+	if remote == 0 {
 		return 0
 	}
-	boost := 1 + (nearBoost-1)*min(1, float64(near)/nearEnough)
-	return float64(far) / float64(near+far) / boost
+	reduction := 1 + (localProbeBoost-1)*min(1, float64(local)/localMembersForFullBoost)
+	return float64(remote) / float64(local+remote) / reduction
 }
 
 // probeOne probes the next member of one of the rounds.
-func (m *Members) probeOne(out []Packet, round *[]string, far bool, now time.Time) []Packet {
+func (m *Members) probeOne(out []Packet, round *[]string, remote bool, now time.Time) []Packet {
 	for range len(m.known) {
 		if len(*round) == 0 {
-			*round = m.newRound(far)
+			*round = m.newRound(remote)
 		}
 		if len(*round) == 0 {
 			break
@@ -111,16 +111,16 @@
 			continue
 		}
 		seq := m.nextSeq()
-		m.awaits[seq] = &await{target: e.Member, sent: now}
+		m.pendingProbes[seq] = &pendingProbe{target: e.Member, sent: now}
 		return append(out, m.packet(e.Peer, Probe{Kind: ProbePing, Seq: seq}))
 	}
 	return out
 }
 
 // newRound lists the members of the own hall or of the others in a random order.
-func (m *Members) newRound(far bool) (round []string) {
+func (m *Members) newRound(remote bool) (round []string) {
 	for name, e := range m.known {
-		if name != m.self.Name && e.State != MemberDead && (e.DataHall != m.self.DataHall) == far {
+		if name != m.self.Name && e.State != MemberDead && (e.DataHall != m.self.DataHall) == remote {
 			round = append(round, name)
 		}
 	}
@@ -129,8 +129,8 @@
 	return round
 }
 
-// lost picks a dead member or a seed that no working member has.
-func (m *Members) lost() (netip.AddrPort, bool) {
+// pickUnreachable picks a dead member or a seed that no working member has.
+func (m *Members) pickUnreachable() (netip.AddrPort, bool) {
 	var addrs []netip.AddrPort
 	working := map[netip.AddrPort]bool{m.self.Peer: true}
 	for _, e := range m.known {
@@ -154,8 +154,8 @@
 	return addrs[m.rng.IntN(len(addrs))], true
 }
 
-// helpers picks members for indirect probes.
-func (m *Members) helpers(target string) []Member {
+// pickHelpers picks members for indirect probes.
+func (m *Members) pickHelpers(target string) []Member {
 	var list []Member
 	for _, e := range m.known {
 		if e.State == MemberAlive && e.Name != m.self.Name && e.Name != target {
--- a/pkg/control/members_test.go
+++ b/pkg/control/members_test.go
@@ -16,21 +16,21 @@
 
 // testFleet passes probes between views, in memory and in order.
 type testFleet struct {
-	now   time.Time
-	views []*Members
-	byAdr map[netip.AddrPort]int
-	cut   func(from, to int) bool
+	now     time.Time
+	views   []*Members
+	byAddr  map[netip.AddrPort]int
+	blocked func(from, to int) bool
 	// suspended is a view whose machine is suspended: it neither sends nor is told the time.
 	suspended int
 	bytes     []int // Sent by each view.
-	sent      func(from, to, bytes int)
+	onSend    func(from, to, bytes int)
 }
 
 func newTestFleet(n int) *testFleet {
-	f := &testFleet{now: testNow, byAdr: map[netip.AddrPort]int{}, suspended: -1, bytes: make([]int, n)}
-	f.cut = func(int, int) bool { return false }
+	f := &testFleet{now: testNow, byAddr: map[netip.AddrPort]int{}, suspended: -1, bytes: make([]int, n)}
+	f.blocked = func(int, int) bool { return false }
 	for i := range n {
-		f.byAdr[testAddr(i)] = i
+		f.byAddr[testAddr(i)] = i
 		f.views = append(f.views, newTestView(i, 1))
 	}
 	return f
@@ -51,11 +51,11 @@
 	for _, p := range out {
 		body, _ := json.Marshal(p.Probe)
 		f.bytes[from] += len(body)
-		to, known := f.byAdr[p.To]
-		if known && f.sent != nil {
-			f.sent(from, to, len(body))
+		to, known := f.byAddr[p.To]
+		if known && f.onSend != nil {
+			f.onSend(from, to, len(body))
 		}
-		if !known || f.cut(from, to) {
+		if !known || f.blocked(from, to) {
 			continue
 		}
 		var probe Probe
@@ -91,7 +91,7 @@
 	return MemberDead
 }
 
-func TestMembersFindEachOther(t *testing.T) {
+func TestAllMembersDiscoverEachOther(t *testing.T) {
 	f := newTestFleet(30)
 	f.run(40)
 	for _, v := range f.views {
@@ -99,24 +99,24 @@
 	}
 }
 
-func TestSilentMemberIsFoundDeadAndReturns(t *testing.T) {
+func TestUnreachableMemberIsMarkedDeadAndRejoins(t *testing.T) {
 	f := newTestFleet(8)
 	f.run(30)
-	f.cut = func(from, to int) bool { return from == 3 || to == 3 }
+	f.blocked = func(from, to int) bool { return from == 3 || to == 3 }
 	f.run(30)
 	assert.Equal(t, f.stateOf(0, 3), MemberDead)
-	f.cut = func(int, int) bool { return false }
+	f.blocked = func(int, int) bool { return false }
 	f.run(40)
 	assert.Equal(t, f.stateOf(0, 3), MemberAlive)
 }
 
 // A member whose machine was suspended is held for dead meanwhile, and refutes that; it has
 // missed the steady clock's time and holds nobody else for dead.
-func TestSuspendedMemberReturns(t *testing.T) {
+func TestSuspendedMemberRejoins(t *testing.T) {
 	f := newTestFleet(8)
 	f.run(30)
 	f.suspended = 3
-	f.cut = func(from, to int) bool { return from == 3 || to == 3 }
+	f.blocked = func(from, to int) bool { return from == 3 || to == 3 }
 	f.run(30)
 	for viewer := range f.views {
 		if viewer != 3 {
@@ -125,7 +125,7 @@
 		assert.Equal(t, f.stateOf(3, viewer), MemberAlive)
 	}
 	f.suspended = -1
-	f.cut = func(int, int) bool { return false }
+	f.blocked = func(int, int) bool { return false }
 	f.run(10)
 	for viewer := range f.views {
 		assert.Equal(t, f.stateOf(viewer, 3), MemberAlive)
@@ -133,10 +133,10 @@
 	}
 }
 
-func TestCutBetweenTwoIsBridgedByOthers(t *testing.T) {
+func TestIndirectProbesKeepMemberAliveDuringPairwisePartition(t *testing.T) {
 	f := newTestFleet(8)
 	f.run(30)
-	f.cut = func(from, to int) bool { return (from == 1 && to == 2) || (from == 2 && to == 1) }
+	f.blocked = func(from, to int) bool { return (from == 1 && to == 2) || (from == 2 && to == 1) }
 	for range 60 {
 		f.run(1)
 		for viewer := range f.views {
@@ -145,20 +145,20 @@
 	}
 }
 
-func TestHalvesFindEachOtherAfterACut(t *testing.T) {
+func TestHalvesRejoinAfterPartition(t *testing.T) {
 	f := newTestFleet(10)
 	f.run(30)
-	f.cut = func(from, to int) bool { return (from < 5) != (to < 5) }
+	f.blocked = func(from, to int) bool { return (from < 5) != (to < 5) }
 	f.run(60)
 	assert.Equal(t, len(f.views[0].Working()), 5)
-	f.cut = func(int, int) bool { return false }
+	f.blocked = func(int, int) bool { return false }
 	f.run(120)
 	for _, v := range f.views {
 		assert.Equal(t, len(v.Working()), 10)
 	}
 }
 
-func TestLeavingIsKnownWithinSeconds(t *testing.T) {
+func TestLeavingMemberIsKnownWithinThreePeriods(t *testing.T) {
 	f := newTestFleet(30)
 	f.run(40)
 	f.send(4, f.views[4].Leave(f.now))
@@ -168,12 +168,12 @@
 	}
 }
 
-func TestRestartedNodeOutbidsItsLastLife(t *testing.T) {
+func TestRestartedNodeReplacesItsDeadRecord(t *testing.T) {
 	f := newTestFleet(8)
 	f.run(30)
-	f.cut = func(from, to int) bool { return from == 3 || to == 3 }
+	f.blocked = func(from, to int) bool { return from == 3 || to == 3 }
 	f.run(30)
-	f.cut = func(int, int) bool { return false }
+	f.blocked = func(int, int) bool { return false }
 	f.views[3] = newTestView(3, 2)
 	f.run(20)
 	assert.Equal(t, f.stateOf(0, 3), MemberAlive)
@@ -181,7 +181,7 @@
 
 // A node that starts anew knows only addresses. Those that have been there for long
 // are in nobody's news any more, and it must learn of all of them all the same.
-func TestRestartedNodeLearnsOfAllOthersAtOnce(t *testing.T) {
+func TestRestartedNodeLearnsOfAllMembersAtOnce(t *testing.T) {
 	const nodes = 9
 	f := newTestFleet(nodes)
 	f.run(60)
@@ -202,7 +202,7 @@
 	}
 }
 
-func TestOwnerMovesOnlyWhatItMust(t *testing.T) {
+func TestMemberLossMovesOnlyItsOwnDuties(t *testing.T) {
 	f := newTestFleet(30)
 	f.run(40)
 	all := f.views[0].Working()
@@ -247,9 +247,9 @@
 	}
 }
 
-// spread passes periods until every view has heard of a version that one node
+// periodsToSpread passes periods until every view has heard of a version that one node
 // has, as probes carry it, and returns how many it took.
-func (f *testFleet) spread() int {
+func (f *testFleet) periodsToSpread() int {
 	has := make([]bool, len(f.views))
 	has[0] = true
 	version := func(i int) uint64 {
@@ -261,7 +261,7 @@
 	var deliver func(from int, out []Packet)
 	deliver = func(from int, out []Packet) {
 		for _, p := range out {
-			to, known := f.byAdr[p.To]
+			to, known := f.byAddr[p.To]
 			if !known {
 				continue
 			}
@@ -286,7 +286,7 @@
 		for i := range f.views {
 			v.Merge([]Member{{Name: fmt.Sprint("vm-", i), Peer: testAddr(i), DataHall: "north", Incarnation: 1}}, f.now)
 		}
-		clear(v.news)
+		clear(v.updateSends)
 	}
 }
 
@@ -299,7 +299,7 @@
 			f.knowAll()
 			total, worst, runs := 0, 0, 0
 			for b.Loop() {
-				periods := f.spread()
+				periods := f.periodsToSpread()
 				total += periods
 				worst = max(worst, periods)
 				runs++
--- a/pkg/control/members_news.go
+++ b/pkg/control/members_updates.go
@@ -21,7 +21,7 @@
 func (m *Members) packet(to netip.AddrPort, p Probe) Packet {
 	p.From = m.self.Name
 	if !p.Bare {
-		p.Updates = m.takeNews(m.mostNews(to))
+		p.Updates = m.takeUpdates(m.maxUpdatesTo(to))
 	}
 	if !slices.ContainsFunc(p.Updates, func(u Member) bool { return u.Name == m.self.Name }) {
 		p.Updates = append(p.Updates, m.self)
@@ -32,45 +32,45 @@
 	return Packet{To: to, Probe: p}
 }
 
-func (m *Members) stamp(out []Packet, version uint64) {
+func (m *Members) setConfigVersion(out []Packet, version uint64) {
 	for i := range out {
 		out[i].Probe.Version = version
 	}
 }
 
-// mostNews is how many news a probe takes to a member.
-func (m *Members) mostNews(to netip.AddrPort) int {
+// maxUpdatesTo is how many news a probe takes to a member.
+func (m *Members) maxUpdatesTo(to netip.AddrPort) int {
 	if e := m.known[m.byPeer[to]]; e != nil && e.DataHall == m.self.DataHall {
-		return nearUpdates
+		return maxLocalUpdates
 	}
-	return maxUpdates
+	return maxRemoteUpdates
 }
 
-// takeNews picks the updates that were sent least often.
-func (m *Members) takeNews(most int) []Member {
-	names := make([]string, 0, len(m.news))
-	for name := range m.news {
+// takeUpdates picks the updates that were sent least often.
+func (m *Members) takeUpdates(limit int) []Member {
+	names := make([]string, 0, len(m.updateSends))
+	for name := range m.updateSends {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		return cmp.Or(cmp.Compare(m.news[a], m.news[b]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(m.updateSends[a], m.updateSends[b]), cmp.Compare(a, b))
 	})
 	var list []Member
-	for _, name := range names[:min(len(names), most)] {
+	for _, name := range names[:min(len(names), limit)] {
 		list = append(list, m.known[name].Member)
-		m.toldOf(name, 1)
+		m.countSent(name, 1)
 	}
 	return list
 }
 
-// toldOf notes how often news was told, or met somebody who knew it.
-func (m *Members) toldOf(name string, times int) {
-	if _, news := m.news[name]; !news {
+// countSent notes how often news was told, or met somebody who knew it.
+func (m *Members) countSent(name string, times int) {
+	if _, pending := m.updateSends[name]; !pending {
 		return
 	}
-	m.news[name] += times
-	if m.news[name] >= spreadFactor*int(math.Ceil(math.Log2(float64(len(m.known)+1)))) {
-		delete(m.news, name)
+	m.updateSends[name] += times
+	if m.updateSends[name] >= spreadFactor*int(math.Ceil(math.Log2(float64(len(m.known)+1)))) {
+		delete(m.updateSends, name)
 	}
 }
 
@@ -84,14 +84,14 @@
 		old, known := m.known[u.Name]
 		if known && !u.newer(old.Member) {
 			if !old.newer(u) {
-				m.toldOf(u.Name, knownWeight)
+				m.countSent(u.Name, duplicateWeight)
 			}
 			continue
 		}
 		if !known && u.State == MemberDead {
 			continue
 		}
-		m.set(u, now)
+		m.setMember(u, now)
 		changed = true
 	}
 	return changed
@@ -103,16 +103,16 @@
 		return
 	}
 	m.self.Incarnation = u.Incarnation + 1
-	m.set(m.self, now)
+	m.setMember(m.self, now)
 }
 
-func (m *Members) set(u Member, now time.Time) {
+func (m *Members) setMember(u Member, now time.Time) {
 	u.hash = xxhash.Sum64String(u.Name)
 	if old := m.known[u.Name]; old == nil || old.Working() != u.Working() {
 		m.generation++
 	}
 	m.known[u.Name] = &memberEntry{Member: u, since: now}
 	m.byPeer[u.Peer] = u.Name
-	m.news[u.Name] = 0
+	m.updateSends[u.Name] = 0
 	m.view = nil
 }
--- a/pkg/control/view.go
+++ b/pkg/control/view.go
@@ -61,20 +61,20 @@
 		v.All = append(v.All, e.Member)
 	}
 	slices.SortFunc(v.All, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	for _, x := range v.All {
-		hall := v.halls[x.DataHall]
-		if x.State != MemberDead {
-			hall.Present = append(hall.Present, x)
+	for _, member := range v.All {
+		hall := v.halls[member.DataHall]
+		if member.State != MemberDead {
+			hall.Present = append(hall.Present, member)
 		}
-		if x.Working() {
-			v.Working = append(v.Working, x)
-			hall.Working = append(hall.Working, x)
+		if member.Working() {
+			v.Working = append(v.Working, member)
+			hall.Working = append(hall.Working, member)
 		}
-		if x.State == MemberAlive {
-			v.Alive = append(v.Alive, x)
-			hall.Alive = append(hall.Alive, x)
+		if member.State == MemberAlive {
+			v.Alive = append(v.Alive, member)
+			hall.Alive = append(hall.Alive, member)
 		}
-		v.halls[x.DataHall] = hall
+		v.halls[member.DataHall] = hall
 	}
 	return v
 }
@@ -82,16 +82,16 @@
 // Recipients are the addresses to tell what all other members are to hear: all of halls with
 // at most so many others, and of each larger one a member that tells it on there, another
 // one at each try. duty names the duty of telling it on.
-func (v *View) Recipients(self string, most int, duty string, try int) (direct, relays []netip.AddrPort) {
+func (v *View) Recipients(self string, maxDirect int, duty string, attempt int) (direct, relays []netip.AddrPort) {
 	for _, hall := range v.Halls() {
 		others := slices.DeleteFunc(slices.Clone(v.Hall(hall).Present), func(m Member) bool { return m.Name == self })
-		if len(others) <= most {
+		if len(others) <= maxDirect {
 			for _, m := range others {
 				direct = append(direct, m.Peer)
 			}
 			continue
 		}
-		owners := Owners(WithWidestLinks(others), duty+hall, try+1)
+		owners := Owners(WithWidestLinks(others), duty+hall, attempt+1)
 		relays = append(relays, owners[len(owners)-1].Peer)
 	}
 	return direct, relays
--- a/service/node/reconcile.go
+++ b/service/node/reconcile.go
@@ -174,7 +174,7 @@
 		return
 	}
 	group := control.LeaseFor(e.Name)
-	if !e.Fenced && !r.leases.Settled(group) {
+	if !e.Fenced && !r.leases.HeldForFullTerm(group) {
 		return
 	}
 	// The last thing before the order: a lease that lapsed gives no fence.
