--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -145,7 +145,7 @@
 	},
 	{
 		"a silent node is probed through others", "pkg/control/members.go",
-		"		for _, helper := range m.pickHelpers(a.target.Name) {", "		for _, helper := range m.pickHelpers(a.target.Name)[:0] {",
+		"		for _, helper := range m.pickHelpers(pending.target.Name) {", "		for _, helper := range m.pickHelpers(pending.target.Name)[:0] {",
 		"./pkg/control", "TestIndirectProbesKeepMemberAliveDuringPairwisePartition",
 	},
 	{
--- a/pkg/control/claim.go
+++ b/pkg/control/claim.go
@@ -7,27 +7,29 @@
 	"fmt"
 )
 
-// ClaimState is how far a claimed request has come.
+// ClaimState is the state of a claimed request.
 type ClaimState string
 
 // Claim states.
 const (
-	// ClaimHeld: some node may have run the request; it never will again.
+	// ClaimHeld means that the holder may have run the request, so no node may
+	// run it again.
 	ClaimHeld ClaimState = "held"
-	// ClaimVoid: the claimer did not and will not run it; it may be claimed.
+	// ClaimVoid means that the holder did not and will not run the request, so
+	// it may be claimed again.
 	ClaimVoid ClaimState = "void"
-	// ClaimDone: it ran, and this was the result.
+	// ClaimDone means that the request has run; its result may be recorded.
 	ClaimDone ClaimState = "done"
 )
 
-// Result is the recorded answer of a claimed request.
+// Result is the recorded response to a claimed request.
 type Result struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Body        []byte `json:"body"`
 }
 
-// claimRow is what the table service keeps of a claim.
+// claimRow is the table service's row for a claim.
 type claimRow struct {
 	State  ClaimState `json:"state"`
 	Nonce  string     `json:"nonce"`
@@ -35,36 +37,37 @@
 	Result *Result    `json:"result,omitempty"`
 }
 
-// Claim is this node's right to run one request, once.
+// Claim is this node's right to run a request once.
 type Claim struct {
 	row     string
 	nonce   string
-	version uint64 // Of the row, once granted.
+	version uint64 // Row version, 0 until the claim is granted.
 }
 
-// TakenError says that the request was claimed before.
+// TakenError reports that the request has already been claimed.
 type TakenError struct {
 	State  ClaimState
 	Node   string
-	Result *Result // If one was recorded.
+	Result *Result // Nil if none was recorded.
 }
 
-// Error names who claimed it.
+// Error names the node that holds the claim.
 func (e *TakenError) Error() string {
 	return fmt.Sprintf("claimed before by node %s (%s)", e.Node, e.State)
 }
 
-// ErrNoClaim says that no claim could be had in time; the request must not be
-// run, and this node never will under this attempt.
+// ErrNoClaim reports that no claim was obtained in time. The request must not
+// be run under this attempt.
 var ErrNoClaim = errors.New("no claim could be had")
 
-// claimKey names the row of an organisation's key; both are hashed, so that
-// callers' keys can't form another's row name.
+// claimKey returns the row key for an organisation's idempotency key. Hashing
+// both, with the length of the name, keeps a client from choosing a key that
+// yields another organisation's row.
 func claimKey(organisation, key string) string {
 	h := sha256.New()
-	_, _ = fmt.Fprintf(h, "%d:%s%s", len(organisation), organisation, key) // It never fails.
+	_, _ = fmt.Fprintf(h, "%d:%s%s", len(organisation), organisation, key) // A hash never returns an error.
 	return "claim/" + hex.EncodeToString(h.Sum(nil)[:KeyHashSize])
 }
 
-// KeyHashSize is the length of the hash in claims' row names.
+// KeyHashSize is the number of bytes of the hash used in a claim's row key.
 const KeyHashSize = 16
--- a/pkg/control/claims.go
+++ b/pkg/control/claims.go
@@ -14,28 +14,30 @@
 )
 
 const (
-	// maxClaimBatch is the most rows in one transaction.
+	// maxClaimBatch is the maximum number of rows in one transaction.
 	maxClaimBatch = 100
-	// claimRetryPause is the wait after a transaction that was not applied, or whose
-	// answer was lost.
+	// claimRetryPause is the wait after a transaction that was not applied or
+	// whose outcome is unknown.
 	claimRetryPause = 50 * time.Millisecond
-	// maxRecordedBody is the largest body kept with a claim.
+	// maxRecordedBody is the largest response body, in bytes, recorded with a claim.
 	maxRecordedBody = 8 << 10
-	// maxPendingClaimWrites bounds writes that wait for the service to come back.
+	// maxPendingClaimWrites bounds the queue of writes during an outage of the
+	// table service.
 	maxPendingClaimWrites = 10_000
-	// claimsCloseTimeout is how long Close tries to write what is pending.
+	// claimsCloseTimeout is how long Close waits for pending writes.
 	claimsCloseTimeout = 2 * time.Second
 )
 
-// Claims lets requests that may run only once be run by at most one node.
+// Claims ensures that a request that may run at most once is run by at most
+// one node.
 //
 // A claim is a row that is written before the first byte of the request goes
-// upstream. It is never handed on: whoever finds it held must not run the
-// request, even if its holder is long dead. A holder that is certain it has not
-// run the request and will not may void its claim.
+// upstream. It is never transferred: a node that finds it held must not run the
+// request, even if the holder is dead. A holder may void its claim only if it is
+// certain that it has not run the request and will not.
 //
-// Writes are scarce, so one transaction at a time carries all that came in
-// while the last was under way.
+// The table service's write rate is limited, so one transaction at a time
+// carries all the writes that arrived during the previous one.
 type Claims struct {
 	node  string
 	table Table
@@ -43,7 +45,7 @@
 
 	mu      sync.Mutex
 	pending []*claimWrite
-	writing int // In the transaction under way.
+	writing int // Rows in the current transaction.
 	wake    chan struct{}
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -51,17 +53,17 @@
 	wg      sync.WaitGroup
 }
 
-// claimWrite is one row to be written and what its writer is told.
+// claimWrite is a queued write of a claim's row, with a channel for its outcome.
 type claimWrite struct {
 	claim          *Claim
 	value          claimRow
-	outcomeUnknown bool // A write of it may have taken effect, or may yet.
+	outcomeUnknown bool // An earlier write may have taken effect, or may still do so.
 	done           chan error
-	noWaiter       bool // Its writer no longer waits.
+	noWaiter       bool // Nothing waits for done any more.
 }
 
-// NewClaims starts the group commit of this node's claims to a table service,
-// or to what passes them on to one.
+// NewClaims starts the batched writing of this node's claims to t, which is the
+// table service or a forwarder to it.
 func NewClaims(node string, t Table, log *slog.Logger) *Claims {
 	c := &Claims{
 		node:    node,
@@ -75,7 +77,7 @@
 	return c
 }
 
-// Close waits a while for pending writes and stops.
+// Close waits up to claimsCloseTimeout for pending writes, then stops the writer.
 func (c *Claims) Close() {
 	close(c.closing)
 	c.wakeWriter()
@@ -85,22 +87,23 @@
 	c.cancel()
 }
 
-// Pending is how many rows wait to be written or are being written.
+// Pending returns the number of rows that are queued or being written.
 func (c *Claims) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending) + c.writing
 }
 
+// clearWriting resets the count of rows in the current transaction.
 func (c *Claims) clearWriting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writing = 0
 }
 
-// Acquire claims an organisation's key. The error is a *TakenError, or wraps
-// ErrNoClaim; then the claim is voided in the background should its write still
-// land.
+// Acquire claims an organisation's key. The error is a *TakenError or wraps
+// ErrNoClaim. In the latter case, a write that still takes effect is voided in
+// the background.
 func (c *Claims) Acquire(ctx context.Context, organisation, key string) (claim *Claim, err error) {
 	defer func() { err = eris.Wrap(err, "claim") }()
 	claim = &Claim{row: claimKey(organisation, key), nonce: newNonce()}
@@ -123,14 +126,15 @@
 	if c.abandon(w) {
 		return nil, ErrNoClaim
 	}
-	// It was decided just now.
+	// The outcome arrived between the end of ctx and abandon.
 	if err := <-w.done; err != nil {
 		return nil, err
 	}
 	return claim, nil
 }
 
-// Finish records a result with a claim, in the background.
+// Finish marks a claim as done in the background and records the result unless
+// its body is larger than maxRecordedBody.
 func (c *Claims) Finish(claim *Claim, r Result) {
 	row := claimRow{State: ClaimDone, Nonce: claim.nonce, Node: c.node}
 	if len(r.Body) <= maxRecordedBody {
@@ -139,8 +143,9 @@
 	c.enqueue(&claimWrite{claim: claim, value: row, done: make(chan error, 1), noWaiter: true})
 }
 
-// Void gives up a claim whose request was certainly not run; it waits until
-// that is written or ctx ends, and goes on in the background.
+// Void releases a claim whose request was certainly not run. It waits until the
+// write is done or ctx ends; in the latter case the write continues in the
+// background.
 func (c *Claims) Void(ctx context.Context, claim *Claim) {
 	w := &claimWrite{
 		claim: claim,
@@ -159,6 +164,8 @@
 	}
 }
 
+// enqueue adds a write to the queue; it returns false if the queue is full or
+// closed.
 func (c *Claims) enqueue(w *claimWrite) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,8 +184,8 @@
 	}
 }
 
-// abandon turns a claim nobody waits for any more into its voiding; it returns
-// false if the claim was decided already.
+// abandon turns a queued claim that has no waiter any more into a write that
+// voids it. It returns false if the outcome has already been delivered.
 func (c *Claims) abandon(w *claimWrite) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,8 +197,8 @@
 	return true
 }
 
-// resolve tells a write's outcome to whoever waits; it returns false if the
-// write has been abandoned meanwhile, so that it must go on as a voiding.
+// resolve delivers a write's outcome. It returns false if the write was
+// abandoned in the meantime and must be sent again to void the claim.
 func (c *Claims) resolve(w *claimWrite, state ClaimState, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,13 +230,13 @@
 	}
 }
 
-// batchedWrite is a write and the state that the transaction under way carries for it.
+// batchedWrite is a write and the row that the current transaction carries for it.
 type batchedWrite struct {
 	*claimWrite
 	value claimRow
 }
 
-// writeBatch writes one transaction and returns whether anything is left.
+// writeBatch commits one transaction; it returns false if nothing was queued.
 func (c *Claims) writeBatch() bool {
 	batch := c.nextBatch()
 	if len(batch) == 0 {
@@ -269,7 +276,7 @@
 	}
 }
 
-// nextBatch takes pending writes, at most one for each row.
+// nextBatch dequeues up to maxClaimBatch writes, at most one for each row.
 func (c *Claims) nextBatch() []batchedWrite {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -289,8 +296,8 @@
 	return batch
 }
 
-// requeue puts writes back before all others, so that the order of writes to
-// one row stays.
+// requeue puts writes back at the head of the queue, which keeps the order of
+// writes to each row.
 func (c *Claims) requeue(batch []batchedWrite) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -314,6 +321,8 @@
 	return txn, nil
 }
 
+// handleCommitted resolves the writes of a committed transaction and requeues
+// those that were abandoned while it ran.
 func (c *Claims) handleCommitted(batch []batchedWrite) {
 	var retry []batchedWrite
 	for _, w := range batch {
@@ -326,15 +335,15 @@
 	c.requeue(retry)
 }
 
-// handleNotApplied fails claims that certainly have not landed; everything else is
-// tried again.
+// handleNotApplied fails the claims that certainly were not written and retries
+// all other writes.
 func (c *Claims) handleNotApplied(batch []batchedWrite) {
 	var retry []batchedWrite
 	for _, w := range batch {
 		switch {
 		case w.value.State == ClaimHeld && !w.outcomeUnknown && c.resolve(w.claimWrite, ClaimHeld, ErrNoClaim):
 		case w.value.State == ClaimVoid && w.claim.version == 0 && !w.outcomeUnknown:
-			// There never was a claim to void.
+			// The claim was never written, so there is nothing to void.
 			c.resolve(w.claimWrite, ClaimVoid, nil)
 		default:
 			retry = append(retry, w)
@@ -343,8 +352,8 @@
 	c.requeue(retry)
 }
 
-// handleConflict settles the writes whose row was not as expected, and sends the
-// others again.
+// handleConflict resolves the writes whose row did not have the expected
+// version and retries the others.
 func (c *Claims) handleConflict(batch []batchedWrite, rows []tablestore.Row) {
 	rowsByKey := map[string]tablestore.Row{}
 	for _, r := range rows {
@@ -360,8 +369,8 @@
 	c.requeue(retry)
 }
 
-// resolveConflict decides a write by the row that was found; it returns false if the
-// write is to be sent again, on top of that row.
+// resolveConflict resolves a write from the row that is stored. It returns false
+// if the write must be sent again on top of that row's version.
 func (c *Claims) resolveConflict(w batchedWrite, row tablestore.Row) bool {
 	var current claimRow
 	if row.Version > 0 {
@@ -373,7 +382,7 @@
 	ownRow := row.Version > 0 && current.Nonce == w.claim.nonce
 	switch {
 	case ownRow && current.State == w.value.State:
-		// An earlier write of ours had landed, its answer lost.
+		// An earlier write by this node took effect but its answer was lost.
 		w.claim.version = row.Version
 		return c.resolve(w.claimWrite, w.value.State, nil)
 	case ownRow, row.Version == 0, current.State == ClaimVoid && w.value.State == ClaimHeld:
@@ -382,8 +391,8 @@
 	case w.value.State == ClaimHeld:
 		return c.resolve(w.claimWrite, ClaimHeld, &TakenError{State: current.State, Node: current.Node, Result: current.Result})
 	default:
-		// The row is another's, so ours neither landed nor can: voiding it is
-		// done, and a result has nowhere to go.
+		// Another node holds the row, so this claim was not written and can't be:
+		// there is nothing to void and nowhere to record a result.
 		return c.resolve(w.claimWrite, w.value.State, nil)
 	}
 }
--- a/pkg/control/claims_test.go
+++ b/pkg/control/claims_test.go
@@ -73,7 +73,7 @@
 	assert.NilError(t, err)
 }
 
-// A claim whose write lands after its claimer gave up must not stay held.
+// A claim whose write takes effect after Acquire gave up must not stay held.
 func TestAbandonedClaimIsVoidedWhenItsWriteLands(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.claims(t, "a"), f.claims(t, "b")
@@ -116,8 +116,9 @@
 
 type claimOutput struct{ granted, taken bool }
 
-// claimModel is one key's register: given at most once, and taken only after
-// someone may have got it. An attempt without a claim may or may not block.
+// claimModel models one key: it is granted at most once, and reported as taken
+// only after a node may have acquired it. An attempt that failed without a claim
+// may or may not have held the key for a while.
 var claimModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[string][]porcupine.Operation{}
@@ -144,7 +145,7 @@
 		case out.taken:
 			return []any{state}
 		default:
-			// No claim: it may have landed for a while before it is voided.
+			// No claim: its write may have taken effect and be voided later.
 			return []any{state, "maybe"}
 		}
 	},
@@ -199,7 +200,7 @@
 	assert.Assert(t, grants.Load() <= 12)
 }
 
-// waitUntil waits for a condition, much longer than it should take.
+// waitUntil waits for a condition with a generous time limit.
 func waitUntil(t testing.TB, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/pkg/control/collector.go
+++ b/pkg/control/collector.go
@@ -10,22 +10,24 @@
 )
 
 const (
-	// Collectors is how many nodes collect the claims of the whole fleet. Each
-	// has one transaction under way at a time, so the table service's load is
-	// bounded whatever the fleet's size.
+	// Collectors is the number of nodes that write the claims of the whole fleet.
+	// Each runs one transaction at a time, which bounds the table service's load
+	// for any fleet size.
 	Collectors = 4
-	// maxJoinedRows is the most rows in one transaction.
+	// maxJoinedRows is the maximum number of rows in one transaction, unless a
+	// single one has more.
 	maxJoinedRows = 400
-	// minCollectInterval is the least time between a collector's transactions. All
-	// collectors together stay under 200 a second, of the service's 300.
+	// minCollectInterval is the minimum time between a collector's transactions.
+	// It keeps all collectors together under 200 transactions a second, of the
+	// table service's 300.
 	minCollectInterval = 20 * time.Millisecond
-	// collectTimeout bounds a transaction of a collector.
+	// collectTimeout is the time limit for writing a batch.
 	collectTimeout = 5 * time.Second
 )
 
-// Collector joins independent transactions that come in at the same time into
-// one. If some conflict, the others go again without them, so that one claim's
-// conflict is not another's.
+// Collector combines independent transactions that arrive at the same time into
+// one. If some of them conflict, the others are sent again without them, so that
+// a conflict fails only the transactions it concerns.
 type Collector struct {
 	table Table
 
@@ -36,17 +38,17 @@
 	wg       sync.WaitGroup
 }
 
-// pendingTxn is a transaction and where its outcome goes.
+// pendingTxn is a queued transaction with a channel for its outcome.
 type pendingTxn struct {
 	txn  tablestore.Txn
 	done chan error
 }
 
-// NewCollector returns a collector of transactions for a table service.
+// NewCollector returns a collector that writes to a table service.
 func NewCollector(t *tablestore.Table) *Collector { return &Collector{table: t} }
 
-// Commit carries out a transaction, perhaps joined with others. The errors are
-// those of the table service.
+// Commit executes a transaction, possibly combined with others. It returns the
+// same errors as tablestore.Table.
 func (c *Collector) Commit(ctx context.Context, txn tablestore.Txn) error {
 	w := &pendingTxn{txn: txn, done: make(chan error, 1)}
 	c.mu.Lock()
@@ -68,7 +70,7 @@
 	}
 }
 
-// Close waits for what is under way; later transactions are not applied.
+// Close waits for queued transactions; later ones fail with ErrNotApplied.
 func (c *Collector) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -76,7 +78,7 @@
 	c.wg.Wait()
 }
 
-// drain writes until nothing is pending.
+// drain writes batches until the queue is empty.
 func (c *Collector) drain() {
 	for {
 		batch := c.nextBatch()
@@ -89,7 +91,7 @@
 	}
 }
 
-// nextBatch takes pending transactions that touch different rows.
+// nextBatch dequeues transactions that write to different rows.
 func (c *Collector) nextBatch() []*pendingTxn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,6 +112,7 @@
 	return batch
 }
 
+// touchesAny reports whether a transaction writes to any of the rows.
 func touchesAny(txn tablestore.Txn, rows map[string]bool) bool {
 	for _, p := range txn.Puts {
 		if rows[p.Key] {
@@ -119,7 +122,8 @@
 	return false
 }
 
-// commitJoined commits a batch, without those that conflict.
+// commitJoined commits a batch as one transaction and, after a conflict, again
+// without the transactions that conflict.
 func (c *Collector) commitJoined(batch []*pendingTxn) {
 	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 	defer cancel()
@@ -137,7 +141,7 @@
 		}
 		remaining := resolveConflicting(batch, conflict)
 		if len(remaining) == len(batch) {
-			// The conflict is on no row of theirs; nothing was applied.
+			// No transaction has a condition on a conflicting row; nothing was applied.
 			resolveAll(batch, tablestore.ErrNotApplied)
 			return
 		}
@@ -145,14 +149,15 @@
 	}
 }
 
+// resolveAll delivers one outcome to all transactions of a batch.
 func resolveAll(batch []*pendingTxn, err error) {
 	for _, w := range batch {
 		w.done <- err
 	}
 }
 
-// resolveConflicting ends the transactions that conflict, each with its own rows, and
-// returns the others.
+// resolveConflicting fails the transactions that conflict, each with its own
+// rows, and returns the others.
 func resolveConflicting(batch []*pendingTxn, conflict *tablestore.ConflictError) (remaining []*pendingTxn) {
 	for _, w := range batch {
 		ownConflict := &tablestore.ConflictError{}
--- a/pkg/control/collector_test.go
+++ b/pkg/control/collector_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// Many transactions become few, and a conflict is only the conflicting ones'.
+// Joined transactions must not fail because of another one's conflict, and must
+// take few commits.
 func TestCollectorConflictFailsOnlyConflictingTransactions(t *testing.T) {
 	f := newFixture(t)
 	c := f.collector(t)
@@ -69,8 +70,8 @@
 	assert.Assert(t, errors.Is(err, tablestore.ErrUnknown), "%v", err)
 }
 
-// BenchmarkCollect reports how many claims a second one collector writes with
-// how many transactions, when the table service takes 10 ms.
+// BenchmarkCollect reports the claims and transactions per second of one
+// collector when the table service takes 10 ms.
 func BenchmarkCollect(b *testing.B) {
 	for _, writers := range []int{1, 10, 100, 300} {
 		b.Run(fmt.Sprint("nodes=", writers), func(b *testing.B) {
--- a/pkg/control/doc.go
+++ b/pkg/control/doc.go
@@ -1,8 +1,8 @@
-// Package control has what many nodes must agree on: the configuration log,
-// membership, claims of requests that may run once, leases with fencing and
-// the orders given under them.
+// Package control holds the state that nodes share: the configuration log,
+// membership, claims on requests that may run at most once, and leases with
+// fences for the orders sent under them.
 //
-// There is no consensus among nodes. What must be agreed is decided by
-// conditional transactions in the platform's table service; everything else is
-// soft and spread from node to node.
+// Nodes run no consensus protocol. Whatever needs agreement is decided by
+// conditional transactions in the platform's table service; all other state is
+// eventually consistent and spreads from node to node.
 package control
--- a/pkg/control/leases.go
+++ b/pkg/control/leases.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	// LeaseGroups is how many leases there are for the whole fleet. Duties are
-	// hashed into them, so the table service's load does not grow with the
-	// number of upstreams.
+	// LeaseGroups is the number of leases of the whole fleet. Duties are hashed
+	// to them, so the table service's load does not grow with the number of
+	// upstreams.
 	LeaseGroups = 16
-	// leaseMarginDivisor is the share of a term by which a holder stops early, for
-	// clocks that run at different rates and for the way of an order.
+	// leaseMarginDivisor sets the safety margin: a holder stops using its lease
+	// 1/leaseMarginDivisor of a term early, to allow for clocks that run at
+	// different rates and for an order's time in transit.
 	leaseMarginDivisor = 4
-	// RenewalsPerTerm is the share of a term after which a lease is renewed.
+	// RenewalsPerTerm sets the renewal interval to term/RenewalsPerTerm.
 	RenewalsPerTerm = 3
 )
 
-// Leases are this node's leases on duties that may have one doer only.
+// Leases are this node's leases on duties that at most one node may perform.
 //
-// A holder counts its validity on its own monotonic clock from before the
-// renewal was sent, less a margin. A taker waits a whole term during which the
-// row has not changed, on its own clock, from when it first saw that row. So no
-// clock is compared with another's. A holder that was frozen and still believes
-// in its lease is stopped by the fence, as its taker has a higher epoch.
+// A holder counts validity on its own monotonic clock, from before the renewal
+// was sent, less a margin. A node that takes a lease over first waits, on its own
+// clock, a whole term in which the row has not changed. So no two clocks are ever
+// compared. A holder that was paused and still believes it holds its lease is
+// stopped by the fence, because the new holder has a higher epoch.
 type Leases struct {
 	node    string
 	term    time.Duration
@@ -46,7 +47,7 @@
 	leases map[string]*Lease
 }
 
-// NewLeases returns leases of which none is held.
+// NewLeases returns the fleet's leases, none of them held by this node.
 func NewLeases(node string, term time.Duration, t *tablestore.Table, m *Members, log *slog.Logger) *Leases {
 	return newLeases(node, term, t, m, log)
 }
@@ -68,27 +69,27 @@
 	return l
 }
 
-// LeaseFor names the lease under which a duty is done.
+// LeaseFor returns the name of the lease that covers a duty.
 func LeaseFor(duty string) string {
 	return fmt.Sprintf("lease/%02d", hashDuty(duty)%LeaseGroups)
 }
 
-// Step renews held leases, takes free ones that fall to this node, and gives
-// back those that fall to another; the timer service calls it.
+// Step renews held leases, acquires free ones that rendezvous hashing assigns to
+// this node, and releases those it assigns to another. The timer service calls it.
 func (l *Leases) Step(ctx context.Context) {
 	members := l.members.Working()
 	var toRead []string
 	for name := range l.leases {
 		owner, ok := Owner(members, name)
-		mine := ok && owner.Name == l.node
+		assigned := ok && owner.Name == l.node
 		switch held := l.Held(name); {
-		case held && mine:
+		case held && assigned:
 			if l.renewalDue(name) {
 				l.renew(ctx, name)
 			}
 		case held:
-			l.release(ctx, name)
-		case mine:
+			l.releaseOne(ctx, name)
+		case assigned:
 			toRead = append(toRead, name)
 		}
 	}
@@ -107,22 +108,23 @@
 	}
 }
 
-// renewalDue says whether a third of the term has passed since the last renewal.
+// renewalDue reports whether term/RenewalsPerTerm has passed since the last
+// renewal.
 func (l *Leases) renewalDue(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.now().Sub(l.leases[name].unchangedSince) >= l.term/RenewalsPerTerm
 }
 
-// Held says whether this node holds a lease now.
+// Held reports whether this node holds a lease now.
 func (l *Leases) Held(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.now().Before(l.leases[name].validUntil)
 }
 
-// Fence returns the fence for the next order under a lease; ok is false if it
-// is not held. It is to be called just before the order is sent.
+// Fence returns the fence for the next order under a lease; ok is false if the
+// lease is not held. Call it just before sending the order.
 func (l *Leases) Fence(name string) (f Fence, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,9 +136,9 @@
 	return Fence{Epoch: lease.row.Epoch, Seq: lease.lastSeq}, true
 }
 
-// HeldForFullTerm says whether a lease has been held for a whole term, so that an order
-// of the last holder that is under way has arrived. Orders to upstreams that do
-// not check fences wait for that.
+// HeldForFullTerm reports whether a lease has been held for a whole term, after
+// which no order of the previous holder is still in transit. Orders to upstreams
+// that do not check fences wait for that.
 func (l *Leases) HeldForFullTerm(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,16 +147,16 @@
 	return now.Before(lease.validUntil) && now.Sub(lease.heldSince) >= l.term
 }
 
-// Release gives all leases back, for a planned stop.
+// Release releases all held leases, for a planned stop.
 func (l *Leases) Release(ctx context.Context) {
 	for name := range l.leases {
 		if l.Held(name) {
-			l.release(ctx, name)
+			l.releaseOne(ctx, name)
 		}
 	}
 }
 
-// Status lists the leases that are held.
+// Status lists the leases that this node holds.
 func (l *Leases) Status(now time.Time) []LeaseStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,7 +169,8 @@
 	return list
 }
 
-// canAcquire notes a row as seen now and says whether its lease may be taken.
+// canAcquire records a row as read now and reports whether its lease may be
+// acquired: it was released, or its row has not changed for a term.
 func (l *Leases) canAcquire(row tablestore.Row) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -204,8 +207,8 @@
 	l.write(ctx, name, next)
 }
 
-// release ends a lease; it is not used from the moment the write is sent.
-func (l *Leases) release(ctx context.Context, name string) {
+// releaseOne gives up a lease; this node stops using it before the write is sent.
+func (l *Leases) releaseOne(ctx context.Context, name string) {
 	l.mu.Lock()
 	lease := l.leases[name]
 	lease.validUntil = time.Time{}
@@ -216,9 +219,9 @@
 	}
 }
 
-// write writes a lease's row on the version last seen and says whether it did.
-// A lost answer is settled by reading the row; a write that is not known to
-// have landed extends nothing.
+// write writes a lease's row if it still has the version last read and reports
+// whether it was written. After a lost answer it reads the row to find out. A
+// write that is not known to have taken effect does not extend the lease.
 func (l *Leases) write(ctx context.Context, name string, next leaseRow) bool {
 	l.mu.Lock()
 	lease := l.leases[name]
@@ -228,13 +231,13 @@
 	if err != nil {
 		return false
 	}
-	// Validity counts from before the write is sent.
+	// Validity is counted from before the write is sent.
 	sentAt := l.now()
 	err = l.table.Commit(ctx, tablestore.Txn{
 		Conditions: []tablestore.Condition{{Key: name, Version: baseVersion}},
 		Puts:       []tablestore.Put{{Key: name, Value: body}},
 	})
-	if err != nil && !l.landed(ctx, name, next.Nonce, baseVersion, err) {
+	if err != nil && !l.tookEffect(ctx, name, next.Nonce, baseVersion, err) {
 		return false
 	}
 	l.mu.Lock()
@@ -252,8 +255,9 @@
 	return true
 }
 
-// landed says whether a write whose answer was lost has taken effect.
-func (l *Leases) landed(ctx context.Context, name, nonce string, baseVersion uint64, err error) bool {
+// tookEffect reports whether a write that returned err has taken effect. A conflict
+// invalidates the lease.
+func (l *Leases) tookEffect(ctx context.Context, name, nonce string, baseVersion uint64, err error) bool {
 	var conflict *tablestore.ConflictError
 	if errors.As(err, &conflict) {
 		l.invalidate(name)
@@ -270,7 +274,7 @@
 	return json.Unmarshal(rows[0].Value, &row) == nil && row.Nonce == nonce
 }
 
-// invalidate ends a lease whose row another has written.
+// invalidate drops a lease whose row another node has written.
 func (l *Leases) invalidate(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/control/leases_test.go
+++ b/pkg/control/leases_test.go
@@ -14,11 +14,11 @@
 	"github.com/drumpath/drumpath/pkg/tablestore"
 )
 
-// memTable is a table service in memory whose answers can be lost.
+// memTable is an in-memory table service whose answers can be lost.
 type memTable struct {
 	rows       map[string]tablestore.Row
-	loseAnswer bool // The next commit takes effect unanswered.
-	failCall   bool // The next call does nothing and is not answered.
+	loseAnswer bool // The next commit takes effect, but its answer is lost.
+	failCall   bool // The next call has no effect and fails.
 }
 
 func newMemTable() *memTable { return &memTable{rows: map[string]tablestore.Row{}} }
@@ -59,13 +59,13 @@
 
 const testTerm = 12 * time.Second
 
-// leaseFixture is a few nodes, each with a clock of its own rate and a view in
-// which it is alone, so that all want every lease.
+// leaseFixture has a few nodes, each with a clock of a different rate and a view
+// with no other members, so that each tries to acquire every lease.
 type leaseFixture struct {
 	table        *memTable
 	now          time.Time
 	nodes        []*Leases
-	lastAccepted Fence // Of the last order taken.
+	lastAccepted Fence // Fence of the last order that the engine accepted.
 }
 
 func newLeaseFixture(n int) *leaseFixture {
@@ -95,7 +95,8 @@
 	return n
 }
 
-// acceptOrder gives an order to the engine, which checks fences.
+// acceptOrder sends an order to the engine, which checks fences, and reports
+// whether it was accepted.
 func (w *leaseFixture) acceptOrder(f Fence) bool {
 	if f.Epoch < w.lastAccepted.Epoch || (f.Epoch == w.lastAccepted.Epoch && f.Seq <= w.lastAccepted.Seq) {
 		return false
@@ -104,19 +105,19 @@
 	return true
 }
 
-// Whatever is lost, frozen or delayed, at most one node holds a lease, and an
-// engine that checks fences never takes an order older than its last.
+// Two nodes could hold one lease after lost answers, paused nodes or clock drift,
+// or an engine that checks fences could accept an order older than its last.
 func TestAtMostOneNodeHoldsLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newLeaseFixture(3)
-		epochOf := map[uint64]int{} // Epoch to the node that ordered under it.
+		epochOf := map[uint64]int{} // By epoch: the node that issued fences under it.
 		var delayed []Fence
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")
 			l := w.nodes[i]
 			switch rapid.IntRange(0, 6).Draw(t, "op") {
 			case 0, 1:
-				// A node that makes no step for long is a frozen one.
+				// A node that is not stepped for long acts as a paused one.
 				l.Step(context.Background())
 			case 2:
 				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(t, "ms")) * time.Millisecond)
@@ -194,13 +195,14 @@
 	assert.Assert(t, ok)
 	second, ok := a.Fence(testLease)
 	assert.Assert(t, ok && second.Epoch == first.Epoch && second.Seq > first.Seq)
-	// Frozen past its term, the node wakes in the middle of giving an order.
+	// The node is paused past its term and resumes while sending an order.
 	w.now = w.now.Add(testTerm)
 	_, ok = a.Fence(testLease)
 	assert.Assert(t, !ok)
 }
 
-// A holder's machine is suspended for longer than a term; its steady clock stands still.
+// A holder kept its lease after its machine was suspended for longer than a term,
+// if it measured time by the monotonic clock, which stops during a suspend.
 func TestLeaseExpiresDuringSuspend(t *testing.T) {
 	m := NewMembers(Member{Name: "vm-0", Incarnation: 1}, time.Second, nil, rand.New(rand.NewPCG(1, 1)))
 	l := newLeases("vm-0", testTerm, newMemTable(), m, discardLog)
--- a/pkg/control/log.go
+++ b/pkg/control/log.go
@@ -18,31 +18,31 @@
 const (
 	headRowKey       = "config/head"
 	snapshotObject   = "config/snapshot"
-	logRows          = 4096 // Rows of the log in the table service.
+	logRows          = 4096 // Rows of the log in the table service, reused in a ring.
 	snapshotEvery    = 64   // Versions between snapshots.
-	readBatch        = 64   // Log rows read at once.
-	maxKeptEntries   = 1024 // Entries kept for peers.
+	readBatch        = 64   // Maximum number of log rows in one read.
+	maxKeptEntries   = 1024 // Entries kept in memory for peers.
 	commitRetryPause = 100 * time.Millisecond
 	maxDeltaEntries  = 256
 )
 
 // Log is this node's copy of the configuration log.
 //
-// A change is accepted when its transaction on the head row commits: that
-// transaction has the head's version as its condition, so of two changes for
-// one version one commits. Nodes apply entries in order of version and never
-// step back, whatever order they arrive in and from whom.
+// A change is accepted when its transaction on the head row commits. The
+// transaction is conditional on the head's version, so only one of two changes
+// for the same version commits. Nodes apply entries in order of version and never
+// return to an older one, whatever the order or source of their arrival.
 type Log struct {
 	node    string
 	table   Table
 	objects objectStore
 	log     *slog.Logger
 
-	proposeMu sync.Mutex // One proposal of this node at a time; taken before mu.
+	proposeMu sync.Mutex // Serialises this node's proposals; locked before mu.
 
 	mu       sync.Mutex
 	state    *config.State
-	entries  []Entry // The newest entries, in order.
+	entries  []Entry // The newest entries, oldest first.
 	watchers []func(*config.State)
 	changed  chan struct{} // Closed and replaced at each change.
 }
@@ -70,8 +70,8 @@
 	return l.state
 }
 
-// Watch has fn called with each new configuration, in order, and at once with
-// the present one; fn must not call the log.
+// Watch calls fn with the current configuration and then with each new one, in
+// order. fn must not call the log.
 func (l *Log) Watch(fn func(*config.State)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +79,7 @@
 	fn(l.state)
 }
 
-// Wait returns once the configuration has reached a version.
+// Wait blocks until the configuration has reached a version or ctx ends.
 func (l *Log) Wait(ctx context.Context, version uint64) error {
 	for {
 		l.mu.Lock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// Since returns what brings a node at an older version up to date.
+// Since returns the delta that brings a node at an older version up to date.
 func (l *Log) Since(version uint64) Delta {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +117,8 @@
 	return append([]Entry(nil), l.entries[max(0, len(l.entries)-limit):]...)
 }
 
-// Merge applies what a peer sent; older or unconnected entries are ignored.
+// Merge applies a peer's delta; entries that are older or don't directly follow
+// the current version are ignored.
 func (l *Log) Merge(d Delta) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,8 +138,8 @@
 func (l *Log) applyEntry(e Entry) {
 	next, err := l.state.Apply(e.Command)
 	if err != nil {
-		// Its writer had applied it to the same state, so this is a fault of
-		// the program; the version still counts, on every node alike.
+		// The writer applied the command to the same state, so this is a bug. The
+		// version is still counted, as on every other node.
 		l.log.Error("accepted command can't be applied", "version", e.Version, "err", err)
 		skipped := *l.state
 		skipped.Version = e.Version
@@ -151,6 +152,8 @@
 	l.setState(next)
 }
 
+// setState replaces the state and notifies waiters and watchers; the caller
+// holds mu.
 func (l *Log) setState(s *config.State) {
 	l.state = s
 	close(l.changed)
@@ -160,7 +163,7 @@
 	}
 }
 
-// Refresh catches up with the table service.
+// Refresh brings the log up to date from the table service.
 func (l *Log) Refresh(ctx context.Context) (err error) {
 	defer func() { err = eris.Wrap(err, "refresh configuration") }()
 	rows, err := l.table.Read(ctx, headRowKey)
@@ -170,7 +173,8 @@
 	return l.catchUp(ctx, rows[0].Version)
 }
 
-// catchUp reads entries up to a version, from a snapshot if they are gone.
+// catchUp reads entries up to a version, after loading the snapshot if too many
+// are missing.
 func (l *Log) catchUp(ctx context.Context, version uint64) error {
 	for {
 		current := l.State().Version
@@ -189,6 +193,8 @@
 	}
 }
 
+// readEntries reads and applies the entries after current up to upTo, or loads
+// the snapshot if their rows have been overwritten.
 func (l *Log) readEntries(ctx context.Context, current, upTo uint64) error {
 	var keys []string
 	for v := current + 1; v <= upTo; v++ {
@@ -211,14 +217,14 @@
 	return nil
 }
 
-// Load takes in the snapshot, so that a node that starts asks its peers only for
-// what is newer; the state of a large fleet is megabytes.
+// Load applies the snapshot, so that a starting node asks its peers only for
+// newer entries: the state of a large fleet is megabytes.
 func (l *Log) Load(ctx context.Context) (err error) {
 	defer func() { err = eris.Wrap(err, "load configuration") }()
 	return l.loadSnapshot(ctx, l.State().Version)
 }
 
-// loadSnapshot loads the snapshot, which must be newer than what there is.
+// loadSnapshot loads and applies the snapshot, which must be newer than current.
 func (l *Log) loadSnapshot(ctx context.Context, current uint64) error {
 	var snapshot config.State
 	if err := l.objects.Get(ctx, snapshotObject, &snapshot); err != nil {
@@ -231,11 +237,12 @@
 	return nil
 }
 
+// entryRowKey returns the key of the row that holds a version's entry.
 func entryRowKey(version uint64) string { return fmt.Sprintf("config/log/%d", version%logRows) }
 
-// Propose has a command accepted and returns its version. With ifVersion not 0
-// the configuration must be at that version. The error is a *ConflictError, a
-// *config.CommandError, a *OutcomeUnknownError, or wraps
+// Propose appends a command to the log and returns its version. If ifVersion is
+// not 0, the configuration must be at that version. The error is a
+// *ConflictError, a *config.CommandError, a *OutcomeUnknownError, or wraps
 // tablestore.ErrNotApplied.
 func (l *Log) Propose(ctx context.Context, cmd config.Command, ifVersion uint64) (version uint64, err error) {
 	defer func() { err = eris.Wrap(err, "propose") }()
@@ -271,7 +278,8 @@
 	}
 }
 
-// findSameObject finds an entry after a version that changed the command's object.
+// findSameObject returns the first entry after a version that changed the
+// command's object.
 func (l *Log) findSameObject(cmd config.Command, after uint64) (Entry, bool) {
 	for _, e := range l.Recent(maxKeptEntries) {
 		if e.Version > after && e.Command.Kind == cmd.Kind && e.Command.Name == cmd.Name {
@@ -281,10 +289,10 @@
 	return Entry{}, false
 }
 
-// commitEntry tries to make the entry its version's one and says whether it
-// is. A transaction whose answer was lost is sent again: it is the same
-// conditional write, so at most one of them takes effect, and once another
-// entry has the version none of ours can land any more.
+// commitEntry tries to write the entry at its version and reports whether it
+// won that version. After a lost answer the transaction is sent again: it is the
+// same conditional write, so at most one attempt takes effect, and none can once
+// another entry has the version.
 func (l *Log) commitEntry(ctx context.Context, e Entry) (won bool, err error) {
 	txn, err := entryTxn(e)
 	if err != nil {
@@ -334,7 +342,7 @@
 	}, nil
 }
 
-// isOwnEntry reads back whose entry a version is.
+// isOwnEntry reads the entry stored at e's version and reports whether it is e.
 func (l *Log) isOwnEntry(ctx context.Context, e Entry) (bool, error) {
 	rows, err := l.table.Read(ctx, entryRowKey(e.Version))
 	if err != nil {
@@ -345,12 +353,13 @@
 		return false, err
 	}
 	if found.Version > e.Version {
-		return false, eris.New("the log has gone round since")
+		return false, eris.New("log row has been overwritten by a later entry")
 	}
 	return found.Nonce == e.Nonce, nil
 }
 
-// writeSnapshotIfDue writes a snapshot now and then; a failed one is made up by the next.
+// writeSnapshotIfDue writes a snapshot every snapshotEvery versions; the next one
+// makes up for a failed one.
 func (l *Log) writeSnapshotIfDue(ctx context.Context, version uint64) {
 	if version%snapshotEvery != 0 {
 		return
--- a/pkg/control/log_test.go
+++ b/pkg/control/log_test.go
@@ -137,7 +137,7 @@
 	assert.Equal(t, b.State().Version, uint64(2))
 }
 
-// logInput is a proposal; logOutput says how it ended.
+// logInput is a proposal and logOutput its outcome.
 type logInput struct{ name string }
 
 type logOutput struct {
@@ -145,8 +145,8 @@
 	unknown bool
 }
 
-// logModel says that each accepted command takes the next version, once. A
-// proposal of unknown outcome may have taken it or not.
+// logModel gives each accepted command the next version, once. A proposal with an
+// unknown outcome may or may not have taken it.
 var logModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, _, output any) []any {
--- a/pkg/control/member.go
+++ b/pkg/control/member.go
@@ -4,10 +4,10 @@
 	"net/netip"
 )
 
-// MemberState is what is thought of a node.
+// MemberState is a node's state as others see it.
 type MemberState uint8
 
-// Member states, in order of strength at the same incarnation.
+// Member states; at the same incarnation, a later one overrides an earlier one.
 const (
 	MemberAlive MemberState = iota
 	MemberSuspect
@@ -17,11 +17,11 @@
 
 var memberStateNames = [...]string{"alive", "suspect", "leaving", "dead"}
 
-// String names the state.
+// String returns the state's name.
 func (s MemberState) String() string { return memberStateNames[min(int(s), len(memberStateNames)-1)] }
 
-// Member is one node as others know it. Its JSON names are short because it
-// travels on probes.
+// Member is a node as others know it. Its JSON names are short because probes
+// carry it.
 type Member struct {
 	Name        string         `json:"n"`
 	Peer        netip.AddrPort `json:"p"`
@@ -29,17 +29,17 @@
 	DataHall    string         `json:"h"`
 	Incarnation uint64         `json:"i"`
 	State       MemberState    `json:"s"`
-	// Link is the rate of the node's own link in Mbit/s, 0 if it is not known.
+	// Link is the bandwidth of the node's link in Mbit/s, 0 if unknown.
 	Link float64 `json:"l,omitempty"`
 
-	hash uint64 // Of the name, for rendezvous hashing; 0 if not worked out.
+	hash uint64 // Of the name, for rendezvous hashing; 0 if not computed yet.
 }
 
-// Working says whether the node takes part in duties.
+// Working reports whether duties may be assigned to the node.
 func (m Member) Working() bool { return m.State == MemberAlive || m.State == MemberSuspect }
 
-// newer says whether m replaces what is known of the same node. Only a node
-// itself raises its incarnation; at the same one the graver state holds.
+// newer reports whether m replaces the known record of the same node. Only the
+// node itself raises its incarnation; at the same one the later MemberState wins.
 func (m Member) newer(old Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
@@ -47,13 +47,14 @@
 	return m.State > old.State
 }
 
-// minWidestLinkShare is the part of the widest link that a node's link must have for the
-// node to be among the widest.
+// minWidestLinkShare is the fraction of the widest link's bandwidth that a node
+// needs to be listed by WithWidestLinks.
 const minWidestLinkShare = 0.5
 
-// WithWidestLinks lists the members whose links are about as wide as the widest one's.
-// Duties that send much fall to these: a node with a narrow link would hold up all
-// that wait for it, and its own requests.
+// WithWidestLinks returns the members whose links have at least
+// minWidestLinkShare of the widest one's bandwidth. Duties that send much data
+// are assigned to these: a node with a narrow link would delay every receiver
+// and its own requests.
 func WithWidestLinks(members []Member) []Member {
 	widest := 0.0
 	for _, m := range members {
--- a/pkg/control/members.go
+++ b/pkg/control/members.go
@@ -9,42 +9,48 @@
 )
 
 const (
-	// ackTimeoutDivisor is the share of a period after which others are asked.
+	// ackTimeoutDivisor sets the time to wait for an ack before indirect probes
+	// are sent to period/ackTimeoutDivisor.
 	ackTimeoutDivisor = 3
-	// indirectProbes is how many others are asked to probe a silent node.
+	// indirectProbes is the number of members asked to probe an unresponsive node.
 	indirectProbes = 3
-	// maxRemoteUpdates bounds a probe's size whatever the fleet's, and nearUpdates that of one within
-	// a data hall, where bytes are not paid for: with 6 there as well, that a hall of 98
-	// nodes was lost took 295 nodes 63 periods to tell, with 30 18.
+	// maxRemoteUpdates and maxLocalUpdates bound the updates on a probe to another
+	// data hall and within one, so that its size does not grow with the fleet.
+	// Traffic within a hall is free: with 6 there too, 295 nodes took 63 periods
+	// to learn that a hall of 98 was lost; with 30, 18.
 	maxRemoteUpdates = 6
 	maxLocalUpdates  = 30
-	// spreadFactor times log2 of the fleet is how often an update is sent on.
+	// spreadFactor times log2 of the fleet's size is how often an update is sent.
 	spreadFactor = 3
-	// duplicateWeight is how much being told what one tells oneself counts against telling it
-	// again: somebody else knew it already. Over 40 periods from a start of all of 71 nodes
-	// probes take 317 bytes a node and period to other halls with it, 417 without.
+	// duplicateWeight is how many sends a received duplicate of a pending update
+	// counts as, since another node knows it already. In the first 40 periods after
+	// 71 nodes start at once, probes to other halls take 317 bytes per node and
+	// period with it, 417 without.
 	duplicateWeight = 2
-	// localProbeBoost is how much more seldom than at random members of other halls are probed
-	// where a hall has nearEnough others to be probed often: bytes between halls are paid for.
+	// localProbeBoost is the factor by which probes of other halls are rarer than
+	// with a uniformly random choice, because traffic between halls is paid for. It
+	// applies in full where the own hall has localMembersForFullBoost other members.
 	localProbeBoost          = 4
 	localMembersForFullBoost = 8
-	// suspectPeriods times log10 of the fleet is how long a node is suspect.
+	// suspectPeriods times log10 of the fleet's size, but at least suspectPeriods,
+	// is the number of periods before a suspect is declared dead.
 	suspectPeriods = 4
-	// deadRetention is how long the dead are remembered, so that old news of them
-	// isn't taken for new.
+	// deadRetention is how long dead members are remembered, so that a stale
+	// update does not bring them back.
 	deadRetention = 10 * time.Minute
-	// rejoinProbePeriods is every how many periods a dead node or a seed is probed,
-	// so that halves of a cut fleet find each other again.
+	// rejoinProbePeriods is the number of periods between probes of a dead member
+	// or unused seed, which let the halves of a partitioned fleet rejoin.
 	rejoinProbePeriods = 8
 )
 
-// Members is this node's view of the fleet.
+// Members is this node's view of the fleet, kept by a SWIM-style gossip protocol.
 //
-// Each period it probes one member, mostly of its own data hall, in shuffled rounds; a
-// silent one is probed through others, then suspected, then held for dead unless it
-// refutes with a higher incarnation. News travels on probes, a bounded number on each and
-// until most seem to know it, so the cost a second is the same at any size. It does no
-// I/O: Tick and Handle return what is to be sent.
+// Each period it probes one member, mostly of its own data hall, in shuffled
+// rounds. A member that does not answer is probed through others, then marked
+// suspect, then dead unless it refutes this with a higher incarnation. Probes
+// carry a bounded number of membership updates, each sent until most members seem
+// to know it, so the cost per second does not depend on the fleet's size. Members
+// does no I/O: its methods return the packets to send.
 type Members struct {
 	mu            sync.Mutex
 	self          Member
@@ -53,36 +59,36 @@
 	seeds         []netip.AddrPort
 	known         map[string]*memberEntry
 	byPeer        map[netip.AddrPort]string
-	localRound    []string // Members of the own hall that are yet to be probed in this round.
-	remoteRound   []string // Those of other halls.
+	localRound    []string // Members of the own hall still to be probed in this round.
+	remoteRound   []string // The same for other halls.
 	seq           uint64
 	ticks         int
 	pendingProbes map[uint64]*pendingProbe
-	updateSends   map[string]int // Member to how often its update was sent.
+	updateSends   map[string]int // By member: how often its pending update was sent.
 	watchers      []func()
-	view          *View // Nil when out of date.
-	// generation rises with each change of who works.
+	view          *View // Cached; nil when out of date.
+	// generation rises whenever the set of working members changes.
 	generation uint64
 }
 
 type memberEntry struct {
 	Member
-	since time.Time // When it came into its state.
+	stateSince time.Time // When it entered its state.
 }
 
-// pendingProbe is a probe that has not been answered.
+// pendingProbe is a probe without an ack so far.
 type pendingProbe struct {
 	target       Member
-	sent         time.Time
+	sentAt       time.Time
 	indirectSent bool
-	requester    netip.AddrPort // Who asked for it, if it is an indirect one.
+	requester    netip.AddrPort // Sender of the indirect probe, if this is one.
 	requesterSeq uint64
 }
 
-// NewMembers returns a view that knows only this node and the seeds' addresses.
+// NewMembers returns a view with only this node and the seeds' addresses.
 func NewMembers(self Member, period time.Duration, seeds []netip.AddrPort, rng *rand.Rand) *Members {
 	if self.Incarnation == 0 {
-		// A restarted node must outbid what is remembered of its last life.
+		// A restarted node must override the record of its previous process.
 		self.Incarnation = uint64(time.Now().UnixMilli())
 	}
 	m := &Members{
@@ -100,14 +106,14 @@
 	return m
 }
 
-// Watch has fn called, without locks, after each change of who works.
+// Watch calls fn, without holding locks, after each change of a member.
 func (m *Members) Watch(fn func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.watchers = append(m.watchers, fn)
 }
 
-// AddSeed adds an address at which there should be a node.
+// AddSeed adds the address of a node that should exist.
 func (m *Members) AddSeed(addr netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,30 +122,31 @@
 	}
 }
 
-// Self returns this node as others should know it.
+// Self returns this node's own record.
 func (m *Members) Self() Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// All lists every member known, the dead included, by name; the caller must not change
-// the list.
+// All lists every known member, including the dead, by name; the caller must not
+// change the list.
 func (m *Members) All() []Member { return m.View().All }
 
-// Generation rises with each change of who works.
+// Generation returns a number that rises whenever the set of working members
+// changes.
 func (m *Members) Generation() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.generation
 }
 
-// Working lists the members that take part in duties, by name; the caller must
-// not change the list.
+// Working lists the members to which duties may be assigned, by name; the caller
+// must not change the list.
 func (m *Members) Working() []Member { return m.View().Working }
 
-// Leave marks this node as leaving and returns the news for every member that
-// a probe reaches at once.
+// Leave marks this node as leaving and returns probes that announce it to up to
+// maxLeavePackets members.
 func (m *Members) Leave(now time.Time) []Packet {
 	m.mu.Lock()
 	m.self.Incarnation++
@@ -159,11 +166,12 @@
 	return out
 }
 
-// maxLeavePackets bounds the burst of a leaving node; the rest hear it from
-// those.
+// maxLeavePackets bounds the burst of a leaving node; the receivers inform the
+// other members.
 const maxLeavePackets = 32
 
-// Tick is to be called every period; version is the configuration's.
+// Tick returns the probes of one period and expires unanswered ones. Call it every
+// period, with the configuration's version.
 func (m *Members) Tick(now time.Time, version uint64) []Packet {
 	m.mu.Lock()
 	changed := m.expire(now)
@@ -176,23 +184,23 @@
 	return out
 }
 
-// IndirectProbes returns the indirect probes for members that have not answered in good
-// time; it is to be called a few times a period.
+// IndirectProbes returns the indirect probes for members that have not answered
+// within the ack timeout. Call it a few times per period.
 func (m *Members) IndirectProbes(now time.Time, version uint64) []Packet {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Packet
-	for seq, a := range m.pendingProbes {
-		if a.indirectSent || a.requester.IsValid() || now.Sub(a.sent) < m.period/ackTimeoutDivisor {
+	for seq, pending := range m.pendingProbes {
+		if pending.indirectSent || pending.requester.IsValid() || now.Sub(pending.sentAt) < m.period/ackTimeoutDivisor {
 			continue
 		}
-		a.indirectSent = true
-		for _, helper := range m.pickHelpers(a.target.Name) {
+		pending.indirectSent = true
+		for _, helper := range m.pickHelpers(pending.target.Name) {
 			out = append(out, m.packet(helper.Peer, Probe{
 				Kind:       ProbeIndirect,
 				Seq:        seq,
-				Target:     a.target.Peer,
-				TargetName: a.target.Name,
+				Target:     pending.target.Peer,
+				TargetName: pending.target.Name,
 			}))
 		}
 	}
@@ -200,7 +208,7 @@
 	return out
 }
 
-// Handle takes a received probe and returns the answers.
+// Handle processes a received probe and returns the packets to send in response.
 func (m *Members) Handle(from netip.AddrPort, p Probe, now time.Time, version uint64) []Packet {
 	m.mu.Lock()
 	changed := m.merge(p.Updates, now)
@@ -210,13 +218,13 @@
 		out = append(out, m.packet(from, Probe{Kind: ProbeAck, Seq: p.Seq, Bare: p.Bare}))
 	case ProbeIndirect:
 		seq := m.nextSeq()
-		m.pendingProbes[seq] = &pendingProbe{sent: now, requester: from, requesterSeq: p.Seq, target: Member{Name: p.TargetName}}
+		m.pendingProbes[seq] = &pendingProbe{sentAt: now, requester: from, requesterSeq: p.Seq, target: Member{Name: p.TargetName}}
 		out = append(out, m.packet(p.Target, Probe{Kind: ProbePing, Seq: seq}))
 	case ProbeAck:
-		if a, ok := m.pendingProbes[p.Seq]; ok {
+		if pending, ok := m.pendingProbes[p.Seq]; ok {
 			delete(m.pendingProbes, p.Seq)
-			if a.requester.IsValid() {
-				out = append(out, m.packet(a.requester, Probe{Kind: ProbeAck, Seq: a.requesterSeq}))
+			if pending.requester.IsValid() {
+				out = append(out, m.packet(pending.requester, Probe{Kind: ProbeAck, Seq: pending.requesterSeq}))
 			}
 		}
 	}
@@ -228,7 +236,7 @@
 	return out
 }
 
-// Merge takes in a peer's whole list.
+// Merge applies a peer's member list.
 func (m *Members) Merge(list []Member, now time.Time) {
 	m.mu.Lock()
 	changed := m.merge(list, now)
@@ -252,8 +260,9 @@
 	return m.seq
 }
 
-// ProbeSeeds returns probes for nodes of which only the address is known. They tell of this node
-// only: where all nodes start together, each is greeted by each.
+// ProbeSeeds returns probes for nodes of which only the address is known. They
+// carry no updates but this node's own record: when all nodes start together,
+// each receives such a probe from every other.
 func (m *Members) ProbeSeeds(addrs []netip.AddrPort) []Packet {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/control/members_halls_test.go
+++ b/pkg/control/members_halls_test.go
@@ -9,12 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// hallsFleet is a testFleet in halls, of which all nodes start at once and know two seeds.
-// Notes between halls are counted: they are paid for.
+// hallsFleet is a testFleet spread over halls. All nodes start at once and know
+// two seeds. It counts the bytes sent between halls, which are paid for.
 type hallsFleet struct {
 	*testFleet
 	halls       int
-	remoteBytes int // Bytes between halls.
+	remoteBytes int // Bytes sent between halls.
 }
 
 func newHallsFleet(n, halls int) *hallsFleet {
@@ -36,8 +36,8 @@
 	return f
 }
 
-// probeAllSeeds has each node greet all others, as it does once it has read their addresses, a
-// tenth at a time.
+// probeAllSeeds has each node probe all others by address, a tenth at a time, as a
+// starting node does.
 func (f *hallsFleet) probeAllSeeds() {
 	const batches = 10
 	order := rand.New(rand.NewPCG(1, 2)).Perm(len(f.views))
@@ -54,7 +54,7 @@
 	}
 }
 
-// alivePairs counts the pairs of nodes of which one knows the other as well.
+// alivePairs counts the pairs of nodes of which the first sees the second as alive.
 func (f *hallsFleet) alivePairs() (pairs int) {
 	for _, v := range f.views {
 		pairs += len(v.View().Alive)
@@ -62,14 +62,14 @@
 	return pairs
 }
 
-// All nodes start at once, as after power was lost, and later a whole hall is lost. Each node
-// told all that it had heard to nodes that knew it already, for minutes, and as likely to
-// another hall as to its own: at 71 nodes a third of the bytes between halls on a calm day were
-// probes, 970 bytes each. And the news that a hall was lost came through so slowly that at 150
-// nodes its last node was held for working 59 periods later.
+// All nodes start at once, as after a power loss, and later a whole hall is lost.
+// Nodes kept sending updates to nodes that already knew them, as often to other
+// halls as to their own: with 71 nodes, probes of 970 bytes each were a third of the
+// bytes between halls on a quiet day. The loss of a hall also spread too slowly: with
+// 150 nodes, one of its nodes still counted as working 59 periods later.
 func TestProbesCostFewBytesBetweenHalls(t *testing.T) {
 	const halls, periods = 3, 40
-	for _, size := range []struct{ n, perNode, periodsToDead int }{{7, 250, 10}, {71, 360, 19}, {150, 700, 20}} {
+	for _, size := range []struct{ n, maxPerNode, maxPeriods int }{{7, 250, 10}, {71, 360, 19}, {150, 700, 20}} {
 		t.Run(fmt.Sprint(size.n), func(t *testing.T) {
 			t.Parallel()
 			f := newHallsFleet(size.n, halls)
@@ -81,17 +81,18 @@
 			f.blocked = func(from, to int) bool { return inLostHall(from) || inLostHall(to) }
 			periodsToDead := 0
 			for ; f.anyWorkingIn("north-1", inLostHall); periodsToDead++ {
-				assert.Assert(t, periodsToDead < 3*size.periodsToDead)
+				assert.Assert(t, periodsToDead < 3*size.maxPeriods)
 				f.run(1)
 			}
 			t.Logf("%d bytes a node and period between halls; a lost hall is known to be after %d periods", perNode, periodsToDead)
-			assert.Check(t, perNode <= size.perNode, "%d bytes", perNode)
-			assert.Check(t, periodsToDead <= size.periodsToDead, "%d periods", periodsToDead)
+			assert.Check(t, perNode <= size.maxPerNode, "%d bytes", perNode)
+			assert.Check(t, periodsToDead <= size.maxPeriods, "%d periods", periodsToDead)
 		})
 	}
 }
 
-// anyWorkingIn says whether anybody that is not lost holds a node of a hall for working.
+// anyWorkingIn reports whether any node that is not lost sees a working member in
+// a hall.
 func (f *hallsFleet) anyWorkingIn(hall string, lost func(i int) bool) bool {
 	for i, v := range f.views {
 		if !lost(i) && len(v.View().Hall(hall).Working) > 0 {
@@ -101,7 +102,8 @@
 	return false
 }
 
-// A hall that was cut off comes back, and is known to be back everywhere soon.
+// After a partition of a hall ends, nodes could take too long to see each other
+// as alive again.
 func TestPartitionedHallRejoinsWithinBound(t *testing.T) {
 	f := newHallsFleet(71, 3)
 	f.probeAllSeeds()
--- a/pkg/control/members_probing.go
+++ b/pkg/control/members_probing.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// expire turns silent members suspect, suspects dead, and forgets the long
-// dead.
+// expire marks members that did not answer as suspect and suspects as dead, and
+// removes members that have been dead for deadRetention.
 func (m *Members) expire(now time.Time) (changed bool) {
-	for seq, a := range m.pendingProbes {
-		if now.Sub(a.sent) < m.period {
+	for seq, pending := range m.pendingProbes {
+		if now.Sub(pending.sentAt) < m.period {
 			continue
 		}
 		delete(m.pendingProbes, seq)
-		e, known := m.known[a.target.Name]
-		if a.requester.IsValid() || !known || e.State == MemberDead || e.State == MemberSuspect {
+		e, known := m.known[pending.target.Name]
+		if pending.requester.IsValid() || !known || e.State == MemberDead || e.State == MemberSuspect {
 			continue
 		}
 		u := e.Member
-		// A leaving node that falls silent has left.
+		// A leaving node that no longer answers has stopped, so it is not suspected.
 		u.State = MemberSuspect
 		if e.State == MemberLeaving {
 			u.State = MemberDead
@@ -32,12 +32,12 @@
 	suspectTimeout := time.Duration(suspectPeriods*max(1, math.Log10(float64(len(m.known)+1)))) * m.period
 	for name, e := range m.known {
 		switch {
-		case e.State == MemberSuspect && now.Sub(e.since) >= suspectTimeout:
+		case e.State == MemberSuspect && now.Sub(e.stateSince) >= suspectTimeout:
 			u := e.Member
 			u.State = MemberDead
 			m.setMember(u, now)
 			changed = true
-		case e.State == MemberDead && now.Sub(e.since) >= deadRetention:
+		case e.State == MemberDead && now.Sub(e.stateSince) >= deadRetention:
 			delete(m.known, name)
 			delete(m.byPeer, e.Peer)
 			delete(m.updateSends, name)
@@ -47,8 +47,8 @@
 	return changed
 }
 
-// probeNext probes the next member of a round, and now and then one that is dead or only
-// known as a seed.
+// probeNext probes the next member of a round and, every rejoinProbePeriods or if
+// there is no member to probe, an unreachable address.
 func (m *Members) probeNext(now time.Time) []Packet {
 	m.ticks++
 	local, remote, remoteSuspect := m.countOthers()
@@ -68,8 +68,9 @@
 	return out
 }
 
-// countOthers counts the members of the own hall and of others that may be probed; doubt says
-// that one of the latter is suspect, as when a hall is lost: then they are probed each time.
+// countOthers counts the other members that are not dead, in the own hall and in
+// other halls. remoteSuspect reports whether one of the latter is suspect, as when
+// a hall is lost; other halls are then probed every period.
 func (m *Members) countOthers() (local, remote int, remoteSuspect bool) {
 	for name, e := range m.known {
 		switch {
@@ -84,9 +85,10 @@
 	return local, remote, remoteSuspect
 }
 
-// farShare is the share of probes that go to other halls: as many as at random where the own
-// hall has nobody else, and the fewer the more it has, down to a nearBoost part. Members of
-// large halls are probed by each other instead, and what happens there is told on.
+// remoteShare returns the fraction of probes that go to other halls. It is that of
+// a uniformly random choice if the own hall has no other members, and falls with
+// their number to 1/localProbeBoost of it. Members of large halls are probed by
+// each other, and updates carry the results to other halls.
 func remoteShare(local, remote int) float64 {
 	if remote == 0 {
 		return 0
@@ -95,7 +97,7 @@
 	return float64(remote) / float64(local+remote) / reduction
 }
 
-// probeOne probes the next member of one of the rounds.
+// probeOne appends a probe of the next member of a round.
 func (m *Members) probeOne(out []Packet, round *[]string, remote bool, now time.Time) []Packet {
 	for range len(m.known) {
 		if len(*round) == 0 {
@@ -111,13 +113,13 @@
 			continue
 		}
 		seq := m.nextSeq()
-		m.pendingProbes[seq] = &pendingProbe{target: e.Member, sent: now}
+		m.pendingProbes[seq] = &pendingProbe{target: e.Member, sentAt: now}
 		return append(out, m.packet(e.Peer, Probe{Kind: ProbePing, Seq: seq}))
 	}
 	return out
 }
 
-// newRound lists the members of the own hall or of the others in a random order.
+// newRound returns the members of the own hall or of all others in random order.
 func (m *Members) newRound(remote bool) (round []string) {
 	for name, e := range m.known {
 		if name != m.self.Name && e.State != MemberDead && (e.DataHall != m.self.DataHall) == remote {
@@ -129,22 +131,23 @@
 	return round
 }
 
-// pickUnreachable picks a dead member or a seed that no working member has.
+// pickUnreachable returns a random address among those of dead members and seeds
+// that no other member uses.
 func (m *Members) pickUnreachable() (netip.AddrPort, bool) {
 	var addrs []netip.AddrPort
-	working := map[netip.AddrPort]bool{m.self.Peer: true}
+	inUse := map[netip.AddrPort]bool{m.self.Peer: true}
 	for _, e := range m.known {
 		if e.State != MemberDead {
-			working[e.Peer] = true
+			inUse[e.Peer] = true
 		}
 	}
 	for _, e := range m.known {
-		if !working[e.Peer] {
+		if !inUse[e.Peer] {
 			addrs = append(addrs, e.Peer)
 		}
 	}
 	for _, seed := range m.seeds {
-		if !working[seed] {
+		if !inUse[seed] {
 			addrs = append(addrs, seed)
 		}
 	}
@@ -154,7 +157,7 @@
 	return addrs[m.rng.IntN(len(addrs))], true
 }
 
-// pickHelpers picks members for indirect probes.
+// pickHelpers returns random members to ask for an indirect probe of target.
 func (m *Members) pickHelpers(target string) []Member {
 	var list []Member
 	for _, e := range m.known {
--- a/pkg/control/members_test.go
+++ b/pkg/control/members_test.go
@@ -14,15 +14,16 @@
 
 const testPeriod = time.Second
 
-// testFleet passes probes between views, in memory and in order.
+// testFleet delivers probes between views in memory and in order.
 type testFleet struct {
 	now     time.Time
 	views   []*Members
 	byAddr  map[netip.AddrPort]int
 	blocked func(from, to int) bool
-	// suspended is a view whose machine is suspended: it neither sends nor is told the time.
+	// suspended is the index of a view whose machine is suspended: it sends nothing
+	// and its clock stands still. -1 for none.
 	suspended int
-	bytes     []int // Sent by each view.
+	bytes     []int // Bytes sent by each view.
 	onSend    func(from, to, bytes int)
 }
 
@@ -64,7 +65,7 @@
 	}
 }
 
-// run passes a number of periods.
+// run simulates a number of periods.
 func (f *testFleet) run(periods int) {
 	for range periods {
 		for i, v := range f.views {
@@ -110,8 +111,8 @@
 	assert.Equal(t, f.stateOf(0, 3), MemberAlive)
 }
 
-// A member whose machine was suspended is held for dead meanwhile, and refutes that; it has
-// missed the steady clock's time and holds nobody else for dead.
+// A member whose machine was suspended is marked dead in the meantime and must
+// refute this. Its monotonic clock stood still, so it must mark no other as dead.
 func TestSuspendedMemberRejoins(t *testing.T) {
 	f := newTestFleet(8)
 	f.run(30)
@@ -179,8 +180,8 @@
 	assert.Equal(t, f.stateOf(0, 3), MemberAlive)
 }
 
-// A node that starts anew knows only addresses. Those that have been there for long
-// are in nobody's news any more, and it must learn of all of them all the same.
+// A restarted node knows only addresses and could fail to learn of long-running
+// members, whose records are in no pending update any more.
 func TestRestartedNodeLearnsOfAllMembersAtOnce(t *testing.T) {
 	const nodes = 9
 	f := newTestFleet(nodes)
@@ -223,8 +224,8 @@
 	}
 }
 
-// BenchmarkMembers reports the cost of membership a node and second, at rest
-// and with the design size's churn.
+// BenchmarkMembers reports the cost of membership per node and period without
+// changes.
 func BenchmarkMembers(b *testing.B) {
 	for _, n := range []int{8, 30, 100, 300, 900} {
 		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
@@ -247,8 +248,8 @@
 	}
 }
 
-// periodsToSpread passes periods until every view has heard of a version that one node
-// has, as probes carry it, and returns how many it took.
+// periodsToSpread returns the number of periods until every view has received a
+// configuration version that one node has, as carried on probes.
 func (f *testFleet) periodsToSpread() int {
 	has := make([]bool, len(f.views))
 	has[0] = true
@@ -280,7 +281,7 @@
 	}
 }
 
-// knowAll has every view know the whole fleet, with no news left to tell.
+// knowAll gives every view the whole fleet, with no pending updates.
 func (f *testFleet) knowAll() {
 	for _, v := range f.views {
 		for i := range f.views {
@@ -290,8 +291,8 @@
 	}
 }
 
-// BenchmarkSpread reports after how many periods a change of configuration is
-// known everywhere.
+// BenchmarkSpread reports the number of periods until a configuration change is
+// known to all nodes.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{8, 30, 100, 300, 900} {
 		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
--- a/pkg/control/members_updates.go
+++ b/pkg/control/members_updates.go
@@ -10,14 +10,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// packet addresses a probe and adds news; the caller holds mu.
+// packet addresses a probe and adds updates; the caller holds mu.
 //
-// A node that is held for suspect or dead is always told so, however old the
-// news is: only it can refute that, and no one else would ever bring it up. Each
-// answer and each probe tells of its sender, too: one that has been there for long is
-// in nobody's news any more, and a node that starts knows only addresses. Without it
-// a third of the nodes heard nothing of the others' load for the rest of a day on
-// which all were restarted.
+// A probe to a suspect or dead member always carries that member's record, however
+// old, because only that member can refute it. Every packet also carries its
+// sender's record: a long-running node's record is in no pending update any more,
+// and a starting node knows only addresses. Without it, after all nodes were
+// restarted, a third of them received no load reports for the rest of the day.
 func (m *Members) packet(to netip.AddrPort, p Probe) Packet {
 	p.From = m.self.Name
 	if !p.Bare {
@@ -32,13 +31,14 @@
 	return Packet{To: to, Probe: p}
 }
 
+// setConfigVersion sets the configuration version on packets.
 func (m *Members) setConfigVersion(out []Packet, version uint64) {
 	for i := range out {
 		out[i].Probe.Version = version
 	}
 }
 
-// maxUpdatesTo is how many news a probe takes to a member.
+// maxUpdatesTo returns the maximum number of updates on a probe to an address.
 func (m *Members) maxUpdatesTo(to netip.AddrPort) int {
 	if e := m.known[m.byPeer[to]]; e != nil && e.DataHall == m.self.DataHall {
 		return maxLocalUpdates
@@ -46,7 +46,7 @@
 	return maxRemoteUpdates
 }
 
-// takeUpdates picks the updates that were sent least often.
+// takeUpdates returns up to limit pending updates, the least often sent first.
 func (m *Members) takeUpdates(limit int) []Member {
 	names := make([]string, 0, len(m.updateSends))
 	for name := range m.updateSends {
@@ -63,7 +63,8 @@
 	return list
 }
 
-// countSent notes how often news was told, or met somebody who knew it.
+// countSent adds to the number of times an update was sent and removes the update
+// once that is enough for the fleet's size.
 func (m *Members) countSent(name string, times int) {
 	if _, pending := m.updateSends[name]; !pending {
 		return
@@ -74,7 +75,7 @@
 	}
 }
 
-// merge takes in updates and says whether any changed the view.
+// merge applies updates and reports whether any changed the view.
 func (m *Members) merge(updates []Member, now time.Time) (changed bool) {
 	for _, u := range updates {
 		if u.Name == m.self.Name {
@@ -97,7 +98,8 @@
 	return changed
 }
 
-// refute outbids what others wrongly think of this node.
+// refute overrides another node's newer record of this node with a higher
+// incarnation.
 func (m *Members) refute(u Member, now time.Time) {
 	if !u.newer(m.self) {
 		return
@@ -106,12 +108,13 @@
 	m.setMember(m.self, now)
 }
 
+// setMember stores a member's record and queues it as an update.
 func (m *Members) setMember(u Member, now time.Time) {
 	u.hash = xxhash.Sum64String(u.Name)
 	if old := m.known[u.Name]; old == nil || old.Working() != u.Working() {
 		m.generation++
 	}
-	m.known[u.Name] = &memberEntry{Member: u, since: now}
+	m.known[u.Name] = &memberEntry{Member: u, stateSince: now}
 	m.byPeer[u.Peer] = u.Name
 	m.updateSends[u.Name] = 0
 	m.view = nil
--- a/pkg/control/platform.go
+++ b/pkg/control/platform.go
@@ -9,7 +9,7 @@
 
 // Table is the part of the table service that this package uses.
 type Table interface {
-	// Commit carries out a transaction, as tablestore.Table does.
+	// Commit executes a transaction, as tablestore.Table does.
 	Commit(ctx context.Context, txn tablestore.Txn) error
 	// Read returns rows by key, as tablestore.Table does.
 	Read(ctx context.Context, keys ...string) ([]tablestore.Row, error)
@@ -21,5 +21,5 @@
 	Get(ctx context.Context, name string, v any) error
 }
 
-// newNonce returns a text that no other writer uses.
+// newNonce returns a random text that identifies one write.
 func newNonce() string { return rand.Text() }
--- a/pkg/control/probe.go
+++ b/pkg/control/probe.go
@@ -17,17 +17,18 @@
 	Kind ProbeKind `json:"k"`
 	Seq  uint64    `json:"q"`
 	From string    `json:"f"`
-	// Target and TargetName are who an indirect probe is for.
+	// Target and TargetName are the member that an indirect probe asks to probe.
 	Target     netip.AddrPort `json:"t,omitzero"`
 	TargetName string         `json:"tn,omitempty"`
 	// Version is the sender's configuration version.
 	Version uint64 `json:"v"`
-	// Bare probes, and their answers, tell of their senders only.
+	// Bare probes and their acks carry only their sender's record, and that of a
+	// suspect or dead receiver.
 	Bare    bool     `json:"b,omitempty"`
 	Updates []Member `json:"u,omitempty"`
 }
 
-// Packet is a probe and where it goes.
+// Packet is a probe and its destination.
 type Packet struct {
 	To    netip.AddrPort
 	Probe Probe
--- a/pkg/control/rendezvous.go
+++ b/pkg/control/rendezvous.go
@@ -7,9 +7,8 @@
 	"github.com/drumpath/drumpath/pkg/rendezvous"
 )
 
-// Owner returns the working member that a duty falls to, by rendezvous
-// hashing: when a member goes, only its own duties move. ok is false if there
-// is none.
+// Owner returns the member that rendezvous hashing assigns a duty to: when a
+// member goes, only its own duties move. ok is false if members is empty.
 func Owner(members []Member, duty string) (owner Member, ok bool) {
 	best := uint64(0)
 	h := hashDuty(duty)
@@ -21,8 +20,9 @@
 	return owner, ok
 }
 
-// Owners returns up to n members in the order in which a duty falls to them.
-// It keeps the n best in one pass, as n is small and the fleet may not be.
+// Owners returns up to n members by descending weight for a duty: if the first
+// goes, the second becomes the owner, and so on. It keeps the n best in one pass,
+// since n is small and the fleet may be large.
 func Owners(members []Member, duty string, n int) []Member {
 	type ranked struct {
 		weight uint64
@@ -46,6 +46,7 @@
 	return list
 }
 
+// nameHash returns the cached hash of the name, or computes it.
 func (m Member) nameHash() uint64 {
 	if m.hash != 0 {
 		return m.hash
--- a/pkg/control/view.go
+++ b/pkg/control/view.go
@@ -6,25 +6,25 @@
 	"slices"
 )
 
-// View is what is known of the fleet at one moment. All its lists are by name and are
-// shared by all callers: they must not be changed.
+// View is a snapshot of the known members. Its lists are sorted by name and shared
+// by all callers, who must not change them.
 //
-// It is made anew only after a change: with 295 nodes, a list for each question took 0.1
-// to 0.3 ms, several times a second.
+// It is rebuilt only after a change: with 295 nodes, building a list for each call
+// took 0.1 to 0.3 ms, several times a second.
 type View struct {
-	// All are the members known, the dead included.
+	// All has every known member, including the dead.
 	All []Member
-	// Working take part in duties.
+	// Working has the members to which duties may be assigned.
 	Working []Member
-	// Alive are well: neither suspect nor leaving.
+	// Alive has the members that are neither suspect nor leaving nor dead.
 	Alive []Member
 
 	halls map[string]HallView
 }
 
-// HallView is the part of a View that is of one data hall.
+// HallView lists the members of one data hall.
 type HallView struct {
-	// Present are all but the dead.
+	// Present has all members but the dead.
 	Present []Member
 	Working []Member
 	Alive   []Member
@@ -33,7 +33,7 @@
 // Hall returns the members of a data hall.
 func (v *View) Hall(name string) HallView { return v.halls[name] }
 
-// Halls lists the data halls in which there are members, by name.
+// Halls lists the data halls that have members, by name.
 func (v *View) Halls() []string {
 	list := make([]string, 0, len(v.halls))
 	for name := range v.halls {
@@ -43,8 +43,8 @@
 	return list
 }
 
-// View returns what is known now. Two calls return the same pointer unless something
-// has changed between them.
+// View returns the current view. Two calls return the same pointer unless a
+// member changed between them.
 func (m *Members) View() *View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,7 +54,7 @@
 	return m.view
 }
 
-// newView lists the members; the caller holds mu.
+// newView builds a view; the caller holds mu.
 func (m *Members) newView() *View {
 	v := &View{All: make([]Member, 0, len(m.known)), halls: map[string]HallView{}}
 	for _, e := range m.known {
@@ -79,9 +79,10 @@
 	return v
 }
 
-// Recipients are the addresses to tell what all other members are to hear: all of halls with
-// at most so many others, and of each larger one a member that tells it on there, another
-// one at each try. duty names the duty of telling it on.
+// Recipients returns the addresses to send a broadcast to. direct has all other
+// members of halls with at most maxDirect of them; relays has, for each larger
+// hall, one member that forwards the broadcast within it, a different one at each
+// attempt. duty names the forwarding duty, by which that member is chosen.
 func (v *View) Recipients(self string, maxDirect int, duty string, attempt int) (direct, relays []netip.AddrPort) {
 	for _, hall := range v.Halls() {
 		others := slices.DeleteFunc(slices.Clone(v.Hall(hall).Present), func(m Member) bool { return m.Name == self })
@@ -97,8 +98,8 @@
 	return direct, relays
 }
 
-// Others are the addresses of all but one member of a hall that may live.
-func (v *View) Others(self, hall string) []netip.AddrPort {
+// Peers returns the peer addresses of a hall's members that are not dead, except self.
+func (v *View) Peers(self, hall string) []netip.AddrPort {
 	present := v.Hall(hall).Present
 	list := make([]netip.AddrPort, 0, len(present))
 	for _, m := range present {
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -187,7 +187,7 @@
 
 // inHall lists the addresses of the other nodes of a hall that may live.
 func (n *nodes) inHall(hall string) []netip.AddrPort {
-	return n.members.View().Others(n.self.Name, hall)
+	return n.members.View().Peers(n.self.Name, hall)
 }
 
 // speakers are the nodes that tell their halls' sums, by hall. They are worked
--- a/service/node/suspects.go
+++ b/service/node/suspects.go
@@ -41,7 +41,7 @@
 }
 
 // HallPeers implements suspects.Notifier.
-func (t *suspectTeller) HallPeers() []netip.AddrPort { return t.members.View().Others(t.self, t.hall) }
+func (t *suspectTeller) HallPeers() []netip.AddrPort { return t.members.View().Peers(t.self, t.hall) }
 
 // handleSuspects sets what other nodes tell and ask of such prompts.
 func (n *Node) handleSuspects() {
--- a/service/suspects/suspects_test.go
+++ b/service/suspects/suspects_test.go
@@ -114,7 +114,7 @@
 }
 
 func (l *lateNotes) HallPeers() []netip.AddrPort {
-	return l.members.View().Others(l.self.Name, l.self.DataHall)
+	return l.members.View().Peers(l.self.Name, l.self.DataHall)
 }
 
 func (l *lateNotes) SendNote(to []netip.AddrPort, method string, params any) (sent int) {
