--- a/pkg/control/claims_test.go
+++ b/pkg/control/claims_test.go
@@ -18,7 +18,7 @@
 
 func (f *fixture) claims(t testing.TB, node string) *Claims {
 	t.Helper()
-	c := NewClaims(node, tablestore.NewTable(f.table.Addr(), testTimeout), quiet)
+	c := NewClaims(node, tablestore.NewTable(f.table.Addr(), testTimeout), discardLog)
 	t.Cleanup(c.Close)
 	return c
 }
@@ -30,7 +30,7 @@
 	return c.Acquire(ctx, "corrib", key)
 }
 
-func TestClaimIsGivenOnce(t *testing.T) {
+func TestClaimIsGrantedOnce(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.claims(t, "a"), f.claims(t, "b")
 	claim, err := acquire(t, a, "k", time.Second)
@@ -48,7 +48,7 @@
 	assert.Equal(t, string(taken.Result.Body), "ok")
 }
 
-func TestClaimsOfOrganisationsAreApart(t *testing.T) {
+func TestClaimKeysOfOrganisationsDoNotCollide(t *testing.T) {
 	assert.Assert(t, claimKey("a", "bc") != claimKey("ab", "c"))
 }
 
@@ -65,7 +65,7 @@
 	assert.Assert(t, errors.As(err, &taken), "%v", err)
 }
 
-func TestLostAnswerOfAClaimIsSettled(t *testing.T) {
+func TestClaimIsGrantedAfterLostCommitAnswer(t *testing.T) {
 	f := newFixture(t)
 	a := f.claims(t, "a")
 	f.table.SetFault(standin.Fault{LoseAnswers: 1})
@@ -73,8 +73,8 @@
 	assert.NilError(t, err)
 }
 
-// A claim whose write lands after its claimer gave up must not stay held.
-func TestLateClaimIsVoided(t *testing.T) {
+// A claim whose write takes effect after Acquire gave up must not stay held.
+func TestAbandonedClaimIsVoidedWhenItsWriteLands(t *testing.T) {
 	f := newFixture(t)
 	a, b := f.claims(t, "a"), f.claims(t, "b")
 	f.table.SetFault(standin.Fault{LoseAnswers: 1000, LateMillis: 250})
@@ -87,7 +87,7 @@
 	assert.NilError(t, err)
 }
 
-func TestNoClaimDuringAnOutage(t *testing.T) {
+func TestAcquireFailsWhileTableServiceIsDown(t *testing.T) {
 	f := newFixture(t)
 	a := f.claims(t, "a")
 	f.table.SetFault(standin.Fault{Down: true})
@@ -97,7 +97,7 @@
 	waitUntil(t, func() bool { return a.Pending() == 0 })
 }
 
-func TestClaimsAreWrittenInGroups(t *testing.T) {
+func TestClaimsAreBatchedIntoFewTransactions(t *testing.T) {
 	f := newFixture(t)
 	a := f.claims(t, "a")
 	f.table.SetFault(standin.Fault{LatencyMillis: 20})
@@ -116,8 +116,9 @@
 
 type claimOutput struct{ granted, taken bool }
 
-// claimModel is one key's register: given at most once, and taken only after
-// someone may have got it. An attempt without a claim may or may not block.
+// claimModel models one key: it is granted at most once, and reported as taken
+// only after a node may have acquired it. An attempt that failed without a claim
+// may or may not have held the key for a while.
 var claimModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[string][]porcupine.Operation{}
@@ -144,22 +145,22 @@
 		case out.taken:
 			return []any{state}
 		default:
-			// No claim: it may have landed for a while before it is voided.
+			// No claim: its write may have taken effect and be voided later.
 			return []any{state, "maybe"}
 		}
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func TestClaimHistoryUnderFaults(t *testing.T) {
+func TestClaimHistoryIsLinearizableUnderFaults(t *testing.T) {
 	f := newFixture(t)
 	var mu sync.Mutex
 	var ops []porcupine.Operation
 	var grants atomic.Int64
 	start := time.Now()
 	stop := make(chan struct{})
-	var faulty sync.WaitGroup
-	faulty.Go(func() {
+	var faults sync.WaitGroup
+	faults.Go(func() {
 		for i := 0; ; i++ {
 			select {
 			case <-stop:
@@ -194,12 +195,12 @@
 	}
 	wg.Wait()
 	close(stop)
-	faulty.Wait()
+	faults.Wait()
 	assert.Assert(t, porcupine.CheckOperations(claimModel.ToModel(), ops))
 	assert.Assert(t, grants.Load() <= 12)
 }
 
-// waitUntil waits for a condition, much longer than it should take.
+// waitUntil waits for a condition with a generous time limit.
 func waitUntil(t testing.TB, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/pkg/control/leases.go
+++ b/pkg/control/leases.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	// LeaseGroups is how many leases there are for the whole fleet. Duties are
-	// hashed into them, so the table service's load does not grow with the
-	// number of upstreams.
+	// LeaseGroups is the number of leases of the whole fleet. Duties are hashed
+	// to them, so the table service's load does not grow with the number of
+	// upstreams.
 	LeaseGroups = 16
-	// leaseMargin is the share of a term by which a holder stops early, for
-	// clocks that run at different rates and for the way of an order.
-	leaseMargin = 4
-	// RenewShare is the share of a term after which a lease is renewed.
-	RenewShare = 3
+	// leaseMarginDivisor sets the safety margin: a holder stops using its lease
+	// 1/leaseMarginDivisor of a term early, to allow for clocks that run at
+	// different rates and for an order's time in transit.
+	leaseMarginDivisor = 4
+	// RenewalsPerTerm sets the renewal interval to term/RenewalsPerTerm.
+	RenewalsPerTerm = 3
 )
 
-// Leases are this node's leases on duties that may have one doer only.
+// Leases are this node's leases on duties that at most one node may perform.
 //
-// A holder counts its validity on its own monotonic clock from before the
-// renewal was sent, less a margin. A taker waits a whole term during which the
-// row has not changed, on its own clock, from when it first saw that row. So no
-// clock is compared with another's. A holder that was frozen and still believes
-// in its lease is stopped by the fence, as its taker has a higher epoch.
+// A holder counts validity on its own monotonic clock, from before the renewal
+// was sent, less a margin. A node that takes a lease over first waits, on its own
+// clock, a whole term in which the row has not changed. So no two clocks are ever
+// compared. A holder that was paused and still believes it holds its lease is
+// stopped by the fence, because the new holder has a higher epoch.
 type Leases struct {
 	node    string
 	term    time.Duration
@@ -46,7 +47,7 @@
 	leases map[string]*Lease
 }
 
-// NewLeases returns leases of which none is held.
+// NewLeases returns the fleet's leases, none of them held by this node.
 func NewLeases(node string, term time.Duration, t *tablestore.Table, m *Members, log *slog.Logger) *Leases {
 	return newLeases(node, term, t, m, log)
 }
@@ -68,128 +69,130 @@
 	return l
 }
 
-// LeaseFor names the lease under which a duty is done.
+// LeaseFor returns the name of the lease that covers a duty.
 func LeaseFor(duty string) string {
 	return fmt.Sprintf("lease/%02d", hashDuty(duty)%LeaseGroups)
 }
 
-// Step renews held leases, takes free ones that fall to this node, and gives
-// back those that fall to another; the timer service calls it.
+// Step renews held leases, acquires free ones that rendezvous hashing assigns to
+// this node, and releases those it assigns to another. The timer service calls it.
 func (l *Leases) Step(ctx context.Context) {
 	members := l.members.Working()
-	var read []string
+	var toRead []string
 	for name := range l.leases {
 		owner, ok := Owner(members, name)
-		mine := ok && owner.Name == l.node
+		assigned := ok && owner.Name == l.node
 		switch held := l.Held(name); {
-		case held && mine:
-			if l.renewable(name) {
+		case held && assigned:
+			if l.renewalDue(name) {
 				l.renew(ctx, name)
 			}
 		case held:
-			l.giveBack(ctx, name)
-		case mine:
-			read = append(read, name)
+			l.releaseOne(ctx, name)
+		case assigned:
+			toRead = append(toRead, name)
 		}
 	}
-	if len(read) == 0 {
+	if len(toRead) == 0 {
 		return
 	}
-	rows, err := l.table.Read(ctx, read...)
+	rows, err := l.table.Read(ctx, toRead...)
 	if err != nil {
 		l.log.Debug("leases not read", "err", err)
 		return
 	}
 	for _, row := range rows {
-		if l.takeable(row) {
-			l.take(ctx, row.Key)
+		if l.canAcquire(row) {
+			l.acquire(ctx, row.Key)
 		}
 	}
 }
 
-// renewable says whether a third of the term has passed since the last renewal.
-func (l *Leases) renewable(name string) bool {
+// renewalDue reports whether term/RenewalsPerTerm has passed since the last
+// renewal.
+func (l *Leases) renewalDue(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now().Sub(l.leases[name].since) >= l.term/RenewShare
+	return l.now().Sub(l.leases[name].unchangedSince) >= l.term/RenewalsPerTerm
 }
 
-// Held says whether this node holds a lease now.
+// Held reports whether this node holds a lease now.
 func (l *Leases) Held(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now().Before(l.leases[name].until)
+	return l.now().Before(l.leases[name].validUntil)
 }
 
-// Fence returns the fence for the next order under a lease; ok is false if it
-// is not held. It is to be called just before the order is sent.
+// Fence returns the fence for the next order under a lease; ok is false if the
+// lease is not held. Call it just before sending the order.
 func (l *Leases) Fence(name string) (f Fence, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.leases[name]
-	if !l.now().Before(s.until) {
+	lease := l.leases[name]
+	if !l.now().Before(lease.validUntil) {
 		return Fence{}, false
 	}
-	s.seq++
-	return Fence{Epoch: s.row.Epoch, Seq: s.seq}, true
+	lease.lastSeq++
+	return Fence{Epoch: lease.row.Epoch, Seq: lease.lastSeq}, true
 }
 
-// Settled says whether a lease has been held for a whole term, so that an order
-// of the last holder that is under way has arrived. Orders to upstreams that do
-// not check fences wait for that.
-func (l *Leases) Settled(name string) bool {
+// HeldForFullTerm reports whether a lease has been held for a whole term, after
+// which no order of the previous holder is still in transit. Orders to upstreams
+// that do not check fences wait for that.
+func (l *Leases) HeldForFullTerm(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.leases[name]
+	lease := l.leases[name]
 	now := l.now()
-	return now.Before(s.until) && now.Sub(s.held) >= l.term
+	return now.Before(lease.validUntil) && now.Sub(lease.heldSince) >= l.term
 }
 
-// Release gives all leases back, for a planned stop.
+// Release releases all held leases, for a planned stop.
 func (l *Leases) Release(ctx context.Context) {
 	for name := range l.leases {
 		if l.Held(name) {
-			l.giveBack(ctx, name)
+			l.releaseOne(ctx, name)
 		}
 	}
 }
 
-// Status lists the leases that are held.
+// Status lists the leases that this node holds.
 func (l *Leases) Status(now time.Time) []LeaseStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []LeaseStatus
-	for name, s := range l.leases {
-		if now.Before(s.until) {
-			list = append(list, LeaseStatus{Name: name, Epoch: s.row.Epoch, Valid: s.until.Sub(now)})
+	for name, lease := range l.leases {
+		if now.Before(lease.validUntil) {
+			list = append(list, LeaseStatus{Name: name, Epoch: lease.row.Epoch, Valid: lease.validUntil.Sub(now)})
 		}
 	}
 	return list
 }
 
-// takeable notes a row as seen now and says whether its lease may be taken.
-func (l *Leases) takeable(row tablestore.Row) bool {
+// canAcquire records a row as read now and reports whether its lease may be
+// acquired: it was released, or its row has not changed for a term.
+func (l *Leases) canAcquire(row tablestore.Row) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.leases[row.Key]
+	lease := l.leases[row.Key]
 	now := l.now()
-	if row.Version != s.seen || s.since.IsZero() {
-		s.seen, s.since = row.Version, now
-		s.row = leaseRow{}
+	if row.Version != lease.rowVersion || lease.unchangedSince.IsZero() {
+		lease.rowVersion, lease.unchangedSince = row.Version, now
+		lease.row = leaseRow{}
 		if row.Version > 0 {
-			if err := json.Unmarshal(row.Value, &s.row); err != nil {
+			if err := json.Unmarshal(row.Value, &lease.row); err != nil {
 				l.log.Error("lease row can't be decoded", "row", row.Key, "err", err)
 				return false
 			}
 		}
 	}
-	return s.row.Holder == "" || now.Sub(s.since) >= l.term
+	return lease.row.Holder == "" || now.Sub(lease.unchangedSince) >= l.term
 }
 
-func (l *Leases) take(ctx context.Context, name string) {
+func (l *Leases) acquire(ctx context.Context, name string) {
 	l.mu.Lock()
-	s := l.leases[name]
-	next := leaseRow{Holder: l.node, Epoch: s.row.Epoch + 1, Nonce: newNonce()}
+	lease := l.leases[name]
+	next := leaseRow{Holder: l.node, Epoch: lease.row.Epoch + 1, Nonce: newNonce()}
 	l.mu.Unlock()
 	if l.write(ctx, name, next) {
 		l.log.Info("lease acquired", "lease", name, "epoch", next.Epoch)
@@ -204,77 +207,78 @@
 	l.write(ctx, name, next)
 }
 
-// giveBack ends a lease; it is not used from the moment the write is sent.
-func (l *Leases) giveBack(ctx context.Context, name string) {
+// releaseOne gives up a lease; this node stops using it before the write is sent.
+func (l *Leases) releaseOne(ctx context.Context, name string) {
 	l.mu.Lock()
-	s := l.leases[name]
-	s.until = time.Time{}
-	next := leaseRow{Epoch: s.row.Epoch, Nonce: newNonce()}
+	lease := l.leases[name]
+	lease.validUntil = time.Time{}
+	next := leaseRow{Epoch: lease.row.Epoch, Nonce: newNonce()}
 	l.mu.Unlock()
 	if l.write(ctx, name, next) {
 		l.log.Info("lease released", "lease", name)
 	}
 }
 
-// write writes a lease's row on the version last seen and says whether it did.
-// A lost answer is settled by reading the row; a write that is not known to
-// have landed extends nothing.
+// write writes a lease's row if it still has the version last read and reports
+// whether it was written. After a lost answer it reads the row to find out. A
+// write that is not known to have taken effect does not extend the lease.
 func (l *Leases) write(ctx context.Context, name string, next leaseRow) bool {
 	l.mu.Lock()
-	s := l.leases[name]
-	base := s.seen
+	lease := l.leases[name]
+	baseVersion := lease.rowVersion
 	l.mu.Unlock()
 	body, err := json.Marshal(next)
 	if err != nil {
 		return false
 	}
-	// Validity counts from before the write is sent.
-	sent := l.now()
+	// Validity is counted from before the write is sent.
+	sentAt := l.now()
 	err = l.table.Commit(ctx, tablestore.Txn{
-		Conditions: []tablestore.Condition{{Key: name, Version: base}},
+		Conditions: []tablestore.Condition{{Key: name, Version: baseVersion}},
 		Puts:       []tablestore.Put{{Key: name, Value: body}},
 	})
-	if err != nil && !l.landed(ctx, name, next.Nonce, base, err) {
+	if err != nil && !l.tookEffect(ctx, name, next.Nonce, baseVersion, err) {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fresh := s.row.Epoch != next.Epoch
-	s.row = next
-	s.seen, s.since = base+1, sent
+	newEpoch := lease.row.Epoch != next.Epoch
+	lease.row = next
+	lease.rowVersion, lease.unchangedSince = baseVersion+1, sentAt
 	if next.Holder != l.node {
 		return true
 	}
-	if fresh {
-		s.held, s.seq = sent, 0
+	if newEpoch {
+		lease.heldSince, lease.lastSeq = sentAt, 0
 	}
-	s.until = sent.Add(l.term - l.term/leaseMargin)
+	lease.validUntil = sentAt.Add(l.term - l.term/leaseMarginDivisor)
 	return true
 }
 
-// landed says whether a write whose answer was lost has taken effect.
-func (l *Leases) landed(ctx context.Context, name, nonce string, base uint64, err error) bool {
+// tookEffect reports whether a write that returned err has taken effect. A conflict
+// invalidates the lease.
+func (l *Leases) tookEffect(ctx context.Context, name, nonce string, baseVersion uint64, err error) bool {
 	var conflict *tablestore.ConflictError
 	if errors.As(err, &conflict) {
-		l.lost(name)
+		l.invalidate(name)
 		return false
 	}
 	if !eris.Is(err, tablestore.ErrUnknown) {
 		return false
 	}
 	rows, err := l.table.Read(ctx, name)
-	if err != nil || rows[0].Version != base+1 {
+	if err != nil || rows[0].Version != baseVersion+1 {
 		return false
 	}
 	var row leaseRow
 	return json.Unmarshal(rows[0].Value, &row) == nil && row.Nonce == nonce
 }
 
-// lost ends a lease whose row another has written.
-func (l *Leases) lost(name string) {
+// invalidate drops a lease whose row another node has written.
+func (l *Leases) invalidate(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.leases[name]
-	s.until = time.Time{}
-	s.since = time.Time{}
+	lease := l.leases[name]
+	lease.validUntil = time.Time{}
+	lease.unchangedSince = time.Time{}
 }
