--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -330,12 +330,12 @@
 	},
 	{
 		"drain: the list does not undo it", "service/gateway/site_state.go",
-		"	u.Draining = u.Draining || b.saysDraining(u.StartKey())\n", "",
-		"./service/gateway", "TestDrainThatAnAnswerSaysHoldsAgainstTheList",
+		"	u.Draining = u.Draining || st.reportedDraining(u.StartKey())\n", "",
+		"./service/gateway", "TestDrainingInResponseOverridesStoreList",
 	},
 	{
-		"drain: nodes tell each other", "service/gateway/news.go",
-		"		n.spread(newsOf(w, news{Draining: true}))\n", "",
+		"drain: nodes tell each other", "service/gateway/replica_updates.go",
+		"		n.broadcast(updateFor(replica, replicaUpdate{Draining: true}))\n", "",
 		"./internal/standin/onplatform", "TestNodesTellEachOtherThatAReplicaDrains",
 	},
 	{
@@ -359,7 +359,7 @@
 		"./internal/standin/onplatform", "TestRequestIsRefusedAtOnceWhereAllReplicasDrainOrAskForBackoff",
 	},
 	{
-		"backoff: orders wait", "service/gateway/swaps.go",
+		"backoff: orders wait", "service/gateway/rollout_fleet.go",
 		"	return now.Sub(since) < s.within/2\n", "	_ = since\n	return false\n",
 		"./internal/standin/onplatform", "TestOrderOfWeightsWaitsForABackoff",
 	},
--- a/service/gateway/attempt.go
+++ b/service/gateway/attempt.go
@@ -212,7 +212,7 @@
 		return
 	}
 	if n := x.g.conns.lost(a.choice.ID); n > 0 {
-		x.g.metrics.dropped.Add(int64(n))
+		x.g.metrics.idleConnsClosed.Add(int64(n))
 		x.g.log.Warn("idle connections closed", "request", x.terms.ID, "replica", a.choice.ID, "quiet", quiet, "closed", n)
 	}
 }
--- a/service/gateway/client_conn.go
+++ b/service/gateway/client_conn.go
@@ -148,7 +148,7 @@
 	c.setReadLimit(c.g.limits().IdleTimeout)
 	c.enter(connResting)
 	defer c.enter(connHeading)
-	if !c.g.serving() {
+	if !c.g.keepsIdleConns() {
 		c.hurry()
 	}
 	return <-c.next == nil
@@ -217,7 +217,7 @@
 		old:      head.Minor == 0,
 		closing:  func() bool { return last || c.g.stopping() },
 	}
-	_ = c.conn.SetWriteDeadline(boottime.Monotonic(came.Add(c.g.holdMost(&terms) + writeSlack))) // The next write tells.
+	_ = c.conn.SetWriteDeadline(boottime.Monotonic(came.Add(c.g.maxRequestTime(&terms) + writeSlack))) // The next write tells.
 	c.g.inFlight.Add(1)
 	defer c.g.inFlight.Add(-1)
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -269,7 +269,7 @@
 	default:
 		return
 	}
-	c.g.metrics.refusal(f.reason)
+	c.g.metrics.countRefusal(f.reason)
 	_ = c.conn.SetWriteDeadline(time.Now().Add(lingerTime)) // The next write tells.
 	if _, err := c.conn.Write(f.message(c.g.codec, "", true)); err != nil {
 		return
--- a/service/gateway/cold_shares.go
+++ b/service/gateway/cold_shares.go
@@ -19,83 +19,83 @@
 	self    control.Member
 	members *control.Members
 
-	mu    sync.Mutex
-	met   time.Time // When this node has read who the others are, zero before.
-	view  *control.View
-	known map[coldShare]int // For the view.
+	mu            sync.Mutex
+	membersReadAt time.Time // When this node has read who the others are, zero before.
+	view          *control.View
+	cached        map[coldShareKey]int // For the view.
 }
 
-type coldShare struct {
+type coldShareKey struct {
 	replica uint64
 	hall    string
-	most    int
+	limit   int
 }
 
-// meetTime is for how long a node that has read the others' addresses waits for their
+// memberResponseTime is for how long a node that has read the others' addresses waits for their
 // answers until it goes by how many there are.
-const meetTime = time.Second
+const memberResponseTime = time.Second
 
 func newColdShares(self control.Member, m *control.Members) *coldShares {
 	return &coldShares{self: self, members: m}
 }
 
-// haveMet notes that this node has read the others' addresses.
-func (c *coldShares) haveMet(now time.Time) {
+// markMembersRead notes that this node has read the others' addresses.
+func (c *coldShares) markMembersRead(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.met.IsZero() {
-		c.met = now
+	if c.membersReadAt.IsZero() {
+		c.membersReadAt = now
 	}
 }
 
-// hasMet says whether this node has met the others, by their addresses and their answers.
-func (c *coldShares) hasMet() bool {
+// membersKnown says whether this node has met the others, by their addresses and their answers.
+func (c *coldShares) membersKnown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.met.IsZero() && boottime.Since(c.met) >= meetTime
+	return !c.membersReadAt.IsZero() && boottime.Since(c.membersReadAt) >= memberResponseTime
 }
 
 // Share implements route.ColdShares.
-func (c *coldShares) Share(replica uint64, hall string, most int) int {
+func (c *coldShares) Share(replica uint64, hall string, limit int) int {
 	view := c.members.View()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.met.IsZero() || boottime.Since(c.met) < meetTime {
+	if c.membersReadAt.IsZero() || boottime.Since(c.membersReadAt) < memberResponseTime {
 		return 0
 	}
 	if c.view != view {
-		c.view, c.known = view, map[coldShare]int{}
+		c.view, c.cached = view, map[coldShareKey]int{}
 	}
-	of := coldShare{replica, hall, most}
-	share, known := c.known[of]
-	if !known {
-		share = shareOf(view.All, c.self.Name, of)
-		c.known[of] = share
+	key := coldShareKey{replica, hall, limit}
+	share, cached := c.cached[key]
+	if !cached {
+		share = computeShare(view.All, c.self.Name, key)
+		c.cached[key] = share
 	}
 	return share
 }
 
-// shareOf divides a limit among as many nodes as it has requests, found by hashing: nodes of
+// computeShare divides a limit among as many nodes as it has requests, found by hashing: nodes of
 // the replica's data hall if they are enough, as bytes between halls are paid for, and else
 // of all.
-func shareOf(all []control.Member, self string, of coldShare) int {
-	near := slices.DeleteFunc(slices.Clone(all), func(m control.Member) bool { return m.DataHall != of.hall })
-	if len(near) < of.most {
-		near = all
+func computeShare(all []control.Member, self string, key coldShareKey) int {
+	candidates := slices.DeleteFunc(slices.Clone(all), func(m control.Member) bool { return m.DataHall != key.hall })
+	if len(candidates) < key.limit {
+		candidates = all
 	}
-	users := min(of.most, len(near))
-	if users == 0 || !slices.ContainsFunc(near, func(m control.Member) bool { return m.Name == self }) {
+	users := min(key.limit, len(candidates))
+	if users == 0 || !slices.ContainsFunc(candidates, func(m control.Member) bool { return m.Name == self }) {
 		return 0
 	}
-	mine := rendezvous.Weight(of.replica, rendezvous.Hash(self))
-	before := 0
-	for i := range near {
-		if rendezvous.Weight(of.replica, rendezvous.Hash(near[i].Name)) > mine {
-			before++
+	ownWeight := rendezvous.Weight(key.replica, rendezvous.Hash(self))
+	rank := 0
+	for i := range candidates {
+		if rendezvous.Weight(key.replica, rendezvous.Hash(candidates[i].Name)) > ownWeight {
+			rank++
 		}
 	}
-	if before >= users {
+	if rank >= users {
 		return 0
 	}
-	return of.most / users
+	return key.limit / users
 }
--- a/service/gateway/cold_shares_test.go
+++ b/service/gateway/cold_shares_test.go
@@ -11,8 +11,8 @@
 	"github.com/drumpath/drumpath/pkg/rendezvous"
 )
 
-// membersOf are nodes in some halls, of which the first ones are dead.
-func membersOf(n, halls, dead int) (list []control.Member) {
+// newMembers are nodes in some halls, of which the first ones are dead.
+func newMembers(n, halls, dead int) (list []control.Member) {
 	for i := range n {
 		m := control.Member{Name: fmt.Sprintf("n%03d", i), DataHall: fmt.Sprintf("h%d", i%halls)}
 		if i < dead {
@@ -25,20 +25,20 @@
 
 // All shares of a replica together are within the limit, also where nodes think different
 // ones dead, and none is left unused that a node could have.
-func TestSharesOfAColdReplicaAddUpToNoMoreThanItBears(t *testing.T) {
+func TestColdSharesDoNotExceedLimit(t *testing.T) {
 	const views = 5 // In each of which other nodes are thought dead.
 	for _, nodes := range []int{1, 2, 7, 9, 59, 71, 295, 900} {
 		var lists [views][]control.Member
 		for i := range lists {
-			lists[i] = membersOf(nodes, 3, i)
+			lists[i] = newMembers(nodes, 3, i)
 		}
 		replicas := max(1, min(20, 600/nodes)) // The work grows with the square of the nodes.
 		for _, most := range []int{0, 1, 3, 16, 40} {
 			for r := range replicas {
-				of := coldShare{replica: rendezvous.Hash(fmt.Sprint("r", r)), hall: fmt.Sprintf("h%d", r%3), most: most}
+				of := coldShareKey{replica: rendezvous.Hash(fmt.Sprint("r", r)), hall: fmt.Sprintf("h%d", r%3), limit: most}
 				sum, users := 0, 0
 				for i := range nodes {
-					share := shareOf(lists[i%views], fmt.Sprintf("n%03d", i), of)
+					share := computeShare(lists[i%views], fmt.Sprintf("n%03d", i), of)
 					sum += share
 					if share > 0 {
 						users++
@@ -53,22 +53,22 @@
 }
 
 // A node that has not read who the others are can't know its share.
-func TestNodeThatKnowsNobodyHasNoShare(t *testing.T) {
+func TestNoColdShareBeforeMembersAreKnown(t *testing.T) {
 	self := control.Member{Name: "n000", DataHall: "h0", Incarnation: 1}
 	m := control.NewMembers(self, time.Second, nil, newRand())
 	c := newColdShares(self, m)
 	assert.Equal(t, c.Share(1, "h0", 16), 0)
-	c.haveMet(time.Now())
+	c.markMembersRead(time.Now())
 	assert.Equal(t, c.Share(1, "h0", 16), 0, "the others have had no time to answer")
-	c.met = time.Now().Add(-meetTime)
+	c.membersReadAt = time.Now().Add(-memberResponseTime)
 	assert.Equal(t, c.Share(1, "h0", 16), 16)
-	m.Merge(membersOf(8, 1, 0)[1:], time.Now())
+	m.Merge(newMembers(8, 1, 0)[1:], time.Now())
 	assert.Equal(t, c.Share(1, "h0", 16), 2)
 }
 
 // The directory's answers stay inside the homes of a host and the caller's region, as long
 // as there is a node.
-func TestDirectoryStaysInsideHomes(t *testing.T) {
+func TestDirectoryPrefersHomeRegions(t *testing.T) {
 	self := control.Member{Name: "a0", DataHall: "a", Incarnation: 1}
 	m := control.NewMembers(self, time.Second, nil, newRand())
 	list := []control.Member{
@@ -80,11 +80,11 @@
 	}
 	m.Merge(list, time.Now())
 	n := &nodes{self: self, members: m, regions: map[string]string{"a": "one", "b": "one", "c": "two", "d": "three"}}
-	assert.Equal(t, len(n.entries("b", "one", nil)), 2, "enough of its own hall")
-	assert.Equal(t, len(n.entries("a", "one", nil)), 3, "those of its region")
-	assert.Equal(t, len(n.entries("d", "three", nil)), 6, "all")
-	assert.Equal(t, len(n.entries("d", "three", []string{"two"})), 2, "those of the homes")
-	assert.Equal(t, len(n.entries("elsewhere", "four", []string{"two"})), 2)
-	assert.Equal(t, len(n.entries("d", "three", []string{"nowhere"})), 1, "its own region")
-	assert.Equal(t, len(n.entries("elsewhere", "four", []string{"nowhere"})), 6, "somebody has to refuse")
+	assert.Equal(t, len(n.entryAddrs("b", "one", nil)), 2, "enough of its own hall")
+	assert.Equal(t, len(n.entryAddrs("a", "one", nil)), 3, "those of its region")
+	assert.Equal(t, len(n.entryAddrs("d", "three", nil)), 6, "all")
+	assert.Equal(t, len(n.entryAddrs("d", "three", []string{"two"})), 2, "those of the homes")
+	assert.Equal(t, len(n.entryAddrs("elsewhere", "four", []string{"two"})), 2)
+	assert.Equal(t, len(n.entryAddrs("d", "three", []string{"nowhere"})), 1, "its own region")
+	assert.Equal(t, len(n.entryAddrs("elsewhere", "four", []string{"nowhere"})), 6, "somebody has to refuse")
 }
--- a/service/gateway/control_bench_test.go
+++ b/service/gateway/control_bench_test.go
@@ -26,16 +26,16 @@
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: "front-0", DataHall: "hall-0", State: control.MemberAlive, Link: 20}
 	k := route.NewCacheIndex()
-	bel := NewSiteState(nil, self.DataHall, time.Second, k, log)
+	siteState := NewSiteState(nil, self.DataHall, time.Second, k, log)
 	engine := &site.Engine{PlannedFetch: true, MaxWatches: 4, TokenBytes: 18_000, LinkRate: 1e10, Capacity: 40_000}
-	bel.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
+	siteState.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
 	for i := range engines {
 		id := engineID(i)
-		bel.upstreams[id] = &upstreamEntry{Upstream: site.Upstream{
+		siteState.upstreams[id] = &upstreamEntry{Upstream: site.Upstream{
 			ID: id, Service: "llm", DataHall: fmt.Sprint("hall-", i%fleetHalls), Slots: 24, Weights: map[string]int64{"m": 1},
 		}}
 	}
-	bel.rebuild(time.Now())
+	siteState.rebuildPools(time.Now())
 	m := control.NewMembers(self, 300*time.Millisecond, nil, rand.New(rand.NewPCG(1, 2)))
 	var list []control.Member
 	for i := 1; i < nodeCount; i++ {
@@ -51,17 +51,17 @@
 	}
 	b.Cleanup(probes.Close)
 	probes.Start()
-	n := &nodes{self: self, members: m, beliefs: bel, kept: k, log: log, loads: newLoads(), due: make(chan struct{}, 1), probes: probes}
+	n := &nodes{self: self, members: m, siteState: siteState, cacheIndex: k, log: log, loads: newLoadState(), loadsDue: make(chan struct{}, 1), probes: probes}
 	client := peer.NewClient("key")
 	b.Cleanup(client.Close)
-	return n, newHoldings(nil, bel, k, m, client, self, new(replicaClock), log)
+	return n, newHoldings(nil, siteState, k, m, client, self, new(replicaClock), log)
 }
 
 func engineID(i int) string { return fmt.Sprintf("i-%08x", uint32(i)*2654435761) }
 
-// hallSum is a note of what a hall has in flight at all engines.
-func hallSum(b *testing.B, hall string, seq uint64, engines int) json.RawMessage {
-	s := stateNote{From: "front-x" + hall, Hall: hall, Boot: 1, Seq: seq}
+// newHallSumNote is a note of what a hall has in flight at all engines.
+func newHallSumNote(b *testing.B, hall string, seq uint64, engines int) json.RawMessage {
+	s := loadNote{From: "front-x" + hall, Hall: hall, Boot: 1, Seq: seq}
 	var loads []route.ReplicaLoad
 	for i := range engines {
 		load := route.PeerLoad{Requests: 1 + i%3, Memory: 9000 + i, Tokens: route.BandTokens{i % 2 * 1500, i % 5 * 1700}}
@@ -80,42 +80,42 @@
 	return text
 }
 
-// BenchmarkHearSum is the cost of one note of another hall's loads at a node. At 295
+// BenchmarkHandleHallLoads is the cost of one note of another hall's loads at a node. At 295
 // nodes some 22 come a second.
-func BenchmarkHearSum(b *testing.B) {
+func BenchmarkHandleHallLoads(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
 			n, _ := newFleetNode(b, size.nodes, size.engines)
 			var notes []json.RawMessage
 			for seq := range 400 {
-				notes = append(notes, hallSum(b, fmt.Sprint("hall-", 1+seq%4), uint64(seq+1), min(size.engines, sumMost)))
+				notes = append(notes, newHallSumNote(b, fmt.Sprint("hall-", 1+seq%4), uint64(seq+1), min(size.engines, maxSumReplicas)))
 			}
 			b.SetBytes(int64(len(notes[0])))
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if i%len(notes) == 0 {
-					clear(n.loads.halls)
+					clear(n.loads.byHall)
 				}
-				n.hearHall(notes[i%len(notes)])
+				n.handleHallLoads(notes[i%len(notes)])
 			}
 		})
 	}
 }
 
-// BenchmarkTell is the cost of one telling of a node's own loads; at 295 nodes a node
+// BenchmarkSendLoads is the cost of one telling of a node's own loads; at 295 nodes a node
 // does so up to 5.6 times a second.
-func BenchmarkTell(b *testing.B) {
+func BenchmarkSendLoads(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
 			n, _ := newFleetNode(b, size.nodes, size.engines)
 			for h := range fleetHalls {
-				n.hearHall(hallSum(b, fmt.Sprint("hall-", h), 1, min(size.engines, sumMost)))
+				n.handleHallLoads(newHallSumNote(b, fmt.Sprint("hall-", h), 1, min(size.engines, maxSumReplicas)))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				peers := n.inHall(n.self.DataHall)
-				n.tell(n.audience(peers)[:0])
-				n.settle(time.Now())
+				peers := n.hallPeers(n.self.DataHall)
+				n.sendLoads(n.loadRecipients(peers)[:0])
+				n.refreshPeerLoads(time.Now())
 			}
 		})
 	}
@@ -136,9 +136,9 @@
 	}
 }
 
-// BenchmarkHearHeld is the cost of news of what engines hold, for each second of news of
+// BenchmarkHandleHeldUpdates is the cost of news of what engines hold, for each second of news of
 // all engines, each of which tells 20 changes a second.
-func BenchmarkHearHeld(b *testing.B) {
+func BenchmarkHandleHeldUpdates(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
 			_, h := newFleetNode(b, size.nodes, size.engines)
@@ -173,9 +173,9 @@
 	}
 }
 
-// BenchmarkReader is the cost of finding out who reads the store for a node, twice a
+// BenchmarkChooseReader is the cost of finding out who reads the store for a node, twice a
 // second and more.
-func BenchmarkReader(b *testing.B) {
+func BenchmarkChooseReader(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
 			n, _ := newFleetNode(b, size.nodes, size.engines)
--- a/service/gateway/directory.go
+++ b/service/gateway/directory.go
@@ -13,28 +13,28 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// sideServer answers small questions beside the requests: whether the node is
+// auxServer answers small questions beside the requests: whether the node is
 // ready, and where callers are to go.
-type sideServer struct {
+type auxServer struct {
 	ln   net.Listener
 	http *fasthttp.Server
 	done chan struct{}
 }
 
-func newSideServer(addr string, r *router.Router) (s *sideServer, err error) {
+func newAuxServer(addr string, r *router.Router) (s *auxServer, err error) {
 	defer func() { err = eris.Wrap(err, "side server") }()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &sideServer{
+	return &auxServer{
 		ln:   ln,
 		http: &fasthttp.Server{Handler: r.Handler, NoDefaultServerHeader: true, CloseOnShutdown: true},
 		done: make(chan struct{}),
 	}, nil
 }
 
-func (s *sideServer) start(g *Gateway) {
+func (s *auxServer) start(g *Gateway) {
 	go func() {
 		defer close(s.done)
 		if err := s.http.Serve(&listener{Listener: s.ln, log: g.log}); err != nil {
@@ -44,7 +44,7 @@
 }
 
 // close stops serving; it does not wait for clients that keep a connection.
-func (s *sideServer) close() {
+func (s *auxServer) close() {
 	_ = s.ln.Close() // Serving ends all the same.
 	<-s.done
 }
@@ -66,7 +66,7 @@
 	r.GET(g.platform.Paths.Resolve, func(c *fasthttp.RequestCtx) {
 		q := c.QueryArgs()
 		hall, region := string(q.Peek(g.platform.Paths.DataHall)), string(q.Peek(g.platform.Paths.Region))
-		addrs := g.nodes.entries(hall, region, g.homesOf(string(q.Peek(g.platform.Paths.Host))))
+		addrs := g.nodes.entryAddrs(hall, region, g.homesOf(string(q.Peek(g.platform.Paths.Host))))
 		g.look()
 		if len(addrs) == 0 || !g.awake() {
 			c.SetStatusCode(http.StatusServiceUnavailable)
@@ -80,7 +80,7 @@
 // homesOf are the regions in which requests to a host may run, nil where some of its routes
 // may in all, or there are none.
 func (g *Gateway) homesOf(host string) (homes []string) {
-	s := g.beliefs.Snapshot()
+	s := g.siteState.Snapshot()
 	if s == nil {
 		return nil
 	}
@@ -94,8 +94,8 @@
 	r.GET("/metrics", func(c *fasthttp.RequestCtx) { writeJSON(c, g.status()) })
 	r.GET("/state", func(c *fasthttp.RequestCtx) {
 		state := map[string][]route.PoolReplicaStatus{}
-		g.nodes.settle(boottime.Now())
-		for service, p := range g.beliefs.Pools() {
+		g.nodes.refreshPeerLoads(boottime.Now())
+		for service, p := range g.siteState.Pools() {
 			state[service] = p.Status(boottime.Now())
 		}
 		writeJSON(c, state)
--- a/service/gateway/dispatch.go
+++ b/service/gateway/dispatch.go
@@ -49,8 +49,8 @@
 	if !x.service.Engine.PlannedFetch || len(shared) == 0 {
 		return d, &route.Plan{}
 	}
-	replaced := x.g.beliefs.ReplacedAt(x.need.Model, c.Weights)
-	plan := x.g.kept.Plan(d.Realm, c.Upstream, shared, x.service.Engine, route.PlanLimits{
+	replaced := x.g.siteState.ReplacedAt(x.need.Model, c.Weights)
+	plan := x.g.cacheIndex.Plan(d.Realm, c.Upstream, shared, x.service.Engine, route.PlanLimits{
 		MaxFetchTime: x.longestFetch(),
 		// While weights are being replaced, what a replica reads may be of either.
 		Save:           replaced.IsZero(),
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -87,7 +87,7 @@
 		x.refuse(f)
 		return
 	}
-	x.g.budget(x.service.Name).Request(x.came)
+	x.g.retryBudget(x.service.Name).Request(x.came)
 	ctx, cancel := context.WithTimeout(ctx, boottime.Until(x.limit))
 	defer cancel()
 	defer func() { x.leaveQueue(boottime.Now()) }()
@@ -108,7 +108,7 @@
 func (x *exchange) conclude(ctx context.Context, f refusal) {
 	switch {
 	case context.Cause(ctx) == errClientLeft:
-		x.g.metrics.left.Add(1)
+		x.g.metrics.clientsLeft.Add(1)
 		x.g.log.Info("client left", "request", x.terms.ID, "route", x.route.Name, "after", boottime.Since(x.came), "attempts", x.ran)
 		x.out.fail()
 	case context.Cause(ctx) == errStopped:
@@ -160,7 +160,7 @@
 	a.realm = dispatch.Realm
 	x.leaveQueue(now)
 	if x.need.Tokens > 0 {
-		x.g.nodes.soon()
+		x.g.nodes.sendLoadsSoon()
 	}
 	fate, err := a.begin(ctx, x, dispatch)
 	defer func() {
@@ -210,10 +210,10 @@
 // lost notes that a replica can't be reached.
 func (x *exchange) lost(u *site.Upstream, now time.Time) {
 	if x.pool.RecordUnreachable(u.ID, now) {
-		x.g.nodes.doubt(route.RefOf(u))
+		x.g.nodes.announceUnreachable(route.RefOf(u))
 	}
 	x.g.conns.lost(u.ID)
-	x.g.kept.AvoidEngine(u.ID, now.Add(doubtTerm))
+	x.g.cacheIndex.AvoidEngine(u.ID, now.Add(doubtTerm))
 }
 
 // notRun goes on after a replica that refused.
@@ -223,7 +223,7 @@
 	x.learnRefusal(a, now)
 	x.need.Exclude = append(x.need.Exclude, a.choice.ID)
 	x.refused++
-	x.g.metrics.notRun.Add(1)
+	x.g.metrics.refusedByReplicas.Add(1)
 	x.g.log.Info("replica refused", "request", x.terms.ID, "replica", a.choice.ID, "status", a.head.Status,
 		"weights", a.choice.Weights, "newest", x.need.NewestVersion, "limit", a.answer.Limit.String(),
 		"draining", a.answer.Draining, "backoff", a.answer.Backoff, "not_run", x.refused)
@@ -261,7 +261,7 @@
 		return
 	}
 	x.pool.Avoid(a.choice.ID, now.Add(goneTerm))
-	x.g.kept.AvoidEngine(a.choice.ID, now.Add(goneTerm))
+	x.g.cacheIndex.AvoidEngine(a.choice.ID, now.Add(goneTerm))
 }
 
 // unknown goes on after a connection that was lost while the request may have
@@ -298,7 +298,7 @@
 	if x.limit.Sub(now) < timeLeft {
 		return false
 	}
-	return x.g.budget(x.service.Name).Take(now)
+	return x.g.retryBudget(x.service.Name).Take(now)
 }
 
 // outOfTime is the answer at the limit: it depends on whether the request may
@@ -389,7 +389,7 @@
 // first records that the first byte of the answer has come.
 func (x *exchange) first(a *attempt, now time.Time) {
 	if a.took == 0 && a.realm != "" {
-		x.g.kept.RecordPrefill(a.choice.ID, a.realm, x.terms.Shared())
+		x.g.cacheIndex.RecordPrefill(a.choice.ID, a.realm, x.terms.Shared())
 	}
 	a.first(now)
 	x.leaveQueue(now)
@@ -408,7 +408,7 @@
 }
 
 func (x *exchange) refuse(f refusal) {
-	x.g.metrics.refusal(f.reason)
+	x.g.metrics.countRefusal(f.reason)
 	x.logRefusal(f, boottime.Now())
 	x.out.raw(f.message(x.g.codec, x.terms.ID, x.out.settle()))
 }
--- a/service/gateway/exchange_limits.go
+++ b/service/gateway/exchange_limits.go
@@ -40,7 +40,7 @@
 	u := &a.choice.Upstream
 	x.g.rateLimits.ObserveAnswer(u, &a.answer, a.begun, now)
 	if a.answer.Draining {
-		x.g.nodes.hearDraining(route.RefOf(u))
+		x.g.nodes.recordDraining(route.RefOf(u))
 	}
 	if a.answer.Backoff > 0 {
 		x.pool.BackOff(u, a.answer.Backoff, now)
--- a/service/gateway/exchange_log.go
+++ b/service/gateway/exchange_log.go
@@ -7,7 +7,7 @@
 // logAnswer tells where a request ran, by what, and how long it took.
 func (x *exchange) logAnswer(a *attempt, now time.Time) {
 	offer := x.need.Coverage[a.choice.ID]
-	x.g.metrics.answer(x.route.Kind(), a.begun.Sub(x.came), a.took, now.Sub(x.came))
+	x.g.metrics.countAnswer(x.route.Kind(), a.begun.Sub(x.came), a.took, now.Sub(x.came))
 	x.g.log.Info("answered", "request", x.terms.ID, "route", x.route.Name, "replica", a.choice.ID,
 		"hall", a.choice.DataHall, "weights", a.choice.Weights, "newest", x.need.NewestVersion,
 		"tokens", x.need.Tokens, "shared", x.need.Shared, "kept", offer.Held+offer.Fetched, "held", offer.Held, "read", a.choice.Read,
@@ -32,7 +32,7 @@
 		replicas, usable = x.pool.Count(now)
 		wait = x.pool.MedianWait(now)
 	}
-	config, heard, away := x.g.beliefs.Ages(now)
+	config, heard, away := x.g.siteState.Ages(now)
 	x.g.log.Info("refused", "request", x.terms.ID, "status", f.status, "reason", f.reason, "route", route, "service", service,
 		"retry_after", f.retry, "after", now.Sub(x.came), "attempts", x.ran, "not_run", x.refused,
 		"config", config, "list_age", heard, "store_away", away, "replicas", replicas, "usable", usable,
--- a/service/gateway/exchange_needs.go
+++ b/service/gateway/exchange_needs.go
@@ -12,7 +12,7 @@
 
 // admit finds out how the request is to be served; ok is false if it is refused.
 func (x *exchange) admit() (f refusal, ok bool) {
-	s := x.g.beliefs.Snapshot()
+	s := x.g.siteState.Snapshot()
 	if s == nil {
 		return comeBack(reasonNoConfiguration, startRetry), false
 	}
@@ -34,7 +34,7 @@
 	if x.service == nil {
 		return comeBack(reasonNoReplica, noReplicaRetry), false
 	}
-	if x.pool = x.g.beliefs.Pool(x.service.Name); x.pool == nil {
+	if x.pool = x.g.siteState.Pool(x.service.Name); x.pool == nil {
 		return comeBack(reasonNoReplica, noReplicaRetry), false
 	}
 	x.need = x.needs()
@@ -86,10 +86,10 @@
 	realm := func(version int64) route.Realm {
 		return route.Realm{
 			Name:           x.realm(version),
-			CompleteBefore: x.g.beliefs.ReplacedAt(x.need.Model, version),
+			CompleteBefore: x.g.siteState.ReplacedAt(x.need.Model, version),
 		}
 	}
-	x.need.Coverage = x.g.kept.Coverage(x.pool.Upstreams(), x.need.Model, realm, x.terms.Shared(), e, x.longestFetch(), now)
+	x.need.Coverage = x.g.cacheIndex.Coverage(x.pool.Upstreams(), x.need.Model, realm, x.terms.Shared(), e, x.longestFetch(), now)
 }
 
 const (
@@ -107,7 +107,7 @@
 	if x.need.Model == "" {
 		return
 	}
-	version, since := x.g.beliefs.Weights(x.need.Model)
+	version, since := x.g.siteState.Weights(x.need.Model)
 	x.need.NewestVersion = version
 	known := now.Sub(since)
 	x.need.StalenessWeight = freshUrgency
@@ -115,13 +115,13 @@
 		x.need.StalenessWeight = 1
 	}
 	within := x.g.conf().Orders.Within.Std() - withinMargin
-	x.need.MinVersion = x.g.beliefs.WeightsBefore(x.need.Model, now.Add(-within))
+	x.need.MinVersion = x.g.siteState.WeightsBefore(x.need.Model, now.Add(-within))
 }
 
 // pick chooses a replica by what is known now.
 func (x *exchange) pick(now time.Time) (route.Choice, bool) {
 	x.refresh(now)
 	x.lookUp(now)
-	x.g.nodes.settle(now)
+	x.g.nodes.refreshPeerLoads(now)
 	return x.pool.Pick(&x.need, now)
 }
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -24,34 +24,34 @@
 )
 
 const (
-	timerWorkers = 6
-	pruneEvery   = 500 * time.Millisecond
-	expireEvery  = 200 * time.Millisecond
-	watchEvery   = 200 * time.Millisecond
-	// memoryShare is the part of the memory limit that the runtime is told: the
+	timerWorkers           = 6
+	connPruneInterval      = 500 * time.Millisecond
+	upstreamExpireInterval = 200 * time.Millisecond
+	refreshInterval        = 200 * time.Millisecond
+	// memoryLimitShare is the part of the memory limit that the runtime is told: the
 	// rest is for what it does not count, such as bytes in sockets.
-	memoryShare = 0.75
-	// spareDescriptors are kept for everything but clients' connections.
-	spareDescriptors = 0.4
-	defaultMost      = 10_000
-	bytesPerMB       = 1 << 20
-	// lostTime is the part of the grace period that is kept for the end itself.
-	lostTime = 700 * time.Millisecond
-	// steerAwayTime is for how long a stopping node takes new connections: other
+	memoryLimitShare = 0.75
+	// reservedDescriptorShare are kept for everything but clients' connections.
+	reservedDescriptorShare = 0.4
+	defaultMaxClients       = 10_000
+	bytesPerMB              = 1 << 20
+	// shutdownReserve is the part of the grace period that is kept for the end itself.
+	shutdownReserve = 700 * time.Millisecond
+	// acceptAfterStop is for how long a stopping node takes new connections: other
 	// nodes have heard of the stop by then and name it to callers no more. One that
 	// keeps an older answer finds the connection refused and takes another node.
-	steerAwayTime = 1200 * time.Millisecond
-	// releaseTime bounds the giving back of leases, so that a slow store does not
+	acceptAfterStop = 1200 * time.Millisecond
+	// leaseReleaseTimeout bounds the giving back of leases, so that a slow store does not
 	// hold the stop: they end by themselves.
-	releaseTime = time.Second
-	// upstreamsRest groups changes of the list of upstreams. It is well under
+	leaseReleaseTimeout = time.Second
+	// upstreamsBatchDelay groups changes of the list of upstreams. It is well under
 	// the second or more that a leaving upstream still serves.
-	upstreamsRest = 400 * time.Millisecond
-	// longestHold bounds a request that tells no limit.
-	longestHold = 60 * time.Second
-	// unknownNodes is how many nodes at least are assumed to share a budget while a node has
+	upstreamsBatchDelay = 400 * time.Millisecond
+	// defaultRequestTime bounds a request that tells no limit.
+	defaultRequestTime = 60 * time.Second
+	// assumedNodes is how many nodes at least are assumed to share a budget while a node has
 	// not met the others.
-	unknownNodes = 64
+	assumedNodes = 64
 )
 
 // Gateway is one node.
@@ -61,8 +61,8 @@
 	codec      Codec
 	log        *slog.Logger
 	timer      *timer.Service
-	beliefs    *SiteState
-	kept       *route.CacheIndex
+	siteState  *SiteState
+	cacheIndex *route.CacheIndex
 	nodes      *nodes
 	peers      *peer.Server
 	client     *peer.Client
@@ -78,37 +78,37 @@
 	metrics    *metrics
 	clock      *replicaClock
 
-	entry     net.Listener
-	readySide *sideServer
-	directory *sideServer
-	figures   *sideServer // Nil without an address for them.
+	entry           net.Listener
+	readyServer     *auxServer
+	directoryServer *auxServer
+	metricsServer   *auxServer // Nil without an address for them.
 
-	queuesMu sync.Mutex
-	queues   map[string]*route.PromptQueue
-	queued   chan struct{} // Holds one when a prompt has begun to wait.
+	queuesMu     sync.Mutex
+	queues       map[string]*route.PromptQueue
+	promptQueued chan struct{} // Holds one when a prompt has begun to wait.
 
-	budgetMu sync.Mutex
-	budgets  map[string]*route.RetryShare
+	retryBudgetsMu sync.Mutex
+	retryBudgets   map[string]*route.RetryShare
 
 	followers  []*follower // Of the store's tables.
 	suspension *suspension
 
-	inFlight atomic.Int64
-	told     atomic.Pointer[time.Time] // When the node was told to stop, nil before.
-	stopped  chan struct{}             // Closed then.
-	closing  atomic.Bool
-	ctx      context.Context
-	cancel   context.CancelFunc
-	wg       sync.WaitGroup
+	inFlight        atomic.Int64
+	stopRequestedAt atomic.Pointer[time.Time] // When the node was told to stop, nil before.
+	stopRequested   chan struct{}             // Closed then.
+	closing         atomic.Bool
+	ctx             context.Context
+	cancel          context.CancelFunc
+	wg              sync.WaitGroup
 }
 
 // New builds a node; it listens, but does not serve before Start.
 func New(s config.GatewaySettings, p Platform, log *slog.Logger) (g *Gateway, err error) {
 	defer func() { err = eris.Wrap(err, "new gateway") }()
 	if s.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * s.Limits.MemoryMB * bytesPerMB))
+		debug.SetMemoryLimit(int64(memoryLimitShare * s.Limits.MemoryMB * bytesPerMB))
 	}
-	in, err := build(s, p, log)
+	built, err := build(s, p, log)
 	if err != nil {
 		return nil, err
 	}
@@ -116,31 +116,31 @@
 		platform:   p,
 		codec:      p.Codec,
 		log:        log,
-		timer:      in.Timer,
-		beliefs:    in.Beliefs,
-		kept:       in.Kept,
-		nodes:      in.Nodes,
-		peers:      in.Peers,
-		client:     in.Client,
-		readers:    in.Readers,
-		watchers:   in.Watchers,
-		stores:     in.Stores,
-		holdings:   in.Holdings,
-		suspects:   in.Suspects,
-		rateLimits: in.Limits,
-		rollout:    in.Rollout,
-		conns:      in.Conns,
-		clients:    in.Clients,
-		metrics:    in.Metrics,
-		clock:      in.Clock,
+		timer:      built.Timer,
+		siteState:  built.SiteState,
+		cacheIndex: built.CacheIndex,
+		nodes:      built.Nodes,
+		peers:      built.Peers,
+		client:     built.Client,
+		readers:    built.Readers,
+		watchers:   built.Watchers,
+		stores:     built.Stores,
+		holdings:   built.Holdings,
+		suspects:   built.Suspects,
+		rateLimits: built.Limits,
+		rollout:    built.Rollout,
+		conns:      built.Conns,
+		clients:    built.Clients,
+		metrics:    built.Metrics,
+		clock:      built.Clock,
 
-		budgets: map[string]*route.RetryShare{},
-		queues:  map[string]*route.PromptQueue{},
-		queued:  make(chan struct{}, 1),
+		retryBudgets: map[string]*route.RetryShare{},
+		queues:       map[string]*route.PromptQueue{},
+		promptQueued: make(chan struct{}, 1),
 
 		suspension: newSuspension(),
 
-		stopped: make(chan struct{}),
+		stopRequested: make(chan struct{}),
 	}
 	g.settings.Store(&s)
 	g.ctx, g.cancel = context.WithCancel(context.Background())
@@ -151,14 +151,14 @@
 	if g.entry, err = net.Listen("tcp", g.conf().Entry.Listen.String()); err != nil {
 		return err
 	}
-	if g.readySide, err = newSideServer(g.conf().Entry.Ready.String(), g.readyRoutes()); err != nil {
+	if g.readyServer, err = newAuxServer(g.conf().Entry.Ready.String(), g.readyRoutes()); err != nil {
 		return err
 	}
-	if g.directory, err = newSideServer(g.conf().Entry.Directory.String(), g.directoryRoutes()); err != nil {
+	if g.directoryServer, err = newAuxServer(g.conf().Entry.Directory.String(), g.directoryRoutes()); err != nil {
 		return err
 	}
 	if addr := g.conf().Entry.Metrics; addr.IsValid() {
-		g.figures, err = newSideServer(addr.String(), g.metricsRoutes())
+		g.metricsServer, err = newAuxServer(addr.String(), g.metricsRoutes())
 	}
 	return err
 }
@@ -167,25 +167,25 @@
 func (g *Gateway) Start() {
 	g.nodes.probes.Start()
 	g.peers.Start()
-	g.readySide.start(g)
-	g.directory.start(g)
-	if g.figures != nil {
-		g.figures.start(g)
+	g.readyServer.start(g)
+	g.directoryServer.start(g)
+	if g.metricsServer != nil {
+		g.metricsServer.start(g)
 	}
 	hold := g.conf().Platform.LongPollTimeout.Std()
 	g.followers = []*follower{
 		{
 			store: g.readers, table: site.TableOperator, name: "operator", hold: hold, log: g.log,
-			apply: g.beliefs.ApplyOperator,
+			apply: g.siteState.ApplyOperator,
 			away:  func(time.Time) {},
 			heard: func(begun, _ time.Time) { g.suspension.hear(site.TableOperator, begun) },
 		},
 		{
 			store: g.readers, table: site.TableUpstreams, name: "upstreams", hold: hold, log: g.log,
-			apply: g.beliefs.ApplyUpstreams, rest: upstreamsRest,
-			away: g.beliefs.MarkStoreUnreachable,
+			apply: g.siteState.ApplyUpstreams, rest: upstreamsBatchDelay,
+			away: g.siteState.MarkStoreUnreachable,
 			heard: func(begun, now time.Time) {
-				g.beliefs.MarkStoreSynced(now)
+				g.siteState.MarkStoreSynced(now)
 				g.suspension.hear(site.TableUpstreams, begun)
 			},
 		},
@@ -195,24 +195,24 @@
 	}
 	every := g.conf().Peer.ProbeEvery.Std()
 	g.every(every, g.nodes.probe)
-	g.every(every/lateShare, g.nodes.probeLate)
-	g.every(meetEvery, g.nodes.meet)
-	g.every(greetEvery, g.nodes.greetSome)
-	g.every(pruneEvery, func(context.Context) { g.conns.prune(boottime.Now()) })
-	g.every(expireEvery, func(context.Context) { g.beliefs.Expire(boottime.Now()) })
-	g.every(watchEvery, g.stores.refresh)
-	g.every(watchEvery, g.holdings.refresh)
+	g.every(every/indirectProbeDivisor, g.nodes.probeIndirectly)
+	g.every(discoverInterval, g.nodes.discover)
+	g.every(seedProbeInterval, g.nodes.probeSeeds)
+	g.every(connPruneInterval, func(context.Context) { g.conns.prune(boottime.Now()) })
+	g.every(upstreamExpireInterval, func(context.Context) { g.siteState.Expire(boottime.Now()) })
+	g.every(refreshInterval, g.stores.refresh)
+	g.every(refreshInterval, g.holdings.refresh)
 	g.every(freeEvery, g.stores.free)
 	g.every(rollout.StepInterval, g.rollout.Step)
-	g.every(watchEvery, g.shareBudgets)
+	g.every(refreshInterval, g.updateRetrySlack)
 	g.every(suspects.StepInterval, g.suspects.Step)
 	g.every(suspects.StepInterval, g.suspects.SaveRow)
 	g.every(suspects.LearnInterval, g.suspects.Learn)
 	g.every(ratelimit.ForgetInterval, g.rateLimits.Forget)
 	g.wg.Go(func() { g.runQueues(g.ctx) })
-	g.wg.Go(func() { g.nodes.meet(g.ctx) })
+	g.wg.Go(func() { g.nodes.discover(g.ctx) })
 	g.wg.Go(func() { g.nodes.runSpeaker(g.ctx) })
-	g.wg.Go(func() { g.nodes.run(g.ctx, g.conf().Peer.LoadEvery.Std()) })
+	g.wg.Go(func() { g.nodes.runLoadSender(g.ctx, g.conf().Peer.LoadEvery.Std()) })
 	g.wg.Go(func() {
 		if err := g.clients.accept(g, &listener{Listener: g.entry, log: g.log}); err != nil && !g.closing.Load() {
 			g.log.Error("request listener failed", "err", err)
@@ -228,8 +228,8 @@
 	}
 }
 
-// lateShare is the part of a probe period after which others are asked.
-const lateShare = 3
+// indirectProbeDivisor is the part of a probe period after which others are asked.
+const indirectProbeDivisor = 3
 
 // conf is the settings in force.
 func (g *Gateway) conf() *config.GatewaySettings { return g.settings.Load() }
@@ -251,23 +251,23 @@
 	}
 	boottime.SimulateSuspend(max(0, kept.Test.Suspended.Std()-old.Test.Suspended.Std()))
 	g.settings.Store(&kept)
-	g.budgetMu.Lock()
-	clear(g.budgets)
-	g.budgetMu.Unlock()
+	g.retryBudgetsMu.Lock()
+	clear(g.retryBudgets)
+	g.retryBudgetsMu.Unlock()
 	g.log.Info("settings in force", "node", old.Node.Name, "retry_share", s.Retry.Share, "grace", s.Stop.Grace.Std())
 }
 
 // ready says whether callers are to be sent here.
 func (g *Gateway) ready() bool {
 	g.look()
-	return g.awake() && !g.stopping() && g.beliefs.Snapshot() != nil && g.beliefs.UpstreamCount() > 0 && !g.apart(boottime.Now())
+	return g.awake() && !g.stopping() && g.siteState.Snapshot() != nil && g.siteState.UpstreamCount() > 0 && !g.isolated(boottime.Now())
 }
 
-// apart says whether the node can't know any more what operators have changed: it hears no
+// isolated says whether the node can't know any more what operators have changed: it hears no
 // other node, where there were some, and has not heard the store for longer than an
 // evacuation may take. Where the store is away for all, no change is accepted by it either,
 // and nodes that hear each other know what there is to know.
-func (g *Gateway) apart(now time.Time) bool {
+func (g *Gateway) isolated(now time.Time) bool {
 	if len(g.nodes.members.All()) <= 1 || len(g.nodes.members.Working()) > 1 {
 		return false
 	}
@@ -275,55 +275,55 @@
 }
 
 // stopping says whether the node has been told to stop.
-func (g *Gateway) stopping() bool { return g.told.Load() != nil }
+func (g *Gateway) stopping() bool { return g.stopRequestedAt.Load() != nil }
 
-// serving says whether resting connections are still kept.
-func (g *Gateway) serving() bool { return !g.closing.Load() }
+// keepsIdleConns says whether resting connections are still kept.
+func (g *Gateway) keepsIdleConns() bool { return !g.closing.Load() }
 
 func (g *Gateway) limits() site.Limits {
-	if s := g.beliefs.Snapshot(); s != nil {
+	if s := g.siteState.Snapshot(); s != nil {
 		return s.Limits
 	}
 	return site.DefaultLimits()
 }
 
-// holdMost is the longest that a request may be held.
-func (g *Gateway) holdMost(t *site.RequestInfo) time.Duration {
-	if t.ClientTimeout > 0 {
-		return t.ClientTimeout
+// maxRequestTime is the longest that a request may be held.
+func (g *Gateway) maxRequestTime(info *site.RequestInfo) time.Duration {
+	if info.ClientTimeout > 0 {
+		return info.ClientTimeout
 	}
-	return longestHold
+	return defaultRequestTime
 }
 
-// budget is the retry budget for a service.
-func (g *Gateway) budget(service string) *route.RetryShare {
-	g.budgetMu.Lock()
-	defer g.budgetMu.Unlock()
-	b, ok := g.budgets[service]
+// retryBudget is the retry budget for a service.
+func (g *Gateway) retryBudget(service string) *route.RetryShare {
+	g.retryBudgetsMu.Lock()
+	defer g.retryBudgetsMu.Unlock()
+	b, ok := g.retryBudgets[service]
 	if !ok {
 		b = route.NewRetryShare(g.conf().Retry.Share, g.conf().Retry.Window.Std())
-		b.SetSlack(g.slackShare())
-		g.budgets[service] = b
+		b.SetSlack(g.retrySlack())
+		g.retryBudgets[service] = b
 	}
 	return b
 }
 
-// slackShare is this node's part of the slack. All nodes ever heard of count, the dead
+// retrySlack is this node's part of the slack. All nodes ever heard of count, the dead
 // included: nodes that are cut apart, or that think each other dead, would else each give
 // themselves the whole.
-func (g *Gateway) slackShare() float64 {
+func (g *Gateway) retrySlack() float64 {
 	n := len(g.nodes.members.All())
-	if !g.nodes.shares.hasMet() {
-		n = max(n, unknownNodes)
+	if !g.nodes.coldShares.membersKnown() {
+		n = max(n, assumedNodes)
 	}
 	return g.conf().Retry.Slack / float64(n)
 }
 
-func (g *Gateway) shareBudgets(context.Context) {
-	share := g.slackShare()
-	g.budgetMu.Lock()
-	defer g.budgetMu.Unlock()
-	for _, b := range g.budgets {
+func (g *Gateway) updateRetrySlack(context.Context) {
+	share := g.retrySlack()
+	g.retryBudgetsMu.Lock()
+	defer g.retryBudgetsMu.Unlock()
+	for _, b := range g.retryBudgets {
 		b.SetSlack(share)
 	}
 }
@@ -333,22 +333,22 @@
 // answers or the grace period is nearly over.
 func (g *Gateway) Drain() {
 	begun := time.Now()
-	within := g.conf().Stop.Grace.Std() - lostTime
+	within := g.conf().Stop.Grace.Std() - shutdownReserve
 	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(within))
 	defer cancel()
 	g.log.Info("stopping", "node", g.conf().Node.Name, "in_flight", g.inFlight.Load())
-	g.told.Store(&begun)
-	close(g.stopped)
+	g.stopRequestedAt.Store(&begun)
+	close(g.stopRequested)
 	g.nodes.announceStop()
 	g.releaseLeases(ctx)
-	time.Sleep(time.Until(begun.Add(min(steerAwayTime, within))))
+	time.Sleep(time.Until(begun.Add(min(acceptAfterStop, within))))
 	g.closing.Store(true)
 	_ = g.entry.Close() // What has not been accepted is sent again elsewhere.
 	g.clients.drain(ctx)
 }
 
 func (g *Gateway) releaseLeases(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, releaseTime)
+	ctx, cancel := context.WithTimeout(ctx, leaseReleaseTimeout)
 	defer cancel()
 	g.rollout.Release(ctx)
 }
@@ -356,14 +356,14 @@
 // Close stops serving and waits for everything that was started.
 func (g *Gateway) Close() {
 	begun := time.Now()
-	if told := g.told.Load(); told != nil {
+	if told := g.stopRequestedAt.Load(); told != nil {
 		begun = *told
 	}
 	g.closing.Store(true)
 	_ = g.entry.Close() // Accepting ends all the same.
 	g.cancel()
 	cut := g.clients.closeAll()
-	g.metrics.cut.Add(int64(cut.sum()))
+	g.metrics.cutByStop.Add(int64(cut.sum()))
 	if cut.sum() > 0 {
 		g.log.Warn("requests cut by a stop", "node", g.conf().Node.Name, "after", time.Since(begun),
 			"heading", cut.heading, "bodying", cut.bodying, "serving", cut.serving)
@@ -372,10 +372,10 @@
 	g.rollout.Close()
 	g.stores.close()
 	g.holdings.close()
-	g.readySide.close()
-	g.directory.close()
-	if g.figures != nil {
-		g.figures.close()
+	g.readyServer.close()
+	g.directoryServer.close()
+	if g.metricsServer != nil {
+		g.metricsServer.close()
 	}
 	g.nodes.probes.Close()
 	g.peers.Close()
--- a/service/gateway/grown_configuration_test.go
+++ b/service/gateway/grown_configuration_test.go
@@ -22,39 +22,39 @@
 )
 
 const (
-	// grownNodes is how many nodes a large data hall has. Where each may have to
+	// largeHallNodes is how many nodes a large data hall has. Where each may have to
 	// read the whole for itself there are fewNodes, the least that have a reader
 	// and one more, so that the links are measured and not the processor that the
 	// nodes of a test share.
-	grownNodes = 20
-	fewNodes   = directMost + 2
+	largeHallNodes = 20
+	smallHallNodes = directMost + 2
 	// narrowMbit and wideMbit are the rates of nodes' links in Mbit/s: the store's
 	// answer with 5,640 routes takes a narrow one 1.9 s, a wide one 0.1 s.
-	narrowMbit = 10.0 / grownScale
-	wideMbit   = 200.0 / grownScale
-	// grownBy is how many routes are added at once, and grownHosts on how many
+	narrowMbit = 10.0 / raceScale
+	wideMbit   = 200.0 / raceScale
+	// routesPerChange is how many routes are added at once, and grownHosts on how many
 	// hosts all are.
-	grownBy    = 1400 / grownScale
-	grownHosts = 200
-	// firstRoutes is how many routes there are before the first change.
-	firstRoutes = 40 / grownScale
-	// grownEvery is how long after one change the next is made. It leaves room
+	routesPerChange = 1400 / raceScale
+	hostCount       = 200
+	// initialRoutes is how many routes there are before the first change.
+	initialRoutes = 40 / raceScale
+	// changeInterval is how long after one change the next is made. It leaves room
 	// behind inForceWithin, so that each version is judged by itself.
-	grownEvery = 3500 * time.Millisecond
+	changeInterval = 3500 * time.Millisecond
 	// inForceWithin is how long after the store has a configuration a node may
 	// handle requests by the one before; users hold large sites to it.
 	inForceWithin = 3 * time.Second
-	// grownHold is for how long a node has calls for changes held, the product's
+	// longPollTimeout is for how long a node has calls for changes held, the product's
 	// default.
-	grownHold = 2500 * time.Millisecond
-	// changeBytes bounds what a node receives for a change, in bytes. A change of
+	longPollTimeout = 2500 * time.Millisecond
+	// maxChangeBytes bounds what a node receives for a change, in bytes. A change of
 	// 1,400 routes is 60 kB when compressed and all of 5,640 are 240 kB, so a
 	// node that is sent the whole exceeds it.
-	changeBytes = 200_000 / grownScale
-	// wholeBytes bounds it where nobody may be able to pass the change on in
+	maxChangeBytes = 200_000 / raceScale
+	// maxFullReadBytes bounds it where nobody may be able to pass the change on in
 	// time, in bytes: the store's answer with 5,640 routes has 2.4 MB and may be
 	// read once.
-	wholeBytes = 2_450_000/grownScale + changeBytes
+	maxFullReadBytes = 2_450_000/raceScale + maxChangeBytes
 	// freezeBefore is how long before a change a reader stops answering. Calls
 	// that wait for changes are under way then.
 	freezeBefore = 200 * time.Millisecond
@@ -67,21 +67,21 @@
 // operatorKey is the row that has the configuration.
 const operatorKey = "config"
 
-// grownCase is one way in which a configuration grows.
-type grownCase struct {
+// growthCase is one way in which a configuration grows.
+type growthCase struct {
 	name  string
 	nodes int
-	// wide is how many nodes have wide links.
-	wide int
-	// begin is how many changes the nodes already have, end how many there are.
-	begin, end int
-	// freeze stops the reader before the last change.
-	freeze bool
-	// late has one node start only after the last change, with nothing.
-	late bool
-	// most bounds the bytes that a node receives for a change; the reader receives
+	// wideLinks is how many nodes have wide links.
+	wideLinks int
+	// initialChanges is how many changes the nodes already have, end how many there are.
+	initialChanges, finalChanges int
+	// freezeReader stops the reader before the last change.
+	freezeReader bool
+	// lateNode has one node start only after the last change, with nothing.
+	lateNode bool
+	// maxBytes bounds the bytes that a node receives for a change; the reader receives
 	// the store's whole answer.
-	most int64
+	maxBytes int64
 }
 
 // The operator added 1,400 routes to the configuration several times, a few seconds
@@ -99,54 +99,54 @@
 // at all after at most 0.8 s; the second was late at 4 to 15 nodes, the third at 16 to
 // 18, the fourth at 18, which are all with narrow links. For the last two, links
 // brought up to 4.4 MB in 3.5 s, which is all that they can.
-func TestGrownConfigurationIsInForceInTime(t *testing.T) {
-	for _, c := range []grownCase{
-		{name: "wide reader", nodes: grownNodes, wide: 2, end: 4, most: changeBytes},
+func TestLargeConfigurationIsInForceInTime(t *testing.T) {
+	for _, c := range []growthCase{
+		{name: "wide reader", nodes: largeHallNodes, wideLinks: 2, finalChanges: 4, maxBytes: maxChangeBytes},
 		// It ends with 4,240 routes: the links alone take 1.5 s for these and 1.9 s
 		// for 5,640, which leaves too little for nodes that share a processor.
-		{name: "all links narrow", nodes: fewNodes, begin: 1, end: 3, most: wholeBytes},
-		{name: "reader stops answering", nodes: grownNodes, wide: 2, begin: 3, end: 4, freeze: true, most: wholeBytes},
-		{name: "node starts with nothing", nodes: grownNodes, wide: 2, begin: 4, end: 4, late: true, most: wholeBytes},
+		{name: "all links narrow", nodes: smallHallNodes, initialChanges: 1, finalChanges: 3, maxBytes: maxFullReadBytes},
+		{name: "reader stops answering", nodes: largeHallNodes, wideLinks: 2, initialChanges: 3, finalChanges: 4, freezeReader: true, maxBytes: maxFullReadBytes},
+		{name: "node starts with nothing", nodes: largeHallNodes, wideLinks: 2, initialChanges: 4, finalChanges: 4, lateNode: true, maxBytes: maxFullReadBytes},
 	} {
-		t.Run(c.name, func(t *testing.T) { newGrownHall(t, c).play() })
+		t.Run(c.name, func(t *testing.T) { newSimulatedHall(t, c).run() })
 	}
 }
 
-// grownHall is the nodes of one data hall, each behind a link of its own, and the
+// simulatedHall is the nodes of one data hall, each behind a link of its own, and the
 // store.
-type grownHall struct {
+type simulatedHall struct {
 	t     *testing.T
-	c     grownCase
+	c     growthCase
 	store *onplatform.Store
 	links *links
-	nodes []*grownNode
-	codec *onceCodec
+	nodes []*simulatedNode
+	codec *cachingCodec
 }
 
-// grownNode is what keeps a node's configuration up to date.
-type grownNode struct {
-	member  control.Member
-	link    *link
-	server  *peer.Server
-	client  *peer.Client
-	store   Store
-	members *control.Members
-	readers *readers
-	beliefs *SiteState
+// simulatedNode is what keeps a node's configuration up to date.
+type simulatedNode struct {
+	member    control.Member
+	link      *link
+	server    *peer.Server
+	client    *peer.Client
+	store     Store
+	members   *control.Members
+	readers   *readers
+	siteState *SiteState
 
 	mu      sync.Mutex
 	inForce map[int64]time.Time // Since when, by version.
 }
 
-func newGrownHall(t *testing.T, c grownCase) *grownHall {
+func newSimulatedHall(t *testing.T, c growthCase) *simulatedHall {
 	store, err := onplatform.NewStore()
 	assert.NilError(t, err)
-	h := &grownHall{t: t, c: c, store: store, links: newLinks(), codec: &onceCodec{decoded: map[string]*site.Snapshot{}}}
+	h := &simulatedHall{t: t, c: c, store: store, links: newLinks(), codec: &cachingCodec{decoded: map[string]*site.Snapshot{}}}
 	for i := range c.nodes {
-		h.nodes = append(h.nodes, h.node(i))
+		h.nodes = append(h.nodes, h.newNode(i))
 	}
 	for _, n := range h.nodes {
-		h.introduce(n)
+		h.addMembers(n)
 		n.server.Start()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -162,33 +162,33 @@
 		}
 		store.Close()
 	})
-	h.put(c.begin)
-	l := h.read()
+	h.writeConfig(c.initialChanges)
+	l := h.readConfig()
 	for _, n := range h.nodes {
 		f := n.follower()
-		if n != h.late() {
-			n.begin(f, l)
+		if n != h.lateNode() {
+			n.preload(f, l)
 		}
 		wg.Go(func() { f.run(ctx) })
 	}
 	return h
 }
 
-func (h *grownHall) node(i int) *grownNode {
+func (h *simulatedHall) newNode(i int) *simulatedNode {
 	log := slog.New(slog.DiscardHandler)
 	mbit := float64(narrowMbit)
-	if i < h.c.wide {
+	if i < h.c.wideLinks {
 		mbit = wideMbit
 	}
 	server, err := peer.NewServer(netip.MustParseAddrPort("127.0.0.1:0"), map[peer.Role]string{peer.RolePeer: "key"}, log)
 	assert.NilError(h.t, err)
-	n := &grownNode{
-		member:  control.Member{Name: fmt.Sprintf("n%02d", i), Peer: server.Addr(), DataHall: "h", Incarnation: 1, Link: mbit},
-		link:    newLink(mbit),
-		server:  server,
-		client:  peer.NewClient("key"),
-		beliefs: NewSiteState(h.codec, "h", time.Second, route.NewCacheIndex(), log),
-		inForce: map[int64]time.Time{},
+	n := &simulatedNode{
+		member:    control.Member{Name: fmt.Sprintf("n%02d", i), Peer: server.Addr(), DataHall: "h", Incarnation: 1, Link: mbit},
+		link:      newLink(mbit),
+		server:    server,
+		client:    peer.NewClient("key"),
+		siteState: NewSiteState(h.codec, "h", time.Second, route.NewCacheIndex(), log),
+		inForce:   map[int64]time.Time{},
 	}
 	n.store = platform.NewStore(h.links.connect(h.t, n.link, nil, h.store.Addr()))
 	n.members = control.NewMembers(n.member, time.Second, nil, rand.New(rand.NewPCG(1, 2)))
@@ -197,8 +197,8 @@
 	return n
 }
 
-// introduce has a node know the others, each at an address behind both links.
-func (h *grownHall) introduce(n *grownNode) {
+// addMembers has a node know the others, each at an address behind both links.
+func (h *simulatedHall) addMembers(n *simulatedNode) {
 	var list []control.Member
 	for _, x := range h.nodes {
 		if x != n {
@@ -211,7 +211,7 @@
 }
 
 // reader is the node that reads the operator's table for the hall.
-func (h *grownHall) reader() *grownNode {
+func (h *simulatedHall) reader() *simulatedNode {
 	var list []control.Member
 	for _, n := range h.nodes {
 		list = append(list, n.member)
@@ -226,27 +226,27 @@
 	return nil
 }
 
-// late is the node that starts with nothing, nil if there is none.
-func (h *grownHall) late() *grownNode {
-	if !h.c.late {
+// lateNode is the node that starts with nothing, nil if there is none.
+func (h *simulatedHall) lateNode() *simulatedNode {
+	if !h.c.lateNode {
 		return nil
 	}
 	return h.nodes[len(h.nodes)-1]
 }
 
-// put has the operator write the configuration after so many changes, and returns
+// writeConfig has the operator write the configuration after so many changes, and returns
 // its version and when the store has it.
-func (h *grownHall) put(changes int) (version int64, at time.Time) {
+func (h *simulatedHall) writeConfig(changes int) (version int64, at time.Time) {
 	version = int64(1 + changes)
-	value, err := json.Marshal(onplatform.NewConfiguration(version, firstRoutes+changes*grownBy, grownHosts))
+	value, err := json.Marshal(onplatform.NewConfiguration(version, initialRoutes+changes*routesPerChange, hostCount))
 	assert.NilError(h.t, err)
 	assert.NilError(h.t, h.codec.expect(value))
 	h.store.Put(onplatform.TableOperator, operatorKey, string(value))
 	return version, time.Now()
 }
 
-// read reads the operator's table past all links.
-func (h *grownHall) read() site.Listing {
+// readConfig reads the operator's table past all links.
+func (h *simulatedHall) readConfig() site.Listing {
 	direct := platform.NewStore(h.store.Addr())
 	defer direct.Close()
 	l, err := direct.List(h.t.Context(), site.TableOperator)
@@ -254,25 +254,25 @@
 	return l
 }
 
-// play makes the changes and checks each.
-func (h *grownHall) play() {
-	if h.c.late {
-		h.judge([]*grownNode{h.late()}, int64(1+h.c.begin), time.Now(), make([]int64, len(h.nodes)))
+// run makes the changes and checks each.
+func (h *simulatedHall) run() {
+	if h.c.lateNode {
+		h.checkChange([]*simulatedNode{h.lateNode()}, int64(1+h.c.initialChanges), time.Now(), make([]int64, len(h.nodes)))
 		return
 	}
 	nodes := h.nodes
-	for change := h.c.begin + 1; change <= h.c.end; change++ {
-		if h.c.freeze && change == h.c.end {
+	for change := h.c.initialChanges + 1; change <= h.c.finalChanges; change++ {
+		if h.c.freezeReader && change == h.c.finalChanges {
 			nodes = h.freeze()
 		}
 		got := received(nodes)
-		version, at := h.put(change)
-		h.judge(nodes, version, at, got)
+		version, at := h.writeConfig(change)
+		h.checkChange(nodes, version, at, got)
 	}
 }
 
 // freeze stops the reader and returns the nodes that go on.
-func (h *grownHall) freeze() (nodes []*grownNode) {
+func (h *simulatedHall) freeze() (nodes []*simulatedNode) {
 	reader := h.reader()
 	reader.link.frozen.Store(true)
 	time.Sleep(freezeBefore)
@@ -284,35 +284,35 @@
 	return nodes
 }
 
-// judge waits for the time of one change to pass and checks where the version is in
+// checkChange waits for the time of one change to pass and checks where the version is in
 // force, and what it has cost each node since it had received before.
-func (h *grownHall) judge(nodes []*grownNode, version int64, at time.Time, before []int64) {
-	time.Sleep(time.Until(at.Add(grownEvery)))
-	late, slowest, most := 0, time.Duration(0), int64(0)
+func (h *simulatedHall) checkChange(nodes []*simulatedNode, version int64, at time.Time, receivedBefore []int64) {
+	time.Sleep(time.Until(at.Add(changeInterval)))
+	late, slowest, mostReceived := 0, time.Duration(0), int64(0)
 	reader := h.reader()
 	for i, n := range nodes {
-		since := n.since(version)
+		since := n.inForceSince(version)
 		if since.IsZero() || since.Sub(at) > inForceWithin {
 			late++
 		}
 		if !since.IsZero() {
 			slowest = max(slowest, since.Sub(at))
 		}
-		got := n.link.got.Load() - before[i]
+		receivedBytes := n.link.got.Load() - receivedBefore[i]
 		if n == reader {
-			assert.Check(h.t, got <= wholeBytes, "the reader received %d bytes for version %d", got, version)
+			assert.Check(h.t, receivedBytes <= maxFullReadBytes, "the reader received %d bytes for version %d", receivedBytes, version)
 			continue
 		}
-		most = max(most, got)
+		mostReceived = max(mostReceived, receivedBytes)
 	}
 	h.t.Logf("version %d: late at %d of %d nodes, slowest of those that have it %v, most received by another than the reader %d bytes",
-		version, late, len(nodes), slowest.Round(time.Millisecond), most)
+		version, late, len(nodes), slowest.Round(time.Millisecond), mostReceived)
 	assert.Check(h.t, late == 0, "version %d is not in force within %v at %d of %d nodes", version, inForceWithin, late, len(nodes))
-	assert.Check(h.t, most <= h.c.most, "a node received %d bytes for version %d, bound %d", most, version, h.c.most)
+	assert.Check(h.t, mostReceived <= h.c.maxBytes, "a node received %d bytes for version %d, bound %d", mostReceived, version, h.c.maxBytes)
 }
 
 // received is how many bytes each node has received.
-func received(nodes []*grownNode) []int64 {
+func received(nodes []*simulatedNode) []int64 {
 	list := make([]int64, len(nodes))
 	for i, n := range nodes {
 		list[i] = n.link.got.Load()
@@ -321,12 +321,12 @@
 }
 
 // follower keeps up with the operator's table.
-func (n *grownNode) follower() *follower {
+func (n *simulatedNode) follower() *follower {
 	return &follower{
-		store: n.readers, table: site.TableOperator, name: "operator", hold: grownHold,
+		store: n.readers, table: site.TableOperator, name: "operator", hold: longPollTimeout,
 		apply: func(rows []site.Row, _ bool, now time.Time) {
-			n.beliefs.ApplyOperator(rows, false, now)
-			n.note()
+			n.siteState.ApplyOperator(rows, false, now)
+			n.recordInForce()
 		},
 		away:  func(time.Time) {},
 		heard: func(_, _ time.Time) {},
@@ -334,16 +334,16 @@
 	}
 }
 
-// begin has the node know what it has read before.
-func (n *grownNode) begin(f *follower, l site.Listing) {
+// preload has the node know what it has read before.
+func (n *simulatedNode) preload(f *follower, l site.Listing) {
 	n.readers.take(changesRequest{Table: site.TableOperator, Whole: true}, l, true)
 	f.apply(l.Rows, true, time.Now())
 	f.version, f.listed = l.Version, true
 }
 
-// note records that the configuration is in force.
-func (n *grownNode) note() {
-	s := n.beliefs.Snapshot()
+// recordInForce records that the configuration is in force.
+func (n *simulatedNode) recordInForce() {
+	s := n.siteState.Snapshot()
 	if s == nil {
 		return
 	}
@@ -354,16 +354,16 @@
 	}
 }
 
-// since is since when a version or a newer one is in force, zero if none is.
-func (n *grownNode) since(version int64) time.Time {
+// inForceSince is since when a version or a newer one is in force, zero if none is.
+func (n *simulatedNode) inForceSince(version int64) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.inForce[version]
 }
 
-// onceCodec decodes each configuration once for all nodes, which in the field have a
+// cachingCodec decodes each configuration once for all nodes, which in the field have a
 // processor each, and knows only what the operator wrote, byte by byte.
-type onceCodec struct {
+type cachingCodec struct {
 	platform.Codec
 
 	mu      sync.Mutex
@@ -371,7 +371,7 @@
 }
 
 // expect decodes what the operator is about to write.
-func (c *onceCodec) expect(value []byte) error {
+func (c *cachingCodec) expect(value []byte) error {
 	s, err := c.Codec.Configuration(site.Row{Key: operatorKey, Value: value})
 	if err != nil {
 		return err
@@ -383,7 +383,7 @@
 }
 
 // Configuration implements Codec.
-func (c *onceCodec) Configuration(r site.Row) (*site.Snapshot, error) {
+func (c *cachingCodec) Configuration(r site.Row) (*site.Snapshot, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s, ok := c.decoded[string(r.Value)]
--- a/service/gateway/holdings.go
+++ b/service/gateway/holdings.go
@@ -160,7 +160,7 @@
 // in the order of route.SelectTracked.
 func (h *holdings) chooseEngines(s *site.Snapshot) map[string][]site.Upstream {
 	list := map[string][]site.Upstream{}
-	if s == nil || h.beliefs.without.Held {
+	if s == nil || h.beliefs.disabled.Held {
 		return list
 	}
 	telling := map[string]*route.Pool{}
@@ -285,7 +285,7 @@
 		if lost {
 			h.log.Info("engine event stream restored", "replica", u.ID, "boot", c.Boot)
 		}
-		h.clock.hear(c.Clock, boottime.Now())
+		h.clock.update(c.Clock, boottime.Now())
 		whole := since == 0 || c.Lost || c.Boot != boot
 		if whole || lost || len(c.Changes) > 0 {
 			h.take(heldOf(u.ID, whole, c))
--- a/service/gateway/holdings_test.go
+++ b/service/gateway/holdings_test.go
@@ -72,7 +72,7 @@
 	engine := &site.Engine{PlannedFetch: true, MaxWatches: 4, TokenBytes: 1, LinkRate: 1e9, Capacity: 40_000}
 	b.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
 	b.upstreams["e"] = &upstreamEntry{Upstream: site.Upstream{ID: "e", Service: "llm", DataHall: "h", Weights: map[string]int64{"m": 1}}}
-	b.rebuild(time.Now())
+	b.rebuildPools(time.Now())
 	m := control.NewMembers(self, time.Second, nil, newRand())
 	for _, o := range others {
 		m.Merge([]control.Member{o}, time.Now())
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -21,32 +21,32 @@
 // sum tells it on in its own hall: bytes between halls are paid for, and so
 // neither they nor the notes grow with the square of the nodes.
 const (
-	// noteState tells the nodes of a hall one node's state.
-	noteState = "gateway.loads"
-	// noteHall tells the sum of another hall.
-	noteHall = "gateway.hall_loads"
-	// stateTerm is after how long what was told is forgotten.
-	stateTerm = 1200 * time.Millisecond
-	// tellEach is for how long one state is kept from being followed by another,
+	// noteLoads tells the nodes of a hall one node's state.
+	noteLoads = "gateway.loads"
+	// noteHallLoads tells the sum of another hall.
+	noteHallLoads = "gateway.hall_loads"
+	// loadExpiry is after how long what was told is forgotten.
+	loadExpiry = 1200 * time.Millisecond
+	// sendIntervalPerPeer is for how long one state is kept from being followed by another,
 	// for each other node of the hall: so the cost of telling is bounded.
-	tellEach = 3 * time.Millisecond
-	// hallEvery is how often a hall's sum is told to the others.
-	hallEvery = 30 * time.Millisecond
-	// hallEach is by how much less often that is for each node of the hall.
-	hallEach = 3 * time.Millisecond
-	// linkShare is the part of its link that a speaker takes for telling one
+	sendIntervalPerPeer = 3 * time.Millisecond
+	// hallSumInterval is how often a hall's sum is told to the others.
+	hallSumInterval = 30 * time.Millisecond
+	// hallSumIntervalPerNode is by how much less often that is for each node of the hall.
+	hallSumIntervalPerNode = 3 * time.Millisecond
+	// speakerLinkShare is the part of its link that a speaker takes for telling one
 	// hall's sum; it tells more seldom rather than more.
-	linkShare = 0.1
-	// sumMost is of how many replicas a sum tells, the busiest: it must fit a
+	speakerLinkShare = 0.1
+	// maxSumReplicas is of how many replicas a sum tells, the busiest: it must fit a
 	// datagram, and idle ones need no word.
-	sumMost = 400
-	// speakDuty names the duty of telling a hall's sum.
-	speakDuty = "speak/"
+	maxSumReplicas = 400
+	// speakerDuty names the duty of telling a hall's sum.
+	speakerDuty = "speak/"
 )
 
-// stateNote is what one node tells, or a speaker for its hall. Its JSON names are short,
+// loadNote is what one node tells, or a speaker for its hall. Its JSON names are short,
 // as it is sent many times a second.
-type stateNote struct {
+type loadNote struct {
 	From string `json:"f"`
 	Hall string `json:"h"`
 	Boot uint64 `json:"b"`
@@ -57,18 +57,18 @@
 	Links []byte `json:"m,omitempty"`
 }
 
-// tallies is what has been done with stores' links.
-type tallies map[route.NameHash]route.Tally
+// linkTallies is what has been done with stores' links.
+type linkTallies map[route.NameHash]route.Tally
 
-func talliesOf(list []route.StoreTally) tallies {
-	t := make(tallies, len(list))
+func newLinkTallies(list []route.StoreTally) linkTallies {
+	t := make(linkTallies, len(list))
 	for _, s := range list {
 		t[s.Key] = s.Tally
 	}
 	return t
 }
 
-func (t tallies) list() []route.StoreTally {
+func (t linkTallies) list() []route.StoreTally {
 	list := make([]route.StoreTally, 0, len(t))
 	for key, tally := range t {
 		list = append(list, route.StoreTally{Key: key, Tally: tally})
@@ -76,50 +76,50 @@
 	return list
 }
 
-// loads is what was told and heard of loads; nodes.mu guards it.
-type loads struct {
+// loadState is what was told and heard of loads; nodes.mu guards it.
+type loadState struct {
 	seq    uint64
-	states map[string]heardState // Of nodes of this hall.
-	halls  map[string]heardState // Sums of the others.
-	// links is what the whole hall has done with each store's link.
-	links tallies
-	own   tallies             // Of that, this node's when last summed.
-	told  []route.ReplicaLoad // What this node told last.
-	heard tallies             // This node's when its hall's sum was last heard.
+	byNode map[string]receivedLoads // Of nodes of this hall.
+	byHall map[string]receivedLoads // Sums of the others.
+	// hallTallies is what the whole hall has done with each store's link.
+	hallTallies         linkTallies
+	ownTallies          linkTallies         // Of that, this node's when last summed.
+	lastSent            []route.ReplicaLoad // What this node told last.
+	ownTalliesAtHallSum linkTallies         // This node's when its hall's sum was last heard.
 
-	passNext map[string]time.Time // When the sum of a hall may be told on.
+	nextForward map[string]time.Time // When the sum of a hall may be told on.
 
 	// changed says that more was told since the pools were last told, which was at
 	// settled.
-	changed bool
-	settled time.Time
+	changed  bool
+	mergedAt time.Time
 
-	speakers   map[string]control.Member
-	speakersAt *control.View
+	speakers     map[string]control.Member
+	speakersView *control.View
 }
 
-func newLoads() loads {
-	return loads{
-		states: map[string]heardState{},
-		halls:  map[string]heardState{},
-		links:  tallies{},
-		own:    tallies{},
+func newLoadState() loadState {
+	return loadState{
+		byNode:      map[string]receivedLoads{},
+		byHall:      map[string]receivedLoads{},
+		hallTallies: linkTallies{},
+		ownTallies:  linkTallies{},
 
-		passNext: map[string]time.Time{},
+		nextForward: map[string]time.Time{},
 	}
 }
 
-// soon has this node's state told at once, or as soon as the last one is old
+// sendLoadsSoon has this node's state told at once, or as soon as the last one is old
 // enough: other nodes would choose the same replica until they hear.
-func (n *nodes) soon() {
+func (n *nodes) sendLoadsSoon() {
 	select {
-	case n.due <- struct{}{}:
+	case n.loadsDue <- struct{}{}:
 	default:
 	}
 }
 
-// run tells this node's state when it is due, and at least every period.
-func (n *nodes) run(ctx context.Context, every time.Duration) {
+// runLoadSender tells this node's state when it is due, and at least every period.
+func (n *nodes) runLoadSender(ctx context.Context, every time.Duration) {
 	t := time.NewTicker(every)
 	defer t.Stop()
 	for {
@@ -127,17 +127,17 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-n.due:
+		case <-n.loadsDue:
 		}
-		peers := n.inHall(n.self.DataHall)
-		n.tell(n.audience(peers))
-		sleep(ctx, min(every, time.Duration(len(peers))*tellEach))
+		peers := n.hallPeers(n.self.DataHall)
+		n.sendLoads(n.loadRecipients(peers))
+		sleep(ctx, min(every, time.Duration(len(peers))*sendIntervalPerPeer))
 	}
 }
 
-// audience are the nodes that this one tells its state: all others of its hall,
+// loadRecipients are the nodes that this one tells its state: all others of its hall,
 // or the speaker of a large one.
-func (n *nodes) audience(peers []netip.AddrPort) []netip.AddrPort {
+func (n *nodes) loadRecipients(peers []netip.AddrPort) []netip.AddrPort {
 	if len(peers) < directMost {
 		return peers
 	}
@@ -148,36 +148,36 @@
 	return []netip.AddrPort{speaker.Peer}
 }
 
-// tell sends this node's state to the others of its hall.
-func (n *nodes) tell(peers []netip.AddrPort) {
+// sendLoads sends this node's state to the others of its hall.
+func (n *nodes) sendLoads(peers []netip.AddrPort) {
 	loads := n.ownLoads()
-	s := n.newNote()
-	s.Loads, s.Links = packLoads(loads), packTallies(n.kept.Tallies())
-	n.note(peers, noteState, s)
+	s := n.newLoadNote()
+	s.Loads, s.Links = packLoads(loads), packTallies(n.cacheIndex.Tallies())
+	n.sendNote(peers, noteLoads, s)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loads.told = loads
+	n.loads.lastSent = loads
 	n.loads.changed = true
 }
 
-// newNote begins a note of this node.
-func (n *nodes) newNote() stateNote {
+// newLoadNote begins a note of this node.
+func (n *nodes) newLoadNote() loadNote {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loads.seq++
-	return stateNote{From: n.self.Name, Hall: n.self.DataHall, Boot: n.boot, Seq: n.loads.seq}
+	return loadNote{From: n.self.Name, Hall: n.self.DataHall, Boot: n.incarnation, Seq: n.loads.seq}
 }
 
 // ownLoads is what this node itself has in flight.
 func (n *nodes) ownLoads() (list []route.ReplicaLoad) {
-	for _, p := range n.beliefs.Pools() {
+	for _, p := range n.siteState.Pools() {
 		list = p.AppendLoads(list)
 	}
 	return list
 }
 
-// note tells other nodes something and returns the bytes sent.
-func (n *nodes) note(to []netip.AddrPort, method string, params any) int {
+// sendNote tells other nodes something and returns the bytes sent.
+func (n *nodes) sendNote(to []netip.AddrPort, method string, params any) int {
 	sent, err := n.probes.SendNote(to, method, params)
 	if err != nil {
 		n.log.Error("notification not sent", "method", method, "err", err)
@@ -185,8 +185,8 @@
 	return sent
 }
 
-// inHall lists the addresses of the other nodes of a hall that may live.
-func (n *nodes) inHall(hall string) []netip.AddrPort {
+// hallPeers lists the addresses of the other nodes of a hall that may live.
+func (n *nodes) hallPeers(hall string) []netip.AddrPort {
 	return n.members.View().Others(n.self.Name, hall)
 }
 
@@ -195,20 +195,20 @@
 func (n *nodes) speakers() map[string]control.Member {
 	view := n.members.View()
 	n.mu.Lock()
-	list, known := n.loads.speakers, n.loads.speakersAt
+	list, known := n.loads.speakers, n.loads.speakersView
 	n.mu.Unlock()
 	if list != nil && known == view {
 		return list
 	}
 	list = map[string]control.Member{}
 	for _, hall := range view.Halls() {
-		if m, ok := control.Owner(control.WithWidestLinks(view.Hall(hall).Working), speakDuty+hall); ok {
+		if m, ok := control.Owner(control.WithWidestLinks(view.Hall(hall).Working), speakerDuty+hall); ok {
 			list[hall] = m
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loads.speakers, n.loads.speakersAt = list, view
+	n.loads.speakers, n.loads.speakersView = list, view
 	return list
 }
 
@@ -217,32 +217,32 @@
 func (n *nodes) runSpeaker(ctx context.Context) {
 	for ctx.Err() == nil {
 		if n.speakers()[n.self.DataHall].Name != n.self.Name {
-			sleep(ctx, speakerAgain)
+			sleep(ctx, speakerCheckInterval)
 			continue
 		}
-		sent := n.speak()
-		sleep(ctx, max(n.linkTime(sent), hallEvery+time.Duration(len(n.inHall(n.self.DataHall)))*hallEach))
+		sent := n.sendHallSum()
+		sleep(ctx, max(n.transmitTime(sent), hallSumInterval+time.Duration(len(n.hallPeers(n.self.DataHall)))*hallSumIntervalPerNode))
 	}
 }
 
-// linkTime is for how long bytes take this node's share of its link.
-func (n *nodes) linkTime(bytes int) time.Duration {
+// transmitTime is for how long bytes take this node's share of its link.
+func (n *nodes) transmitTime(bytes int) time.Duration {
 	if n.self.Link <= 0 {
 		return 0 // Its rate is not known.
 	}
 	const bitsPerByte, megabit = 8, 1e6
-	return time.Duration(float64(bytes) * bitsPerByte / (linkShare * n.self.Link * megabit) * float64(time.Second))
+	return time.Duration(float64(bytes) * bitsPerByte / (speakerLinkShare * n.self.Link * megabit) * float64(time.Second))
 }
 
-// speakerAgain is how often a node that is not its hall's speaker looks whether
+// speakerCheckInterval is how often a node that is not its hall's speaker looks whether
 // it has become that.
-const speakerAgain = 250 * time.Millisecond
+const speakerCheckInterval = 250 * time.Millisecond
 
-// speak tells the sum of this hall to the others and returns the bytes sent.
-func (n *nodes) speak() int {
+// sendHallSum tells the sum of this hall to the others and returns the bytes sent.
+func (n *nodes) sendHallSum() int {
 	speakers := n.speakers()
 	var others []netip.AddrPort
-	if peers := n.inHall(n.self.DataHall); len(peers) >= directMost {
+	if peers := n.hallPeers(n.self.DataHall); len(peers) >= directMost {
 		others = peers
 	}
 	for hall, m := range speakers {
@@ -250,27 +250,27 @@
 			others = append(others, m.Peer)
 		}
 	}
-	sum, links := n.sumHall(n.ownLoads(), talliesOf(n.kept.Tallies()))
-	s := n.newNote()
-	s.Loads, s.Links = packLoads(busiest(sum, sumMost)), packTallies(links.list())
-	return n.note(others, noteHall, s)
+	sum, links := n.sumHall(n.ownLoads(), newLinkTallies(n.cacheIndex.Tallies()))
+	s := n.newLoadNote()
+	s.Loads, s.Links = packLoads(busiest(sum, maxSumReplicas)), packTallies(links.list())
+	return n.sendNote(others, noteHallLoads, s)
 }
 
 // sumHall adds what the other nodes of this hall have in flight to this one's own, and
 // what all of them have done with links.
-func (n *nodes) sumHall(own []route.ReplicaLoad, links tallies) (sum map[route.NameHash]route.PeerLoad, all tallies) {
+func (n *nodes) sumHall(own []route.ReplicaLoad, links linkTallies) (sum map[route.NameHash]route.PeerLoad, all linkTallies) {
 	sum = make(map[route.NameHash]route.PeerLoad, len(own))
 	addLoads(sum, own)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, state := range n.loads.states {
+	for _, state := range n.loads.byNode {
 		addLoads(sum, state.loads)
 	}
 	for store, t := range links {
-		n.loads.links[store] = n.loads.links[store].Plus(t.Since(n.loads.own[store]))
-		n.loads.own[store] = t
+		n.loads.hallTallies[store] = n.loads.hallTallies[store].Plus(t.Since(n.loads.ownTallies[store]))
+		n.loads.ownTallies[store] = t
 	}
-	return sum, maps.Clone(n.loads.links)
+	return sum, maps.Clone(n.loads.hallTallies)
 }
 
 func addLoads(sum map[route.NameHash]route.PeerLoad, list []route.ReplicaLoad) {
@@ -281,16 +281,16 @@
 
 // busiest lists the replicas of whose memory the most is held, and behind that those
 // with the most requests.
-func busiest(sum map[route.NameHash]route.PeerLoad, most int) []route.ReplicaLoad {
+func busiest(sum map[route.NameHash]route.PeerLoad, limit int) []route.ReplicaLoad {
 	list := make([]route.ReplicaLoad, 0, len(sum))
 	for key, load := range sum {
 		list = append(list, route.ReplicaLoad{Key: key, Load: load})
 	}
-	if len(list) <= most {
+	if len(list) <= limit {
 		return list
 	}
 	slices.SortFunc(list, func(a, b route.ReplicaLoad) int {
 		return cmp.Or(cmp.Compare(b.Load.Memory, a.Load.Memory), cmp.Compare(b.Load.Requests, a.Load.Requests), cmp.Compare(a.Key, b.Key))
 	})
-	return list[:most]
+	return list[:limit]
 }
--- /dev/null
+++ b/service/gateway/loads_received.go
@@ -0,0 +1,195 @@
+package gateway
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/drumpath/drumpath/pkg/boottime"
+	"github.com/drumpath/drumpath/pkg/route"
+)
+
+// receivedLoads is a note that was heard.
+type receivedLoads struct {
+	from       string
+	hall       string
+	boot       uint64
+	seq        uint64
+	loads      []route.ReplicaLoad
+	links      linkTallies
+	receivedAt time.Time
+}
+
+func decodeLoads(s *loadNote, now time.Time) (h receivedLoads, err error) {
+	h = receivedLoads{from: s.From, hall: s.Hall, boot: s.Boot, seq: s.Seq, receivedAt: now}
+	if h.loads, err = unpackLoads(s.Loads); err != nil {
+		return h, err
+	}
+	links, err := unpackTallies(s.Links)
+	h.links = newLinkTallies(links)
+	return h, err
+}
+
+// handleLoads takes in the state of another node of this hall.
+func (n *nodes) handleLoads(params json.RawMessage) {
+	if _, s, old, ok := n.receiveLoads(params, n.loads.byNode, func(s *loadNote) string { return s.From }); ok {
+		added := s.talliesSince(old)
+		n.mu.Lock()
+		for store, t := range added {
+			n.loads.hallTallies[store] = n.loads.hallTallies[store].Plus(t)
+		}
+		n.mu.Unlock()
+		n.addPeerTallies(added)
+	}
+}
+
+// handleHallLoads takes in the sum of another hall, and tells it on in this one if it
+// comes from there.
+func (n *nodes) handleHallLoads(params json.RawMessage) {
+	note, s, old, ok := n.receiveLoads(params, n.loads.byHall, func(s *loadNote) string { return s.Hall })
+	if !ok {
+		return
+	}
+	if s.hall == n.self.DataHall {
+		n.addPeerTallies(n.subtractOwn(s.talliesSince(old)))
+		return
+	}
+	if n.speakers()[n.self.DataHall].Name == n.self.Name {
+		n.forwardHallLoads(note)
+	}
+	n.addPeerTallies(s.talliesSince(old))
+}
+
+// forwardHallLoads tells the sum of another hall in this one, unless the last one has yet to
+// go through the link: what is left out is in the next.
+func (n *nodes) forwardHallLoads(s loadNote) {
+	now := boottime.Now()
+	n.mu.Lock()
+	due := !now.Before(n.loads.nextForward[s.Hall])
+	n.mu.Unlock()
+	if !due {
+		return
+	}
+	sent := n.sendNote(n.hallPeers(n.self.DataHall), noteHallLoads, s)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.loads.nextForward[s.Hall] = now.Add(n.transmitTime(sent))
+}
+
+// withoutOwn takes this node's own part out of what its hall has done with links.
+func (n *nodes) subtractOwn(added linkTallies) linkTallies {
+	own := newLinkTallies(n.cacheIndex.Tallies())
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for store, t := range own {
+		added[store] = added[store].Since(t.Since(n.loads.ownTalliesAtHallSum[store]))
+	}
+	n.loads.ownTalliesAtHallSum = own
+	return added
+}
+
+// hear notes a state under its name and says whether it is newer than the last. What
+// can't be read is counted and dropped, and what was heard before stays.
+func (n *nodes) receiveLoads(params json.RawMessage, received map[string]receivedLoads, key func(*loadNote) string) (note loadNote, s, old receivedLoads, ok bool) {
+	now := boottime.Now()
+	err := json.Unmarshal(params, &note)
+	if err == nil {
+		s, err = decodeLoads(&note, now)
+	}
+	if err != nil {
+		n.notesDropped.Add(1)
+		n.log.Debug("node state can't be decoded", "err", err)
+		return note, s, old, false
+	}
+	if note.From == n.self.Name {
+		return note, s, old, false
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	old = received[key(&note)]
+	same := s.from == old.from && s.boot == old.boot
+	if same && s.seq <= old.seq && now.Sub(old.receivedAt) < loadExpiry {
+		return note, s, old, false
+	}
+	received[key(&note)] = s
+	n.loads.changed = true
+	return note, s, old, true
+}
+
+// talliesSince is what has been done with links since an older state of the same node.
+func (s *receivedLoads) talliesSince(old receivedLoads) linkTallies {
+	added := linkTallies{}
+	if s.boot != old.boot || s.from != old.from {
+		return added
+	}
+	for store, t := range s.links {
+		if d := t.Since(old.links[store]); !d.Empty() {
+			added[store] = d
+		}
+	}
+	return added
+}
+
+// addPeerTallies has others' moves take their time on the links.
+func (n *nodes) addPeerTallies(links linkTallies) {
+	now := boottime.Now()
+	for store, t := range links {
+		n.cacheIndex.AddPeerTally(store, t, now)
+	}
+}
+
+// mergeInterval is after how long what was told is added up again though nothing new was:
+// some of it may have to be forgotten. It is a fifth of the time until then.
+const mergeInterval = loadExpiry / 5
+
+// refreshPeerLoads has the pools know what the others have in flight, as far as was told. It is to
+// be called before a replica is chosen: a node of a large fleet hears 27 notes a second
+// and chooses some 10 times.
+func (n *nodes) refreshPeerLoads(now time.Time) {
+	n.mu.Lock()
+	due := n.loads.changed || now.Sub(n.loads.mergedAt) >= mergeInterval
+	n.mu.Unlock()
+	if due {
+		n.mergePeerLoads(now)
+	}
+}
+
+// mergePeerLoads adds up what the others have in flight.
+func (n *nodes) mergePeerLoads(now time.Time) {
+	n.mergeMu.Lock()
+	defer n.mergeMu.Unlock()
+	sum := n.sumPeerLoads(now)
+	for _, p := range n.siteState.Pools() {
+		p.SetPeers(sum)
+	}
+}
+
+func (n *nodes) sumPeerLoads(now time.Time) map[route.NameHash]route.PeerLoad {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.loads.changed, n.loads.mergedAt = false, now
+	sum := map[route.NameHash]route.PeerLoad{}
+	for _, received := range []map[string]receivedLoads{n.loads.byNode, n.loads.byHall} {
+		for name, s := range received {
+			switch {
+			case now.Sub(s.receivedAt) > loadExpiry:
+				delete(received, name)
+			case !n.ignoresHall(s.hall):
+				addLoads(sum, s.loads)
+			}
+		}
+	}
+	if _, hallSumReceived := n.loads.byHall[n.self.DataHall]; hallSumReceived {
+		for _, l := range n.loads.lastSent {
+			sum[l.Key] = sum[l.Key].Minus(l.Load)
+		}
+	}
+	return sum
+}
+
+// ignoresHall says whether what nodes of a hall have in flight is left out of account.
+func (n *nodes) ignoresHall(hall string) bool {
+	if hall == n.self.DataHall {
+		return n.siteState.disabled.HallLoads
+	}
+	return n.siteState.disabled.FarLoads
+}
--- a/service/gateway/loads_test.go
+++ b/service/gateway/loads_test.go
@@ -18,22 +18,22 @@
 // The sum of a large hall tells of the busiest replicas only: all of them would not
 // fit a datagram.
 func TestSumOfALargeHallFitsADatagram(t *testing.T) {
-	n := &nodes{self: control.Member{Name: "n0", DataHall: "h"}, kept: route.NewCacheIndex(), loads: newLoads()}
+	n := &nodes{self: control.Member{Name: "n0", DataHall: "h"}, cacheIndex: route.NewCacheIndex(), loads: newLoadState()}
 	const replicas = 3000
 	for node := range 20 {
-		s := heardState{from: fmt.Sprint("n", node), at: time.Now()}
+		s := receivedLoads{from: fmt.Sprint("n", node), receivedAt: time.Now()}
 		for i := node; i < replicas; i += 20 {
 			load := route.PeerLoad{Requests: 1, Memory: 9000 + i, Tokens: route.BandTokens{i}}
 			s.loads = append(s.loads, route.ReplicaLoad{Key: route.HashName(fmt.Sprintf("i-%012d", i)), Load: load})
 		}
-		n.loads.states[s.from] = s
+		n.loads.byNode[s.from] = s
 	}
 	sum, _ := n.sumHall(nil, nil)
-	list := busiest(sum, sumMost)
-	assert.Equal(t, len(list), sumMost)
+	list := busiest(sum, maxSumReplicas)
+	assert.Equal(t, len(list), maxSumReplicas)
 	busy := route.HashName(fmt.Sprintf("i-%012d", replicas-1))
 	assert.Assert(t, slices.ContainsFunc(list, func(l route.ReplicaLoad) bool { return l.Key == busy }), "the busiest is told of")
-	text, err := json.Marshal(stateNote{Loads: packLoads(list)})
+	text, err := json.Marshal(loadNote{Loads: packLoads(list)})
 	assert.NilError(t, err)
 	// Stores' tallies and the envelope take as much again at most.
 	const datagram = 16 << 10
@@ -41,35 +41,35 @@
 }
 
 // A speaker with a narrow link tells more seldom.
-func TestSpeakerKeepsToItsShareOfTheLink(t *testing.T) {
+func TestSpeakerStaysWithinLinkShare(t *testing.T) {
 	narrow := &nodes{self: control.Member{Link: 10}}
-	assert.Equal(t, narrow.linkTime(125_000), time.Second)
+	assert.Equal(t, narrow.transmitTime(125_000), time.Second)
 	wide := &nodes{self: control.Member{Link: 200}}
-	assert.Equal(t, wide.linkTime(125_000), 50*time.Millisecond)
+	assert.Equal(t, wide.transmitTime(125_000), 50*time.Millisecond)
 	unknown := &nodes{}
-	assert.Equal(t, unknown.linkTime(125_000), time.Duration(0))
+	assert.Equal(t, unknown.transmitTime(125_000), time.Duration(0))
 }
 
 // A way on which notes are lost shows nothing: what was told on it must not be believed
 // for good, and what others tell must.
-func TestLoadOfANodeThatIsNoLongerHeardIsForgotten(t *testing.T) {
-	n := newsFleet(3)
+func TestLoadsOfSilentNodeExpire(t *testing.T) {
+	n := newTestNodes(3)
 	now := time.Now()
-	for name, at := range map[string]time.Time{"a-1": now.Add(-stateTerm / 2), "a-2": now.Add(-stateTerm - time.Millisecond)} {
-		n.loads.states[name] = heardState{from: name, loads: []route.ReplicaLoad{{Key: route.HashName("r"), Load: route.PeerLoad{Requests: 1}}}, at: at}
+	for name, at := range map[string]time.Time{"a-1": now.Add(-loadExpiry / 2), "a-2": now.Add(-loadExpiry - time.Millisecond)} {
+		n.loads.byNode[name] = receivedLoads{from: name, loads: []route.ReplicaLoad{{Key: route.HashName("r"), Load: route.PeerLoad{Requests: 1}}}, receivedAt: at}
 	}
-	n.merge(now)
-	_, heard := n.loads.states["a-1"]
+	n.mergePeerLoads(now)
+	_, heard := n.loads.byNode["a-1"]
 	assert.Assert(t, heard)
-	_, heard = n.loads.states["a-2"]
+	_, heard = n.loads.byNode["a-2"]
 	assert.Assert(t, !heard)
 }
 
-func TestLoadsSurviveTheWire(t *testing.T) {
+func TestPackedLoadsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		loads := []route.ReplicaLoad{}
 		var links []route.StoreTally
-		number := rapid.IntRange(0, mostNumber)
+		number := rapid.IntRange(0, maxNumber)
 		for range rapid.IntRange(0, 8).Draw(t, "replicas") {
 			var all loadNumbers
 			for i := range all {
@@ -88,13 +88,13 @@
 		assert.DeepEqual(t, gotLinks, links)
 		if whole := packLoads(loads); len(whole) > 0 {
 			_, err = unpackLoads(whole[:len(whole)-1])
-			assert.ErrorIs(t, err, errCutShort)
+			assert.ErrorIs(t, err, errTruncated)
 		}
 	})
 }
 
 // A later version may tell more of each replica; what is known of it here is still read.
-func TestNumbersOfALaterVersionArePassedOver(t *testing.T) {
+func TestUnpackIgnoresNumbersOfLaterVersions(t *testing.T) {
 	later := []byte{0, 0, 0, 7}
 	later = binary.AppendUvarint(later, 1|1<<40)
 	later = binary.AppendUvarint(later, 3)
@@ -105,16 +105,16 @@
 }
 
 // A note that can't be read takes nothing away from what was heard before.
-func TestNoteThatCannotBeReadIsCountedAndDropped(t *testing.T) {
-	n := newsFleet(3)
+func TestUndecodableNoteIsCountedAndDropped(t *testing.T) {
+	n := newTestNodes(3)
 	tell := func(seq uint64, loads []byte) {
-		text, err := json.Marshal(stateNote{From: "a-1", Hall: "a", Boot: 1, Seq: seq, Loads: loads})
+		text, err := json.Marshal(loadNote{From: "a-1", Hall: "a", Boot: 1, Seq: seq, Loads: loads})
 		assert.NilError(t, err)
-		n.hearState(text)
+		n.handleLoads(text)
 	}
 	tell(1, packLoads([]route.ReplicaLoad{{Key: 9, Load: route.PeerLoad{Requests: 4}}}))
 	tell(2, []byte{1, 2})
-	n.hearState(json.RawMessage(`{"f": 1}`))
-	assert.Equal(t, n.dropped.Load(), int64(2))
-	assert.DeepEqual(t, n.addUp(time.Now()), map[route.NameHash]route.PeerLoad{9: {Requests: 4}})
+	n.handleLoads(json.RawMessage(`{"f": 1}`))
+	assert.Equal(t, n.notesDropped.Load(), int64(2))
+	assert.DeepEqual(t, n.sumPeerLoads(time.Now()), map[route.NameHash]route.PeerLoad{9: {Requests: 4}})
 }
--- a/service/gateway/metrics.go
+++ b/service/gateway/metrics.go
@@ -16,9 +16,9 @@
 
 // Bounds of the latency histograms, in microseconds.
 const (
-	leastMicros = 1
-	mostMicros  = 120_000_000
-	digits      = 2
+	minMicros         = 1
+	maxMicros         = 120_000_000
+	significantDigits = 2
 )
 
 // latency is a histogram of durations.
@@ -27,12 +27,14 @@
 	h  *hdrhistogram.Histogram
 }
 
-func newLatency() *latency { return &latency{h: hdrhistogram.New(leastMicros, mostMicros, digits)} }
+func newLatency() *latency {
+	return &latency{h: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
+}
 
 func (l *latency) record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.h.RecordValue(min(mostMicros, max(leastMicros, d.Microseconds()))) // It is within the bounds.
+	_ = l.h.RecordValue(min(maxMicros, max(minMicros, d.Microseconds()))) // It is within the bounds.
 }
 
 // latencyStatus is what is served of a histogram, in milliseconds.
@@ -59,73 +61,73 @@
 
 // metrics are the counters of a node.
 type metrics struct {
-	answered atomic.Int64
-	left     atomic.Int64
-	cut      atomic.Int64
-	notRun   atomic.Int64
-	dropped  atomic.Int64 // Resting connections that were taken to be silent.
-	first    *latency     // To the first byte, from the request's sending.
-	whole    *latency     // To the end, from the request's coming.
-	queued   *latency     // Before the request is sent.
-
-	mu      sync.Mutex
-	refused map[string]int64
-	kinds   map[string]int64 // Answers by kind of route.
+	answered          atomic.Int64
+	clientsLeft       atomic.Int64
+	cutByStop         atomic.Int64
+	refusedByReplicas atomic.Int64
+	idleConnsClosed   atomic.Int64 // Resting connections that were taken to be silent.
+	firstByte         *latency     // To the first byte, from the request's sending.
+	total             *latency     // To the end, from the request's coming.
+	beforeSending     *latency     // Before the request is sent.
+
+	mu             sync.Mutex
+	refused        map[string]int64
+	answeredByKind map[string]int64 // Answers by kind of route.
 }
 
 func newMetrics() *metrics {
 	return &metrics{
-		first:   newLatency(),
-		whole:   newLatency(),
-		queued:  newLatency(),
-		refused: map[string]int64{},
-		kinds:   map[string]int64{},
+		firstByte:      newLatency(),
+		total:          newLatency(),
+		beforeSending:  newLatency(),
+		refused:        map[string]int64{},
+		answeredByKind: map[string]int64{},
 	}
 }
 
-func (m *metrics) refusal(reason string) {
+func (m *metrics) countRefusal(reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refused[reason]++
 }
 
 // answer counts a request that got a replica's answer.
-func (m *metrics) answer(kind string, before, first, whole time.Duration) {
+func (m *metrics) countAnswer(kind string, beforeSending, firstByte, total time.Duration) {
 	m.answered.Add(1)
-	m.queued.record(before)
-	m.first.record(first)
-	m.whole.record(whole)
+	m.beforeSending.record(beforeSending)
+	m.firstByte.record(firstByte)
+	m.total.record(total)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.kinds[kind]++
+	m.answeredByKind[kind]++
 }
 
 // metricsStatus is what is served; docs/METRICS.md tells units and meaning.
 type metricsStatus struct {
-	Answered int64                        `json:"answered"`
-	Kinds    map[string]int64             `json:"answered_by_kind"`
-	Left     int64                        `json:"clients_left"`
-	Cut      int64                        `json:"cut_by_stop"`
-	NotRun   int64                        `json:"refused_by_replicas"`
-	Dropped  int64                        `json:"resting_connections_closed"`
-	Refused  map[string]int64             `json:"refused"`
-	InFlight int64                        `json:"in_flight"`
-	First    latencyStatus                `json:"first_byte"`
-	Whole    latencyStatus                `json:"whole"`
-	Queued   latencyStatus                `json:"before_sending"`
-	Queues   map[string]route.QueueStatus `json:"queues"`
-	Config   int64                        `json:"configuration"`
-	ListAge  float64                      `json:"upstreams_age_s"`
-	Nodes    int                          `json:"nodes"`
-	Unread   int64                        `json:"notes_dropped"`
-	Replicas map[string]replicaCount      `json:"replicas"`
-	Weights  map[string]int64             `json:"weights_named"`
-	Unusable int64                        `json:"upstream_rows_unusable"`
-	Away     []string                     `json:"evacuated"`
-	Stores   []route.StoreStatus          `json:"stores"`
-	Suspects suspects.Status              `json:"suspects"`
-	Limits   ratelimit.Status             `json:"limits"`
-	Slept    int64                        `json:"suspensions"`
+	Answered          int64                        `json:"answered"`
+	AnsweredByKind    map[string]int64             `json:"answered_by_kind"`
+	ClientsLeft       int64                        `json:"clients_left"`
+	CutByStop         int64                        `json:"cut_by_stop"`
+	RefusedByReplicas int64                        `json:"refused_by_replicas"`
+	IdleConnsClosed   int64                        `json:"resting_connections_closed"`
+	Refused           map[string]int64             `json:"refused"`
+	InFlight          int64                        `json:"in_flight"`
+	FirstByte         latencyStatus                `json:"first_byte"`
+	Total             latencyStatus                `json:"whole"`
+	BeforeSending     latencyStatus                `json:"before_sending"`
+	Queues            map[string]route.QueueStatus `json:"queues"`
+	ConfigVersion     int64                        `json:"configuration"`
+	UpstreamListAge   float64                      `json:"upstreams_age_s"`
+	Nodes             int                          `json:"nodes"`
+	NotesDropped      int64                        `json:"notes_dropped"`
+	Replicas          map[string]replicaCount      `json:"replicas"`
+	NamedWeights      map[string]int64             `json:"weights_named"`
+	UnusableRows      int64                        `json:"upstream_rows_unusable"`
+	EvacuatedHalls    []string                     `json:"evacuated"`
+	Stores            []route.StoreStatus          `json:"stores"`
+	Suspects          suspects.Status              `json:"suspects"`
+	Limits            ratelimit.Status             `json:"limits"`
+	Suspensions       int64                        `json:"suspensions"`
 }
 
 // replicaCount is how many replicas a service has, and how many may be used.
@@ -142,32 +144,32 @@
 	now := boottime.Now()
 	m := g.metrics
 	s := metricsStatus{
-		Answered: m.answered.Load(),
-		Left:     m.left.Load(),
-		Cut:      m.cut.Load(),
-		NotRun:   m.notRun.Load(),
-		Dropped:  m.dropped.Load(),
-		InFlight: g.inFlight.Load(),
-		First:    m.first.status(),
-		Whole:    m.whole.status(),
-		Queued:   m.queued.status(),
-		Kinds:    map[string]int64{},
-		Refused:  map[string]int64{},
-		Queues:   map[string]route.QueueStatus{},
-		Replicas: map[string]replicaCount{},
-		Nodes:    g.nodes.count(),
-		Unread:   g.nodes.dropped.Load(),
-		Weights:  g.beliefs.NewestWeights(),
-		Unusable: g.beliefs.UnusableRows(),
-		Away:     g.beliefs.EvacuatedHalls(),
-		Stores:   g.kept.Status(),
-		Suspects: g.suspects.Status(),
-		Limits:   g.rateLimits.Status(),
-		Slept:    g.suspension.count.Load(),
+		Answered:          m.answered.Load(),
+		ClientsLeft:       m.clientsLeft.Load(),
+		CutByStop:         m.cutByStop.Load(),
+		RefusedByReplicas: m.refusedByReplicas.Load(),
+		IdleConnsClosed:   m.idleConnsClosed.Load(),
+		InFlight:          g.inFlight.Load(),
+		FirstByte:         m.firstByte.status(),
+		Total:             m.total.status(),
+		BeforeSending:     m.beforeSending.status(),
+		AnsweredByKind:    map[string]int64{},
+		Refused:           map[string]int64{},
+		Queues:            map[string]route.QueueStatus{},
+		Replicas:          map[string]replicaCount{},
+		Nodes:             g.nodes.count(),
+		NotesDropped:      g.nodes.notesDropped.Load(),
+		NamedWeights:      g.siteState.NewestWeights(),
+		UnusableRows:      g.siteState.UnusableRows(),
+		EvacuatedHalls:    g.siteState.EvacuatedHalls(),
+		Stores:            g.cacheIndex.Status(),
+		Suspects:          g.suspects.Status(),
+		Limits:            g.rateLimits.Status(),
+		Suspensions:       g.suspension.count.Load(),
 	}
-	config, heard, _ := g.beliefs.Ages(now)
-	s.Config, s.ListAge = config, heard.Seconds()
-	for service, p := range g.beliefs.Pools() {
+	config, heard, _ := g.siteState.Ages(now)
+	s.ConfigVersion, s.UpstreamListAge = config, heard.Seconds()
+	for service, p := range g.siteState.Pools() {
 		all, usable := p.Count(now)
 		s.Replicas[service] = replicaCount{All: all, Usable: usable, Cold: p.CountCold(now), Excluded: p.Excluded(now)}
 	}
@@ -186,8 +188,8 @@
 	for reason, n := range m.refused {
 		s.Refused[reason] = n
 	}
-	for kind, n := range m.kinds {
-		s.Kinds[kind] = n
+	for kind, n := range m.answeredByKind {
+		s.AnsweredByKind[kind] = n
 	}
 }
 
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -23,51 +23,51 @@
 )
 
 const (
-	// meetEvery is how often a node that knows no other looks for some.
-	meetEvery = time.Second
-	// meetAgain is how often one of ten nodes looks that knows others, and more
+	// discoverInterval is how often a node that knows no other looks for some.
+	discoverInterval = time.Second
+	// rediscoverInterval is how often one of ten nodes looks that knows others, and more
 	// seldom the more there are: two halves that were cut apart when they started
 	// find each other so.
-	meetAgain = 15 * time.Second
-	meetNodes = 10
-	// meetRetry is the pause after a failure for a node that knows others: each
+	rediscoverInterval = 15 * time.Second
+	rediscoverNodes    = 10
+	// discoverRetryDelay is the pause after a failure for a node that knows others: each
 	// call is paid for, and it needs no more of them soon.
-	meetRetry = 5 * time.Second
-	// greetEvery and greetParts are in what time a node greets all others that the store
+	discoverRetryDelay = 5 * time.Second
+	// seedProbeInterval and greetParts are in what time a node greets all others that the store
 	// names: within meetTime, with time left for their answers.
-	greetEvery = 50 * time.Millisecond
-	greetParts = 10
+	seedProbeInterval = 50 * time.Millisecond
+	seedProbeBatches  = 10
 )
 
 // nodes is what the nodes tell each other: who there is, what each has in flight,
 // which replicas to pass over, and the newest weights.
 type nodes struct {
-	self    control.Member
-	regions map[string]string // Of data halls.
-	shares  *coldShares
+	self       control.Member
+	regions    map[string]string // Of data halls.
+	coldShares *coldShares
 	// suspects are told of what the nodes' table has of them.
-	suspects   *suspects.Suspects
-	rateLimits *ratelimit.Limits
-	members    *control.Members
-	probes     *peer.Probes
-	store      Store
-	beliefs    *SiteState
-	kept       *route.CacheIndex
-	log        *slog.Logger
-	due        chan struct{} // Holds one when the state is to be told soon.
-	boot       uint64        // Tells this life of the node from others.
-	dropped    atomic.Int64  // Notes that could not be read.
-	mergeMu    sync.Mutex    // Has the pools told one sum after the other; taken before mu.
+	suspects     *suspects.Suspects
+	rateLimits   *ratelimit.Limits
+	members      *control.Members
+	probes       *peer.Probes
+	store        Store
+	siteState    *SiteState
+	cacheIndex   *route.CacheIndex
+	log          *slog.Logger
+	loadsDue     chan struct{} // Holds one when the state is to be told soon.
+	incarnation  uint64        // Tells this life of the node from others.
+	notesDropped atomic.Int64  // Notes that could not be read.
+	mergeMu      sync.Mutex    // Has the pools told one sum after the other; taken before mu.
 
-	mu        sync.Mutex
-	announced bool
-	met       time.Time
-	meetNext  time.Time        // Not looked for others before.
-	strangers []netip.AddrPort // Yet to be greeted, greetEach at a time.
-	greetEach int
-	missed    time.Time // Since when the store does not tell the nodes, zero if it does.
-	loads     loads
-	gathered  []news // To be told soon.
+	mu              sync.Mutex
+	announced       bool
+	membersReadAt   time.Time
+	nextMembersRead time.Time        // Not looked for others before.
+	unprobed        []netip.AddrPort // Yet to be greeted, greetEach at a time.
+	probeBatch      int
+	readFailedSince time.Time // Since when the store does not tell the nodes, zero if it does.
+	loads           loadState
+	pendingUpdates  []replicaUpdate // To be told soon.
 }
 
 // nodeRow is what a node writes of itself for those that start later.
@@ -80,46 +80,46 @@
 	n.probes.Send(n.members.Tick(time.Now(), 0))
 }
 
-func (n *nodes) probeLate(context.Context) {
+func (n *nodes) probeIndirectly(context.Context) {
 	n.probes.Send(n.members.IndirectProbes(time.Now(), 0))
 }
 
-// meet writes this node's address to the store and learns those of others, as
+// discover writes this node's address to the store and learns those of others, as
 // long as it has not, or knows nobody.
-func (n *nodes) meet(ctx context.Context) {
+func (n *nodes) discover(ctx context.Context) {
 	now := boottime.Now()
 	known := len(n.members.Working())
 	n.mu.Lock()
-	again := meetAgain * time.Duration(max(1, known/meetNodes))
-	due := !n.announced || known <= 1 || now.Sub(n.met) >= again
-	due = due && !now.Before(n.meetNext)
+	again := rediscoverInterval * time.Duration(max(1, known/rediscoverNodes))
+	due := !n.announced || known <= 1 || now.Sub(n.membersReadAt) >= again
+	due = due && !now.Before(n.nextMembersRead)
 	n.mu.Unlock()
 	if !due {
 		return
 	}
 	rows, err := n.readNodes(ctx)
 	n.mu.Lock()
-	first := n.missed.IsZero()
-	missed := now.Sub(n.missed)
+	firstFailure := n.readFailedSince.IsZero()
+	failedFor := now.Sub(n.readFailedSince)
 	if err != nil {
-		if first {
-			n.missed = now
+		if firstFailure {
+			n.readFailedSince = now
 		}
 		if known > 1 {
-			n.meetNext = now.Add(meetRetry)
+			n.nextMembersRead = now.Add(discoverRetryDelay)
 		}
 	} else {
-		n.met, n.missed = now, time.Time{}
+		n.membersReadAt, n.readFailedSince = now, time.Time{}
 	}
 	n.mu.Unlock()
 	switch {
 	case err == nil:
-		if !first {
-			n.log.Info("nodes read again", "away", missed)
+		if !firstFailure {
+			n.log.Info("nodes read again", "away", failedFor)
 		}
-		n.greet(rows)
-		n.shares.haveMet(now)
-	case first:
+		n.addSeeds(rows)
+		n.coldShares.markMembersRead(now)
+	case firstFailure:
 		n.log.Warn("nodes not read", "err", err)
 	}
 }
@@ -153,8 +153,8 @@
 	return nil
 }
 
-func (n *nodes) greet(rows []site.Row) {
-	var strangers []netip.AddrPort
+func (n *nodes) addSeeds(rows []site.Row) {
+	var unprobed []netip.AddrPort
 	for _, r := range rows {
 		if r.Key == suspects.BlockedRowKey {
 			n.suspects.LoadRow(r, boottime.Now())
@@ -167,27 +167,27 @@
 		}
 		if r.Key != n.self.Name && row.Peer.IsValid() {
 			n.members.AddSeed(row.Peer)
-			strangers = append(strangers, row.Peer)
+			unprobed = append(unprobed, row.Peer)
 		}
 	}
 	n.suspects.MarkLearned()
-	rand.Shuffle(len(strangers), func(i, j int) { strangers[i], strangers[j] = strangers[j], strangers[i] })
+	rand.Shuffle(len(unprobed), func(i, j int) { unprobed[i], unprobed[j] = unprobed[j], unprobed[i] })
 	n.mu.Lock()
-	n.strangers, n.greetEach = strangers, (len(strangers)+greetParts-1)/greetParts
+	n.unprobed, n.probeBatch = unprobed, (len(unprobed)+seedProbeBatches-1)/seedProbeBatches
 	n.mu.Unlock()
-	n.greetSome(context.Background())
+	n.probeSeeds(context.Background())
 }
 
-// greetSome greets the next ones of the nodes of which only the address is known; the timer
+// probeSeeds greets the next ones of the nodes of which only the address is known; the timer
 // service calls it. Who has been heard of meanwhile is left out: where all nodes start
 // together, each pair greets once instead of both ways.
-func (n *nodes) greetSome(context.Context) {
+func (n *nodes) probeSeeds(context.Context) {
 	n.mu.Lock()
-	some := n.strangers[:min(len(n.strangers), n.greetEach)]
-	n.strangers = n.strangers[len(some):]
+	batch := n.unprobed[:min(len(n.unprobed), n.probeBatch)]
+	n.unprobed = n.unprobed[len(batch):]
 	n.mu.Unlock()
-	if len(some) > 0 {
-		n.probes.Send(n.members.ProbeSeeds(some))
+	if len(batch) > 0 {
+		n.probes.Send(n.members.ProbeSeeds(batch))
 	}
 }
 
@@ -197,26 +197,26 @@
 // count is how many nodes there are, as far as is known.
 func (n *nodes) count() int { return max(1, len(n.members.Working())) }
 
-// entries lists where callers of a data hall are to go: to its own nodes, to those of its
+// entryAddrs lists where callers of a data hall are to go: to its own nodes, to those of its
 // region if it has too few that are well, or else to all, where what they ask for has homes
 // to those of these regions.
-func (n *nodes) entries(hall, region string, homes []string) []netip.AddrPort {
+func (n *nodes) entryAddrs(hall, region string, homes []string) []netip.AddrPort {
 	view := n.members.View()
-	list := view.Hall(hall).Alive
+	candidates := view.Hall(hall).Alive
 	if region == "" {
 		region = n.regions[hall]
 	}
-	if len(list) < leastNear {
-		list = larger(n.inRegions(view.Alive, []string{region}), list)
+	if len(candidates) < minEntries {
+		candidates = longer(n.inRegions(view.Alive, []string{region}), candidates)
 	}
-	if len(list) < leastNear {
-		list = larger(n.inRegions(view.Alive, homes), list)
+	if len(candidates) < minEntries {
+		candidates = longer(n.inRegions(view.Alive, homes), candidates)
 	}
-	if len(list) == 0 || len(list) < leastNear && len(homes) == 0 {
-		list = view.Alive
+	if len(candidates) == 0 || len(candidates) < minEntries && len(homes) == 0 {
+		candidates = view.Alive
 	}
-	addrs := make([]netip.AddrPort, len(list))
-	for i, m := range list {
+	addrs := make([]netip.AddrPort, len(candidates))
+	for i, m := range candidates {
 		addrs[i] = m.Entry
 	}
 	return addrs
@@ -232,30 +232,30 @@
 	return in
 }
 
-// larger is the larger one of two lists, the second if they are alike.
-func larger(more, list []control.Member) []control.Member {
-	if len(more) > len(list) {
-		return more
+// longer is the larger one of two lists, the second if they are alike.
+func longer(a, b []control.Member) []control.Member {
+	if len(a) > len(b) {
+		return a
 	}
-	return list
+	return b
 }
 
-// leastNear is how many nodes of its own data hall a caller is to have at least:
+// minEntries is how many nodes of its own data hall a caller is to have at least:
 // with one alone it would have nowhere to go when that one fails.
-const leastNear = 2
+const minEntries = 2
 
-// suspectTeller tells other nodes of suspects.
-type suspectTeller struct{ n *nodes }
+// suspectNotifier tells other nodes of suspects.
+type suspectNotifier struct{ n *nodes }
 
 // SendNote implements suspects.Notifier.
-func (t suspectTeller) SendNote(to []netip.AddrPort, method string, params any) int {
-	return t.n.note(to, method, params)
+func (t suspectNotifier) SendNote(to []netip.AddrPort, method string, params any) int {
+	return t.n.sendNote(to, method, params)
 }
 
 // Recipients implements suspects.Notifier.
-func (t suspectTeller) Recipients(try int) (direct, relays []netip.AddrPort) {
-	return t.n.newsAudience(try)
+func (t suspectNotifier) Recipients(try int) (direct, relays []netip.AddrPort) {
+	return t.n.updateRecipients(try)
 }
 
 // HallPeers implements suspects.Notifier.
-func (t suspectTeller) HallPeers() []netip.AddrPort { return t.n.inHall(t.n.self.DataHall) }
+func (t suspectNotifier) HallPeers() []netip.AddrPort { return t.n.hallPeers(t.n.self.DataHall) }
--- a/service/gateway/nodes_test.go
+++ b/service/gateway/nodes_test.go
@@ -19,34 +19,34 @@
 
 // A node that the store turns away and that knows others leaves it alone for a
 // while, and logs one line for the loss and one for the return.
-func TestNodesAreNotReadAtEachLookWhileTheStoreIsAway(t *testing.T) {
+func TestFailedNodeListReadIsNotRetriedAtOnce(t *testing.T) {
 	self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1}
 	m := control.NewMembers(self, time.Second, nil, rand.New(rand.NewPCG(1, 2)))
 	m.Merge([]control.Member{{Name: "n1", DataHall: "h", Incarnation: 1}}, time.Now())
 	store := &tableStore{fail: true}
 	var logged bytes.Buffer
 	n := &nodes{
-		self: self, members: m, store: store, announced: true, shares: newColdShares(self, m),
-		log: slog.New(slog.NewTextHandler(&logged, nil)), loads: newLoads(),
+		self: self, members: m, store: store, announced: true, coldShares: newColdShares(self, m),
+		log: slog.New(slog.NewTextHandler(&logged, nil)), loads: newLoadState(),
 		suspects: suspects.New(self, m, nil, nil, slog.New(slog.DiscardHandler)),
 	}
 	for range 5 {
-		n.meet(t.Context())
+		n.discover(t.Context())
 	}
 	assert.Equal(t, store.count(), 1)
-	n.meetNext = time.Time{} // Later.
-	n.meet(t.Context())
+	n.nextMembersRead = time.Time{} // Later.
+	n.discover(t.Context())
 	assert.Equal(t, store.count(), 2)
 	assert.Equal(t, strings.Count(logged.String(), "nodes not read"), 1)
 	assert.Equal(t, strings.Count(logged.String(), "nodes read again"), 0)
 	store.fail = false
-	n.meetNext = time.Time{}
+	n.nextMembersRead = time.Time{}
 	var err error
 	n.probes, err = peer.NewProbes(netip.MustParseAddrPort("127.0.0.1:0"), "key", nil, n.log)
 	assert.NilError(t, err)
 	n.probes.Start()
 	t.Cleanup(n.probes.Close)
-	n.meet(t.Context())
+	n.discover(t.Context())
 	assert.Equal(t, strings.Count(logged.String(), "nodes read again"), 1)
 }
 
@@ -55,8 +55,8 @@
 // Sequence: one node was suspect; a list of the nodes that are well was made.
 // Cause: the list was made by deleting from the one that Members keeps for all callers.
 // What settled it: the kept list had ended with a zero member after one such call.
-func TestListOfNodesThatAreWellLeavesTheKeptOneAsItIs(t *testing.T) {
-	n := newsFleet(3)
+func TestAliveDoesNotModifyWorkingMembers(t *testing.T) {
+	n := newTestNodes(3)
 	before := slices.Clone(n.members.Working())
 	n.members.Merge([]control.Member{{Name: "a-1", DataHall: "a", Incarnation: 1, State: control.MemberSuspect}}, time.Now())
 	assert.Equal(t, len(alive(n.members)), len(before)-1)
--- a/service/gateway/packed_loads.go
+++ b/service/gateway/packed_loads.go
@@ -11,27 +11,27 @@
 // zero, and those. As JSON, 256 replicas and 58 stores took 10.5 kB and 0.9 ms of a
 // core at each of 295 nodes, 22 times a second; packed they take 4.6 kB and 0.06 ms.
 
-// errCutShort says that packed bytes end inside something.
-var errCutShort = errors.New("packed loads cut short")
+// errTruncated says that packed bytes end inside something.
+var errTruncated = errors.New("packed loads cut short")
 
 const keyBytes = 4
 
-// loadFixed is how many numbers of a load come before the tokens to be read.
-const loadFixed = 2
+// fixedNumbers is how many numbers of a load come before the tokens to be read.
+const fixedNumbers = 2
 
 // loadNumbers is what is told of a load, in the order on the wire. Numbers are added at
 // the end only: nodes that don't know them pass over them.
-type loadNumbers [loadFixed + len(route.BandTokens{})]int
+type loadNumbers [fixedNumbers + len(route.BandTokens{})]int
 
 func numbersOf(l *route.PeerLoad) (n loadNumbers) {
 	n[0], n[1] = l.Requests, l.Memory
-	copy(n[loadFixed:], l.Tokens[:])
+	copy(n[fixedNumbers:], l.Tokens[:])
 	return n
 }
 
 func (n *loadNumbers) load() (l route.PeerLoad) {
 	l.Requests, l.Memory = n[0], n[1]
-	copy(l.Tokens[:], n[loadFixed:])
+	copy(l.Tokens[:], n[fixedNumbers:])
 	return l
 }
 
@@ -65,7 +65,7 @@
 
 func (u *unpacker) key() route.NameHash {
 	if len(u.rest) < keyBytes {
-		u.rest, u.err = nil, errCutShort
+		u.rest, u.err = nil, errTruncated
 		return 0
 	}
 	key := route.NameHash(binary.BigEndian.Uint32(u.rest))
@@ -76,18 +76,18 @@
 func (u *unpacker) number() uint64 {
 	n, used := binary.Uvarint(u.rest)
 	if used <= 0 {
-		u.rest, u.err = nil, errCutShort
+		u.rest, u.err = nil, errTruncated
 		return 0
 	}
 	u.rest = u.rest[used:]
 	return n
 }
 
-// mostNumber bounds a number that is told: none that is meant is larger, and sums of
+// maxNumber bounds a number that is told: none that is meant is larger, and sums of
 // them stay far from overflowing.
-const mostNumber = 1 << 50
+const maxNumber = 1 << 50
 
-func (u *unpacker) count() int { return int(min(u.number(), mostNumber)) }
+func (u *unpacker) count() int { return int(min(u.number(), maxNumber)) }
 
 func unpackLoads(b []byte) (list []route.ReplicaLoad, err error) {
 	const least = 6 // Bytes of a replica with anything in flight.
--- a/service/gateway/queue.go
+++ b/service/gateway/queue.go
@@ -48,7 +48,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.queued:
+		case <-g.promptQueued:
 		}
 		for ctx.Err() == nil && g.stepQueues() {
 			sleep(ctx, queueEvery)
@@ -74,7 +74,7 @@
 
 // enqueue waits until the prompt is let in; ok is false if it is refused.
 func (x *exchange) enqueue(ctx context.Context) (f refusal, ok bool) {
-	if x.service.Engine == nil || x.need.Tokens == 0 || x.g.beliefs.without.PromptQueue {
+	if x.service.Engine == nil || x.need.Tokens == 0 || x.g.siteState.disabled.PromptQueue {
 		return refusal{}, true
 	}
 	now := boottime.Now()
@@ -106,13 +106,13 @@
 // gives way to those that can; when it can't be answered at all it is refused.
 func (x *exchange) wait(ctx context.Context, w *route.WaitingPrompt, now time.Time) (f refusal, ok bool) {
 	select {
-	case x.g.queued <- struct{}{}:
+	case x.g.promptQueued <- struct{}{}:
 	default:
 	}
 	lateTimer, limitTimer := time.NewTimer(x.lateFrom.Sub(now)), time.NewTimer(x.sendBy.Sub(now))
 	defer lateTimer.Stop()
 	defer limitTimer.Stop()
-	stopped := x.g.stopped
+	stopped := x.g.stopRequested
 	for {
 		select {
 		case <-w.Ready():
--- a/service/gateway/race_test.go
+++ b/service/gateway/race_test.go
@@ -2,5 +2,5 @@
 
 package gateway
 
-// grownScale is by how much links and configurations are smaller than at their size.
-const grownScale = 8
+// raceScale is by how much links and configurations are smaller than at their size.
+const raceScale = 8
--- a/service/gateway/readers_bench_test.go
+++ b/service/gateway/readers_bench_test.go
@@ -28,7 +28,7 @@
 }
 
 func configurationOf(b *testing.B, routes int) []byte {
-	value, err := json.Marshal(onplatform.NewConfiguration(1, routes, grownHosts))
+	value, err := json.Marshal(onplatform.NewConfiguration(1, routes, hostCount))
 	assert.NilError(b, err)
 	return value
 }
--- a/service/gateway/readers_test.go
+++ b/service/gateway/readers_test.go
@@ -473,7 +473,7 @@
 		assert.Assert(t, ok)
 		assert.Equal(t, reader, wide.Peer)
 	}
-	n := &nodes{self: self, members: m, loads: newLoads()}
+	n := &nodes{self: self, members: m, loads: newLoadState()}
 	assert.Equal(t, n.speakers()["h"].Name, wide.Name)
 	for i := range 8 {
 		store := &site.Service{Name: fmt.Sprint("s", i), Store: &site.Store{MaxWatches: 4}}
@@ -539,7 +539,7 @@
 	t.Helper()
 	begun := time.Now()
 	for {
-		l, err := h.asker.Changes(t.Context(), site.TableUpstreams, after, grownHold)
+		l, err := h.asker.Changes(t.Context(), site.TableUpstreams, after, longPollTimeout)
 		if err == nil && len(l.Rows) > 0 {
 			return time.Since(begun)
 		}
--- a/service/gateway/news_test.go
+++ b/service/gateway/replica_updates_test.go
@@ -16,8 +16,8 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// newsFleet is a node's view of three halls of so many nodes each.
-func newsFleet(each int) *nodes {
+// newTestNodes is a node's view of three halls of so many nodes each.
+func newTestNodes(each int) *nodes {
 	self := control.Member{Name: "a-0", DataHall: "a", Incarnation: 1}
 	m := control.NewMembers(self, time.Second, nil, rand.New(rand.NewPCG(1, 2)))
 	var list []control.Member
@@ -30,21 +30,21 @@
 		}
 	}
 	m.Merge(list, time.Now())
-	return &nodes{self: self, members: m, log: slog.New(slog.DiscardHandler), loads: newLoads(), beliefs: &SiteState{}}
+	return &nodes{self: self, members: m, log: slog.New(slog.DiscardHandler), loads: newLoadState(), siteState: &SiteState{}}
 }
 
 // A roll-out over 3,000 replicas told to each of 300 nodes took nine tenths of a
 // day's worth in bytes between halls.
-func TestNewsGoThroughOneNodeOfEachLargeHall(t *testing.T) {
-	small := newsFleet(3)
-	direct, relays := small.newsAudience(0)
+func TestReplicaUpdatesGoThroughOneRelayPerLargeHall(t *testing.T) {
+	small := newTestNodes(3)
+	direct, relays := small.updateRecipients(0)
 	assert.Equal(t, len(direct), 8)
 	assert.Equal(t, len(relays), 0)
-	large := newsFleet(60)
-	direct, relays = large.newsAudience(0)
+	large := newTestNodes(60)
+	direct, relays = large.updateRecipients(0)
 	assert.Equal(t, len(direct), 0)
 	assert.Equal(t, len(relays), 3)
-	_, again := large.newsAudience(1)
+	_, again := large.updateRecipients(1)
 	for _, r := range again {
 		for _, first := range relays {
 			assert.Assert(t, r != first, "another node is asked the second time")
@@ -52,29 +52,29 @@
 	}
 }
 
-func TestNewsAreToldOnInTheHall(t *testing.T) {
-	heard := make(chan newsNote, 1)
+func TestReplicaUpdatesAreRelayedInHall(t *testing.T) {
+	heard := make(chan replicaUpdatesNote, 1)
 	// An address that no other process listens at.
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 77, byte(os.Getpid()), byte(os.Getpid() >> 8)}), 8004)
 	listener, err := peer.NewProbes(addr, "key", nil, slog.New(slog.DiscardHandler))
 	assert.NilError(t, err)
-	listener.OnNote(noteNews, func(params json.RawMessage) {
-		var w newsNote
+	listener.OnNote(noteReplicaUpdates, func(params json.RawMessage) {
+		var w replicaUpdatesNote
 		assert.Check(t, json.Unmarshal(params, &w))
 		heard <- w
 	})
 	listener.Start()
 	t.Cleanup(listener.Close)
-	n := newsFleet(1)
+	n := newTestNodes(1)
 	n.members.Merge([]control.Member{{Name: "a-1", DataHall: "a", Incarnation: 1, Peer: addr}}, time.Now())
 	n.probes, err = peer.NewProbes(netip.MustParseAddrPort("127.0.0.1:0"), "key", nil, n.log)
 	assert.NilError(t, err)
 	t.Cleanup(n.probes.Close)
-	note, err := json.Marshal(newsNote{News: []news{{Replica: "r", Avoid: 5}}, Pass: true})
+	note, err := json.Marshal(replicaUpdatesNote{Updates: []replicaUpdate{{Replica: "r", AvoidMs: 5}}, Relay: true})
 	assert.NilError(t, err)
 	n.probes.Start()
-	n.hearNews(note)
+	n.handleReplicaUpdates(note)
 	w := <-heard
-	assert.Equal(t, w.News[0].Replica, "r")
-	assert.Assert(t, !w.Pass, "told on once only")
+	assert.Equal(t, w.Updates[0].Replica, "r")
+	assert.Assert(t, !w.Relay, "told on once only")
 }
--- a/service/gateway/retry_slack_test.go
+++ b/service/gateway/retry_slack_test.go
@@ -20,9 +20,9 @@
 	}
 	m.Merge(alive, time.Now())
 	m.Merge(append(append([]control.Member(nil), all[:i]...), all[i+1:]...), time.Now())
-	n := &nodes{self: all[i], members: m, shares: newColdShares(all[i], m)}
+	n := &nodes{self: all[i], members: m, coldShares: newColdShares(all[i], m)}
 	if met {
-		n.shares.haveMet(boottime.Now().Add(-meetTime))
+		n.coldShares.markMembersRead(boottime.Now().Add(-memberResponseTime))
 	}
 	g := &Gateway{nodes: n}
 	g.settings.Store(&config.GatewaySettings{Retry: config.RetrySettings{Slack: 54}})
@@ -37,7 +37,7 @@
 	for _, n := range []int{7, 71, 295, 2} {
 		var sides [2][]control.Member // As each side has all of them.
 		for i := range n {
-			m := membersOf(n, 3, 0)[i]
+			m := newMembers(n, 3, 0)[i]
 			for side := range sides {
 				m.State = control.MemberAlive
 				if i%len(sides) != side {
@@ -48,11 +48,11 @@
 		}
 		sum := 0.0
 		for i := range n {
-			sum += slackNode(sides[i%len(sides)], i, true).slackShare()
+			sum += slackNode(sides[i%len(sides)], i, true).retrySlack()
 		}
 		assert.Assert(t, sum <= 54.001, "%d nodes: %g", n, sum)
 		assert.Assert(t, sum > 53.9, "%d nodes: %g", n, sum)
-		alone := slackNode(sides[0][:2], 0, false).slackShare()
-		assert.Assert(t, alone <= 54.0/unknownNodes, "a node that has yet to meet the others takes %g", alone)
+		alone := slackNode(sides[0][:2], 0, false).retrySlack()
+		assert.Assert(t, alone <= 54.0/assumedNodes, "a node that has yet to meet the others takes %g", alone)
 	}
 }
--- a/service/gateway/swaps.go
+++ b/service/gateway/rollout_fleet.go
@@ -10,21 +10,21 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// swaps is the fleet as the roll-out of weights sees it.
-type swaps struct {
-	beliefs *SiteState
-	nodes   *nodes
-	within  time.Duration // In which all replicas are to have weights that were named.
+// rolloutFleet is the fleet as the roll-out of weights sees it.
+type rolloutFleet struct {
+	siteState *SiteState
+	nodes     *nodes
+	within    time.Duration // In which all replicas are to have weights that were named.
 }
 
 // Targets implements rollout.Fleet.
-func (s *swaps) Targets() (list []rollout.Target) {
-	newest := s.beliefs.NewestWeights()
+func (s *rolloutFleet) Targets() (list []rollout.Target) {
+	newest := s.siteState.NewestWeights()
 	if len(newest) == 0 {
 		return nil
 	}
 	now := boottime.Now()
-	for _, p := range s.beliefs.Pools() {
+	for _, p := range s.siteState.Pools() {
 		for _, u := range p.Upstreams() {
 			for model := range u.Weights {
 				if want, named := newest[model]; named && !u.Draining && !u.Evacuated && !s.postponed(p, &u, model, now) {
@@ -38,41 +38,43 @@
 
 // postponed says whether a replica gets no order yet, as it has asked this node to send it
 // nothing. Half of the time that there is for new weights is left for it.
-func (s *swaps) postponed(p *route.Pool, u *site.Upstream, model string, now time.Time) bool {
+func (s *rolloutFleet) postponed(p *route.Pool, u *site.Upstream, model string, now time.Time) bool {
 	if !p.InBackoff(u.ID, now) {
 		return false
 	}
-	_, since := s.beliefs.Weights(model)
+	_, since := s.siteState.Weights(model)
 	return now.Sub(since) < s.within/2
 }
 
 // AvoidForSwap implements rollout.Fleet.
-func (s *swaps) AvoidForSwap(t rollout.Target, d time.Duration) {
-	s.nodes.steer(route.RefOf(&t.Upstream), t.Model, t.Version, d)
+func (s *rolloutFleet) AvoidForSwap(t rollout.Target, d time.Duration) {
+	s.nodes.announceSwap(route.RefOf(&t.Upstream), t.Model, t.Version, d)
 }
 
 // Swapping implements rollout.Fleet.
-func (s *swaps) Swapping() int {
+func (s *rolloutFleet) Swapping() int {
 	n, now := 0, boottime.Now()
-	for _, p := range s.beliefs.Pools() {
+	for _, p := range s.siteState.Pools() {
 		n += p.Swapping(now)
 	}
 	return n
 }
 
 // RecordWeights implements rollout.Fleet.
-func (s *swaps) RecordWeights(t rollout.Target, version int64) {
-	if p := s.beliefs.Pool(t.Service); p != nil {
+func (s *rolloutFleet) RecordWeights(t rollout.Target, version int64) {
+	if p := s.siteState.Pool(t.Service); p != nil {
 		p.RecordWeights(route.RefOf(&t.Upstream), t.Model, version)
-		s.nodes.served(route.RefOf(&t.Upstream), t.Model, version)
+		s.nodes.announceWeights(route.RefOf(&t.Upstream), t.Model, version)
 	}
 }
 
 // RecordDraining implements rollout.Fleet.
-func (s *swaps) RecordDraining(t rollout.Target) { s.nodes.hearDraining(route.RefOf(&t.Upstream)) }
+func (s *rolloutFleet) RecordDraining(t rollout.Target) {
+	s.nodes.recordDraining(route.RefOf(&t.Upstream))
+}
 
 // Rank implements rollout.Fleet.
-func (s *swaps) Rank(duty string) int {
+func (s *rolloutFleet) Rank(duty string) int {
 	members := s.nodes.members.Working()
 	for i, m := range control.Owners(members, duty, len(members)) {
 		if m.Name == s.nodes.self.Name {
--- a/service/gateway/site_state.go
+++ b/service/gateway/site_state.go
@@ -20,58 +20,58 @@
 	codec      Codec
 	hall       string
 	returnTime time.Duration
-	kept       *route.CacheIndex
-	without    config.DisabledMechanisms
+	cacheIndex *route.CacheIndex
+	disabled   config.DisabledMechanisms
 	regions    map[string]string // Of data halls.
 	cold       config.ColdSettings
-	shares     route.ColdShares
-	rates      route.RateLimits
-	// leaveTime is for how long a data hall is left gradually that is evacuated.
-	leaveTime time.Duration
-	// restarted is told of each replica that has started anew under its ID, and whether it
+	coldShares route.ColdShares
+	rateLimits route.RateLimits
+	// evacuationTime is for how long a data hall is left gradually that is evacuated.
+	evacuationTime time.Duration
+	// onRestart is told of each replica that has started anew under its ID, and whether it
 	// had said before that it leaves.
-	restarted func(id string, planned bool, now time.Time)
-	// ended is told of each replica whose entry went though it had not said that it leaves.
-	ended func(id string, now time.Time)
-	log   *slog.Logger
+	onRestart func(id string, planned bool, now time.Time)
+	// onDelisted is told of each replica whose entry went though it had not said that it leaves.
+	onDelisted func(id string, now time.Time)
+	log        *slog.Logger
 
 	snapshot atomic.Pointer[site.Snapshot]
 
 	mu        sync.Mutex
-	weights   map[string]newest
+	weights   map[string]modelWeights
 	upstreams map[string]*upstreamEntry
 	pools     map[string]*route.Pool
 	evacuated map[string]*evacuation // By data hall.
 	// draining has the starts of replicas that say in answers that they drain, also where the
 	// list has none or no longer, and when that was heard.
 	draining map[string]time.Time
-	// unusable counts rows of the list of upstreams that named none.
-	unusable int64
-	// rebuilt counts the changes of the list of upstreams.
-	rebuilt int
-	// dropped are replicas of which ended has still to be told.
-	dropped []string
-	// away is when the store's list was last not to be had, heard when it was.
-	away  time.Time
-	heard time.Time
+	// unusableRows counts rows of the list of upstreams that named none.
+	unusableRows int64
+	// revision counts the changes of the list of upstreams.
+	revision int
+	// droppedIDs are replicas of which ended has still to be told.
+	droppedIDs []string
+	// unreachableAt is when the store's list was last not to be had, heard when it was.
+	unreachableAt time.Time
+	syncedAt      time.Time
 }
 
-// newest is the newest version of a model's weights.
-type newest struct {
+// modelWeights is the newest version of a model's weights.
+type modelWeights struct {
 	version int64
 	since   time.Time // When this node heard of it.
 	// older are the versions before it, the newest last.
-	older []newest
+	older []modelWeights
 }
 
-// mostOlder is how many older versions are remembered.
-const mostOlder = 8
+// maxOlderVersions is how many older versions are remembered.
+const maxOlderVersions = 8
 
 type upstreamEntry struct {
 	site.Upstream
 	version int64 // Of the row.
-	// gone is when the store dropped the entry, zero if it has it.
-	gone time.Time
+	// missingSince is when the store dropped the entry, zero if it has it.
+	missingSince time.Time
 }
 
 // NewSiteState returns beliefs of which none is held yet.
@@ -80,105 +80,105 @@
 		codec:      c,
 		hall:       hall,
 		returnTime: returnTime,
-		kept:       k,
+		cacheIndex: k,
 		log:        log,
-		weights:    map[string]newest{},
+		weights:    map[string]modelWeights{},
 		upstreams:  map[string]*upstreamEntry{},
 		pools:      map[string]*route.Pool{},
 		evacuated:  map[string]*evacuation{},
 		draining:   map[string]time.Time{},
-		restarted:  func(string, bool, time.Time) {},
-		ended:      func(string, time.Time) {},
+		onRestart:  func(string, bool, time.Time) {},
+		onDelisted: func(string, time.Time) {},
 	}
 }
 
 // Snapshot is the configuration in force, nil if none is known yet.
-func (b *SiteState) Snapshot() *site.Snapshot { return b.snapshot.Load() }
+func (st *SiteState) Snapshot() *site.Snapshot { return st.snapshot.Load() }
 
 // ApplyOperator takes in rows of the operator's table; with whole they are all that there
 // are.
-func (b *SiteState) ApplyOperator(rows []site.Row, whole bool, now time.Time) {
+func (st *SiteState) ApplyOperator(rows []site.Row, whole bool, now time.Time) {
 	for _, r := range rows {
-		if err := b.applyOperator(r, now); err != nil {
-			b.log.Error("configuration not usable, the last one stays", "row", r.Key, "version", r.Version, "err", err)
+		if err := st.applyOperator(r, now); err != nil {
+			st.log.Error("configuration not usable, the last one stays", "row", r.Key, "version", r.Version, "err", err)
 		}
 	}
 	if whole {
-		b.endEvacuations(rows, now)
+		st.endRemovedEvacuations(rows, now)
 	}
 }
 
-func (b *SiteState) applyOperator(r site.Row, now time.Time) error {
-	if hall, on, ok := b.codec.Evacuation(r); ok {
-		b.evacuate(hall, on, r.Version, now)
+func (st *SiteState) applyOperator(r site.Row, now time.Time) error {
+	if hall, on, ok := st.codec.Evacuation(r); ok {
+		st.setEvacuation(hall, on, r.Version, now)
 		return nil
 	}
-	s, err := b.codec.Configuration(r)
+	s, err := st.codec.Configuration(r)
 	if err != nil {
 		return err
 	}
 	if s != nil {
 		for _, v := range s.Stores() {
-			v.Store.Region = b.regions[v.Store.DataHall]
+			v.Store.Region = st.regions[v.Store.DataHall]
 		}
-		b.configure(s)
+		st.configure(s)
 		return nil
 	}
-	model, version, ok, err := b.codec.Weights(r)
+	model, version, ok, err := st.codec.Weights(r)
 	if err != nil || !ok {
 		return err
 	}
-	b.ApplyWeights(model, version, now)
+	st.ApplyWeights(model, version, now)
 	return nil
 }
 
 // configure puts a configuration in force unless a newer one is.
-func (b *SiteState) configure(s *site.Snapshot) {
+func (st *SiteState) configure(s *site.Snapshot) {
 	for {
-		old := b.snapshot.Load()
+		old := st.snapshot.Load()
 		if old != nil && old.Version >= s.Version {
 			return
 		}
-		if b.snapshot.CompareAndSwap(old, s) {
+		if st.snapshot.CompareAndSwap(old, s) {
 			break
 		}
 	}
-	b.kept.Configure(s.Stores())
-	b.limitCold(s)
-	b.log.Info("configuration in force", "version", s.Version, "routes", len(s.Routes()))
+	st.cacheIndex.Configure(s.Stores())
+	st.applyColdLimits(s)
+	st.log.Info("configuration in force", "version", s.Version, "routes", len(s.Routes()))
 }
 
 // ApplyWeights takes in that a model has weights of a version.
-func (b *SiteState) ApplyWeights(model string, version int64, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	old := b.weights[model]
+func (st *SiteState) ApplyWeights(model string, version int64, now time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	old := st.weights[model]
 	if version <= old.version {
 		return
 	}
-	n := newest{version: version, since: now}
+	n := modelWeights{version: version, since: now}
 	if old.version > 0 {
-		n.older = append(slices.Clone(old.older), newest{version: old.version, since: old.since})
-		n.older = n.older[max(0, len(n.older)-mostOlder):]
+		n.older = append(slices.Clone(old.older), modelWeights{version: old.version, since: old.since})
+		n.older = n.older[max(0, len(n.older)-maxOlderVersions):]
 	}
-	b.weights[model] = n
-	b.log.Info("weights named", "model", model, "version", version)
+	st.weights[model] = n
+	st.log.Info("weights named", "model", model, "version", version)
 }
 
 // Weights is the newest version of a model's weights, and since when it is known.
-func (b *SiteState) Weights(model string) (version int64, since time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := b.weights[model]
+func (st *SiteState) Weights(model string) (version int64, since time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	n := st.weights[model]
 	return n.version, n.since
 }
 
 // WeightsBefore is the newest version of a model's weights that was known at a
 // time, 0 for none.
-func (b *SiteState) WeightsBefore(model string, at time.Time) int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := b.weights[model]
+func (st *SiteState) WeightsBefore(model string, at time.Time) int64 {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	n := st.weights[model]
 	if n.version > 0 && !n.since.After(at) {
 		return n.version
 	}
@@ -192,10 +192,10 @@
 
 // ReplacedAt is when the first version behind one of a model's weights was named,
 // zero if it is the newest.
-func (b *SiteState) ReplacedAt(model string, version int64) time.Time {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := b.weights[model]
+func (st *SiteState) ReplacedAt(model string, version int64) time.Time {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	n := st.weights[model]
 	if n.version <= version {
 		return time.Time{}
 	}
@@ -210,277 +210,277 @@
 }
 
 // NewestWeights lists the newest versions of all models.
-func (b *SiteState) NewestWeights() map[string]int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	list := make(map[string]int64, len(b.weights))
-	for model, n := range b.weights {
+func (st *SiteState) NewestWeights() map[string]int64 {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	list := make(map[string]int64, len(st.weights))
+	for model, n := range st.weights {
 		list[model] = n.version
 	}
 	return list
 }
 
 // MarkStoreUnreachable records that the list of upstreams can't be had.
-func (b *SiteState) MarkStoreUnreachable(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.away = now
+func (st *SiteState) MarkStoreUnreachable(now time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.unreachableAt = now
 }
 
 // MarkStoreSynced records that the list of upstreams is as the store has it.
-func (b *SiteState) MarkStoreSynced(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.heard = now
+func (st *SiteState) MarkStoreSynced(now time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.syncedAt = now
 }
 
 // Ages tells how old the beliefs are: the version of the configuration in force,
 // since when the store's list was not heard of, and how long ago it was last not
 // to be had, 0 for never.
-func (b *SiteState) Ages(now time.Time) (config int64, heard, away time.Duration) {
-	if s := b.snapshot.Load(); s != nil {
+func (st *SiteState) Ages(now time.Time) (config int64, sinceSync, sinceUnreachable time.Duration) {
+	if s := st.snapshot.Load(); s != nil {
 		config = s.Version
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	heard = now.Sub(b.heard)
-	if !b.away.IsZero() {
-		away = now.Sub(b.away)
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	sinceSync = now.Sub(st.syncedAt)
+	if !st.unreachableAt.IsZero() {
+		sinceUnreachable = now.Sub(st.unreachableAt)
 	}
-	return config, heard, away
+	return config, sinceSync, sinceUnreachable
 }
 
-// awayTerm is how long after an absence of the store an entry that is dropped
+// unreachableGrace is how long after an absence of the store an entry that is dropped
 // may be one that lapsed meanwhile.
-const awayTerm = 4 * time.Second
+const unreachableGrace = 4 * time.Second
 
 // ApplyUpstreams takes in rows of the list of upstreams; with whole they are all
 // that there are.
-func (b *SiteState) ApplyUpstreams(rows []site.Row, whole bool, now time.Time) {
+func (st *SiteState) ApplyUpstreams(rows []site.Row, whole bool, now time.Time) {
 	// What was held before is forgotten without the lock: look-ups of it ask the beliefs
 	// with a lock of their own.
-	for id, planned := range b.applyUpstreams(rows, whole, now) {
-		b.kept.ResetEngine(id)
-		b.restarted(id, planned, now)
+	for id, planned := range st.applyUpstreams(rows, whole, now) {
+		st.cacheIndex.ResetEngine(id)
+		st.onRestart(id, planned, now)
 	}
-	b.tellDropped(now)
+	st.notifyDropped(now)
 }
 
-// tellDropped tells of replicas that were dropped, without the lock.
-func (b *SiteState) tellDropped(now time.Time) {
-	b.mu.Lock()
-	list := b.dropped
-	b.dropped = nil
-	b.mu.Unlock()
+// notifyDropped tells of replicas that were dropped, without the lock.
+func (st *SiteState) notifyDropped(now time.Time) {
+	st.mu.Lock()
+	list := st.droppedIDs
+	st.droppedIDs = nil
+	st.mu.Unlock()
 	for _, id := range list {
-		b.ended(id, now)
+		st.onDelisted(id, now)
 	}
 }
 
 // applyUpstreams lists the replicas that have started anew under their IDs, with whether
 // they had said before that they leave.
-func (b *SiteState) applyUpstreams(rows []site.Row, whole bool, now time.Time) (restarted map[string]bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (st *SiteState) applyUpstreams(rows []site.Row, whole bool, now time.Time) (restarted map[string]bool) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	restarted = map[string]bool{}
 	seen := map[string]bool{}
 	for _, r := range rows {
 		seen[r.Key] = true
-		planned := b.upstreams[r.Key] != nil && b.upstreams[r.Key].Draining
-		if b.applyUpstream(r, now) {
+		planned := st.upstreams[r.Key] != nil && st.upstreams[r.Key].Draining
+		if st.applyUpstream(r, now) {
 			restarted[r.Key] = planned
 		}
 	}
 	if whole {
-		for id := range b.upstreams {
+		for id := range st.upstreams {
 			if !seen[id] {
-				b.drop(id, now)
+				st.drop(id, now)
 			}
 		}
 	}
-	b.rebuild(now)
+	st.rebuildPools(now)
 	return restarted
 }
 
 // applyUpstream takes in one row. What is older than what is known is passed over; a row
 // that can't be used names no replica, whatever stood there before. It says whether the
 // replica has started anew under its ID.
-func (b *SiteState) applyUpstream(r site.Row, now time.Time) (restarted bool) {
-	old, known := b.upstreams[r.Key]
+func (st *SiteState) applyUpstream(r site.Row, now time.Time) (restarted bool) {
+	old, known := st.upstreams[r.Key]
 	if known && r.Version < old.version {
 		return false
 	}
 	if r.Gone {
-		b.drop(r.Key, now)
+		st.drop(r.Key, now)
 		return false
 	}
-	u, err := b.codec.Upstream(r)
+	u, err := st.codec.Upstream(r)
 	if err != nil {
-		b.unusable++
-		delete(b.upstreams, r.Key)
-		b.log.Error("upstream row invalid, ignored", "row", r.Key, "version", r.Version, "err", err)
+		st.unusableRows++
+		delete(st.upstreams, r.Key)
+		st.log.Error("upstream row invalid, ignored", "row", r.Key, "version", r.Version, "err", err)
 		return false
 	}
 	if known && u.StartedBefore(&old.Upstream) {
 		return false
 	}
-	return b.take(u, r.Version, now)
+	return st.recordUpstream(u, r.Version, now)
 }
 
-// take notes a row that can be used, and says whether it is of a new start. Its cold term
+// recordUpstream notes a row that can be used, and says whether it is of a new start. Its cold term
 // counts from when the row was written, so a row that is heard again does not begin it anew.
-func (b *SiteState) take(u site.Upstream, version int64, now time.Time) (restarted bool) {
-	old, known := b.upstreams[u.ID]
+func (st *SiteState) recordUpstream(u site.Upstream, version int64, now time.Time) (restarted bool) {
+	old, known := st.upstreams[u.ID]
 	restarted = known && old.StartedBefore(&u)
-	if known && !restarted && b.saysDraining(old.StartKey()) {
-		b.draining[u.StartKey()] = now // The same start, told with its time or without.
+	if known && !restarted && st.reportedDraining(old.StartKey()) {
+		st.draining[u.StartKey()] = now // The same start, told with its time or without.
 	}
 	if !known || restarted || old.Draining != u.Draining {
-		b.log.Info("upstream listed", "upstream", u.ID, "service", u.Service, "addr", u.Addr, "draining", u.Draining,
+		st.log.Info("upstream listed", "upstream", u.ID, "service", u.Service, "addr", u.Addr, "draining", u.Draining,
 			"started", u.Started, "cold", u.Cold, "restarted", restarted)
 	}
-	u.Region = b.regions[u.DataHall]
-	u.Draining = u.Draining || b.saysDraining(u.StartKey())
+	u.Region = st.regions[u.DataHall]
+	u.Draining = u.Draining || st.reportedDraining(u.StartKey())
 	switch {
 	case known && version > 0 && version == old.version:
 		u.ColdUntil = old.ColdUntil
 	case u.Cold > 0:
 		u.ColdUntil = now.Add(u.Cold)
 	}
-	b.upstreams[u.ID] = &upstreamEntry{Upstream: u, version: version}
+	st.upstreams[u.ID] = &upstreamEntry{Upstream: u, version: version}
 	return restarted
 }
 
-// drainingKept is for how long after it said so a start of a replica is remembered as
+// drainingRetention is for how long after it said so a start of a replica is remembered as
 // draining that isn't listed.
-const drainingKept = 10 * time.Minute
+const drainingRetention = 10 * time.Minute
 
 // ApplyDraining takes in that a start of a replica says in answers that it drains, and says
 // whether that is news. It holds until the replica ends, whatever the list says: a row may be
 // late, or not have been written, and a replica that drains does not go back on it.
-func (b *SiteState) ApplyDraining(w route.ReplicaRef, now time.Time) (first bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	told := site.Upstream{ID: w.ID, Started: w.Started}
-	if b.saysDraining(told.StartKey()) {
+func (st *SiteState) ApplyDraining(replica route.ReplicaRef, now time.Time) (first bool) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	reported := site.Upstream{ID: replica.ID, Started: replica.Started}
+	if st.reportedDraining(reported.StartKey()) {
 		return false
 	}
 	listed := map[string]bool{}
-	for _, e := range b.upstreams {
+	for _, e := range st.upstreams {
 		listed[e.StartKey()] = true
 	}
-	for start, at := range b.draining {
-		if !listed[start] && now.Sub(at) >= drainingKept {
-			delete(b.draining, start)
+	for start, at := range st.draining {
+		if !listed[start] && now.Sub(at) >= drainingRetention {
+			delete(st.draining, start)
 		}
 	}
-	b.draining[told.StartKey()] = now
-	e, known := b.upstreams[w.ID]
-	if !known || e.StartKey() != told.StartKey() || e.Draining {
+	st.draining[reported.StartKey()] = now
+	e, known := st.upstreams[replica.ID]
+	if !known || e.StartKey() != reported.StartKey() || e.Draining {
 		return false
 	}
 	e.Draining = true
-	b.log.Info("replica reports draining", "upstream", e.ID, "service", e.Service, "list_age", now.Sub(b.heard))
-	b.rebuild(now)
+	st.log.Info("replica reports draining", "upstream", e.ID, "service", e.Service, "list_age", now.Sub(st.syncedAt))
+	st.rebuildPools(now)
 	return true
 }
 
-// saysDraining says whether a start of a replica has said in an answer that it drains.
-func (b *SiteState) saysDraining(start string) bool {
-	_, says := b.draining[start]
-	return says
+// reportedDraining says whether a start of a replica has said in an answer that it drains.
+func (st *SiteState) reportedDraining(start string) bool {
+	_, reported := st.draining[start]
+	return reported
 }
 
 // drop takes an upstream out, at once unless the store was away: an entry may
 // then have run out for want of a heartbeat, and is given time to come back.
-func (b *SiteState) drop(id string, now time.Time) {
-	e, known := b.upstreams[id]
-	if !known || !e.gone.IsZero() {
+func (st *SiteState) drop(id string, now time.Time) {
+	e, known := st.upstreams[id]
+	if !known || !e.missingSince.IsZero() {
 		return
 	}
-	if now.Sub(b.away) < awayTerm && !b.away.IsZero() && !e.Draining {
-		e.gone = now
+	if now.Sub(st.unreachableAt) < unreachableGrace && !st.unreachableAt.IsZero() && !e.Draining {
+		e.missingSince = now
 		return
 	}
-	b.forget(id, e)
-	b.log.Info("upstream dropped", "upstream", id, "service", e.Service)
+	st.removeUpstream(id, e)
+	st.log.Info("upstream dropped", "upstream", id, "service", e.Service)
 }
 
-// forget takes an entry out; the caller holds mu.
-func (b *SiteState) forget(id string, e *upstreamEntry) {
-	delete(b.upstreams, id)
+// removeUpstream takes an entry out; the caller holds mu.
+func (st *SiteState) removeUpstream(id string, e *upstreamEntry) {
+	delete(st.upstreams, id)
 	if !e.Draining {
-		b.dropped = append(b.dropped, id)
+		st.droppedIDs = append(st.droppedIDs, id)
 	}
 }
 
 // Expire drops upstreams whose entries have not come back; the timer service
 // calls it.
-func (b *SiteState) Expire(now time.Time) {
-	defer b.tellDropped(now)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (st *SiteState) Expire(now time.Time) {
+	defer st.notifyDropped(now)
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	changed := false
-	for id, e := range b.upstreams {
-		if !e.gone.IsZero() && now.Sub(e.gone) >= b.returnTime {
-			b.forget(id, e)
+	for id, e := range st.upstreams {
+		if !e.missingSince.IsZero() && now.Sub(e.missingSince) >= st.returnTime {
+			st.removeUpstream(id, e)
 			changed = true
-			b.log.Info("upstream dropped", "upstream", id, "service", e.Service, "missing", now.Sub(e.gone))
+			st.log.Info("upstream dropped", "upstream", id, "service", e.Service, "missing", now.Sub(e.missingSince))
 		}
 	}
-	if changed || b.leaving(now) {
-		b.rebuild(now)
+	if changed || st.evacuationRunning(now) {
+		st.rebuildPools(now)
 	}
 }
 
-func (b *SiteState) rebuild(now time.Time) {
-	b.rebuilt++
+func (st *SiteState) rebuildPools(now time.Time) {
+	st.revision++
 	lists := map[string][]site.Upstream{}
-	for _, e := range b.upstreams {
-		e.Evacuated = b.evacuates(&e.Upstream, now)
+	for _, e := range st.upstreams {
+		e.Evacuated = st.isEvacuated(&e.Upstream, now)
 		lists[e.Service] = append(lists[e.Service], e.Upstream)
 	}
 	for service := range lists {
-		if b.pools[service] == nil {
-			b.pools[service] = route.NewPool(b.hall, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-			b.pools[service].SetRateLimits(b.rates)
-			b.pools[service].Disable(b.without)
-			b.limitPool(b.snapshot.Load(), service)
+		if st.pools[service] == nil {
+			st.pools[service] = route.NewPool(st.hall, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+			st.pools[service].SetRateLimits(st.rateLimits)
+			st.pools[service].Disable(st.disabled)
+			st.applyColdLimit(st.snapshot.Load(), service)
 		}
 	}
-	for service, p := range b.pools {
+	for service, p := range st.pools {
 		p.Configure(lists[service], now)
 	}
 }
 
 // Pool returns the replicas of a service, nil if it never had any.
-func (b *SiteState) Pool(service string) *route.Pool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.pools[service]
+func (st *SiteState) Pool(service string) *route.Pool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.pools[service]
 }
 
 // Pools lists all pools by service.
-func (b *SiteState) Pools() map[string]*route.Pool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	list := make(map[string]*route.Pool, len(b.pools))
-	for service, p := range b.pools {
+func (st *SiteState) Pools() map[string]*route.Pool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	list := make(map[string]*route.Pool, len(st.pools))
+	for service, p := range st.pools {
 		list[service] = p
 	}
 	return list
 }
 
 // Revision counts the changes of the list of upstreams so far.
-func (b *SiteState) Revision() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.rebuilt
+func (st *SiteState) Revision() int {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.revision
 }
 
 // UpstreamCount is how many upstreams are known.
-func (b *SiteState) UpstreamCount() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.upstreams)
+func (st *SiteState) UpstreamCount() int {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return len(st.upstreams)
 }
--- a/service/gateway/stores.go
+++ b/service/gateway/stores.go
@@ -262,7 +262,7 @@
 	if lost {
 		s.log.Info("store of kept state back", "store", name, "boot", c.Boot)
 	}
-	s.clock.hear(c.Clock, now)
+	s.clock.update(c.Clock, now)
 	s.kept.ApplyStoreChanges(name, c, now)
 	return true
 }
--- a/service/gateway/suspension_test.go
+++ b/service/gateway/suspension_test.go
@@ -21,13 +21,13 @@
 }
 
 func TestLoadsHeardBeforeASuspensionAreOld(t *testing.T) {
-	n := newsFleet(3)
-	n.loads.states["a-1"] = heardState{from: "a-1", at: boottime.Now()}
-	n.settle(boottime.Now())
-	assert.Equal(t, len(n.loads.states), 1)
+	n := newTestNodes(3)
+	n.loads.byNode["a-1"] = receivedLoads{from: "a-1", receivedAt: boottime.Now()}
+	n.refreshPeerLoads(boottime.Now())
+	assert.Equal(t, len(n.loads.byNode), 1)
 	sleepMachine(2 * time.Second)
-	n.settle(boottime.Now())
-	assert.Equal(t, len(n.loads.states), 0)
+	n.refreshPeerLoads(boottime.Now())
+	assert.Equal(t, len(n.loads.byNode), 0)
 }
 
 // A connection that rested over a suspension may have ended without a sign.
@@ -59,7 +59,7 @@
 // The replicas' clock went on while the node's machine was suspended.
 func TestReplicasClockGoesOnWhileSuspended(t *testing.T) {
 	c := new(replicaClock)
-	c.hear(time.Minute, boottime.Now())
+	c.update(time.Minute, boottime.Now())
 	sleepMachine(8 * time.Second)
 	clock, ok := c.read(boottime.Now())
 	assert.Assert(t, ok && clock >= time.Minute+8*time.Second)
--- a/service/gateway/wiring.go
+++ b/service/gateway/wiring.go
@@ -20,31 +20,31 @@
 	"github.com/drumpath/drumpath/service/suspects"
 )
 
-// parts are what a node is made of, as the container builds them.
-type parts struct {
+// components are what a node is made of, as the container builds them.
+type components struct {
 	dig.In
 
-	Timer    *timer.Service
-	Beliefs  *SiteState
-	Kept     *route.CacheIndex
-	Nodes    *nodes
-	Peers    *peer.Server
-	Client   *peer.Client
-	Readers  *readers
-	Watchers *watchers
-	Stores   *stores
-	Holdings *holdings
-	Suspects *suspects.Suspects
-	Limits   *ratelimit.Limits
-	Rollout  *rollout.Rollout
-	Conns    *upstreamConns
-	Clients  *clientConns
-	Metrics  *metrics
-	Clock    *replicaClock
+	Timer      *timer.Service
+	SiteState  *SiteState
+	CacheIndex *route.CacheIndex
+	Nodes      *nodes
+	Peers      *peer.Server
+	Client     *peer.Client
+	Readers    *readers
+	Watchers   *watchers
+	Stores     *stores
+	Holdings   *holdings
+	Suspects   *suspects.Suspects
+	Limits     *ratelimit.Limits
+	Rollout    *rollout.Rollout
+	Conns      *upstreamConns
+	Clients    *clientConns
+	Metrics    *metrics
+	Clock      *replicaClock
 }
 
 // build has the container make the parts.
-func build(s config.GatewaySettings, p Platform, log *slog.Logger) (built parts, err error) {
+func build(s config.GatewaySettings, p Platform, log *slog.Logger) (built components, err error) {
 	defer func() { err = eris.Wrap(dig.RootCause(err), "build") }()
 	c := dig.New()
 	for _, constructor := range constructors(s, p, log) {
@@ -52,7 +52,7 @@
 			return built, err
 		}
 	}
-	err = c.Invoke(func(in parts) { built = in })
+	err = c.Invoke(func(in components) { built = in })
 	return built, err
 }
 
@@ -73,23 +73,23 @@
 		func() control.Member { return self },
 		func() *timer.Service { return timer.NewService(timerWorkers) },
 		func() *peer.Client { return peer.NewClient(s.Peer.Key) },
-		func() *clientConns { return newClientConns(mostClients(s.Limits.Descriptors)) },
+		func() *clientConns { return newClientConns(maxClients(s.Limits.Descriptors)) },
 		func() *replicaClock { return new(replicaClock) },
 		func() *control.Members {
 			return control.NewMembers(self, s.Peer.ProbeEvery.Std(), nil, newRand())
 		},
 		func(k *route.CacheIndex, o *coldShares, u *upstreamConns, x *suspects.Suspects, l *ratelimit.Limits) *SiteState {
 			b := NewSiteState(p.Codec, s.Node.DataHall, s.Platform.ReturnTime.Std(), k, log)
-			b.without, b.regions, b.cold, b.shares = s.Disabled, s.Regions, s.Cold, o
-			b.rates = l
-			b.leaveTime = time.Duration(leaveShare * float64(s.Evacuation.Within))
-			b.restarted = func(id string, planned bool, now time.Time) {
+			b.disabled, b.regions, b.cold, b.coldShares = s.Disabled, s.Regions, s.Cold, o
+			b.rateLimits = l
+			b.evacuationTime = time.Duration(evacuationTimeShare * float64(s.Evacuation.Within))
+			b.onRestart = func(id string, planned bool, now time.Time) {
 				u.lost(id)
 				if !planned {
 					x.RecordRestart(id, now)
 				}
 			}
-			b.ended = x.RecordDelisted
+			b.onDelisted = x.RecordDelisted
 			return b
 		},
 		newColdShares,
@@ -97,10 +97,10 @@
 			return suspects.New(self, m, p.Store, c, log)
 		},
 		func(m *control.Members, c *peer.Client, o *coldShares) *ratelimit.Limits {
-			return ratelimit.New(self, m, c, o.hasMet, log)
+			return ratelimit.New(self, m, c, o.membersKnown, log)
 		},
 		func(b *SiteState, n *nodes, l *ratelimit.Limits) *rollout.Rollout {
-			f := &swaps{beliefs: b, nodes: n, within: s.Orders.Within.Std()}
+			f := &rolloutFleet{siteState: b, nodes: n, within: s.Orders.Within.Std()}
 			r := rollout.New(s.Node.Name, s.Orders.Pause.Std(), p.Store, countedOrders{p.Engines, b, l}, f, log)
 			if s.Disabled.SwapBound {
 				r.SetUnbounded()
@@ -133,41 +133,41 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-func mostClients(descriptors int) int {
+func maxClients(descriptors int) int {
 	if descriptors <= 0 {
-		return defaultMost
+		return defaultMaxClients
 	}
-	return int((1 - spareDescriptors) * float64(descriptors))
+	return int((1 - reservedDescriptorShare) * float64(descriptors))
 }
 
 // newNodes listens for what other nodes tell.
-func newNodes(s config.GatewaySettings, self control.Member, m *control.Members, o *coldShares, x *suspects.Suspects, l *ratelimit.Limits, st Store, b *SiteState, k *route.CacheIndex, log *slog.Logger) (*nodes, error) {
+func newNodes(s config.GatewaySettings, self control.Member, m *control.Members, shares *coldShares, x *suspects.Suspects, l *ratelimit.Limits, st Store, siteState *SiteState, cacheIndex *route.CacheIndex, log *slog.Logger) (*nodes, error) {
 	n := &nodes{
-		self:       self,
-		regions:    s.Regions,
-		shares:     o,
-		suspects:   x,
-		rateLimits: l,
-		members:    m,
-		store:      st,
-		beliefs:    b,
-		kept:       k,
-		log:        log,
-		loads:      newLoads(),
-		due:        make(chan struct{}, 1),
-		boot:       m.Self().Incarnation,
+		self:        self,
+		regions:     s.Regions,
+		coldShares:  shares,
+		suspects:    x,
+		rateLimits:  l,
+		members:     m,
+		store:       st,
+		siteState:   siteState,
+		cacheIndex:  cacheIndex,
+		log:         log,
+		loads:       newLoadState(),
+		loadsDue:    make(chan struct{}, 1),
+		incarnation: m.Self().Incarnation,
 	}
 	handle := func(from netip.AddrPort, p control.Probe) []control.Packet { return m.Handle(from, p, time.Now(), 0) }
 	var err error
 	if n.probes, err = peer.NewProbes(s.Peer.Listen, s.Peer.Key, handle, log); err != nil {
 		return nil, err
 	}
-	n.probes.OnNote(noteState, n.hearState)
-	n.probes.OnNote(noteHall, n.hearHall)
-	n.probes.OnNote(noteNews, n.hearNews)
+	n.probes.OnNote(noteLoads, n.handleLoads)
+	n.probes.OnNote(noteHallLoads, n.handleHallLoads)
+	n.probes.OnNote(noteReplicaUpdates, n.handleReplicaUpdates)
 	n.probes.OnNote(suspects.NoteCases, x.HandleCases)
 	n.probes.OnNote(suspects.NoteDigest, x.HandleDigest)
-	x.SetNotifier(suspectTeller{n})
+	x.SetNotifier(suspectNotifier{n})
 	l.SetAnnouncer(n)
 	return n, nil
 }
