--- a/service/gateway/cold_shares.go
+++ b/service/gateway/cold_shares.go
@@ -10,36 +10,37 @@
 	"github.com/drumpath/drumpath/pkg/rendezvous"
 )
 
-// coldShares divides what a cold replica may get among the nodes.
+// coldShares divides the requests that a cold replica may get among the nodes.
 //
-// All nodes ever heard of count, the dead included: nodes that are cut apart, or that think
-// each other dead, still agree. The dead ones' shares lapse. A node of which the others have
-// not heard yet adds its share to theirs until they have.
+// All members ever known count, also dead ones, so nodes that are partitioned, or that
+// believe each other dead, still agree. Shares of dead nodes go unused. A node that the
+// others do not know yet adds its own share to theirs until they do.
 type coldShares struct {
 	self    control.Member
 	members *control.Members
 
 	mu            sync.Mutex
-	membersReadAt time.Time // When this node has read who the others are, zero before.
+	membersReadAt time.Time // When this node first read the list of nodes, zero before.
 	view          *control.View
-	cached        map[coldShareKey]int // For the view.
+	cached        map[coldShareKey]int // Valid for view.
 }
 
+// coldShareKey names a replica, its data hall, and the most requests that it may get.
 type coldShareKey struct {
 	replica uint64
 	hall    string
 	limit   int
 }
 
-// memberResponseTime is for how long a node that has read the others' addresses waits for their
-// answers until it goes by how many there are.
+// memberResponseTime is how long a node that has read the others' addresses waits for
+// their answers before it relies on their number.
 const memberResponseTime = time.Second
 
 func newColdShares(self control.Member, m *control.Members) *coldShares {
 	return &coldShares{self: self, members: m}
 }
 
-// markMembersRead notes that this node has read the others' addresses.
+// markMembersRead records that this node has read the others' addresses.
 func (c *coldShares) markMembersRead(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +49,8 @@
 	}
 }
 
-// membersKnown says whether this node has met the others, by their addresses and their answers.
+// membersKnown reports whether this node has read the others' addresses and given them
+// time to answer.
 func (c *coldShares) membersKnown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,9 +77,9 @@
 	return share
 }
 
-// computeShare divides a limit among as many nodes as it has requests, found by hashing: nodes of
-// the replica's data hall if they are enough, as bytes between halls are paid for, and else
-// of all.
+// computeShare returns a node's share of a limit. The limit is divided among as many nodes
+// as it allows requests, selected by rendezvous hashing: nodes of the replica's data hall
+// if there are enough, since traffic between halls is paid for, else all nodes.
 func computeShare(all []control.Member, self string, key coldShareKey) int {
 	candidates := slices.DeleteFunc(slices.Clone(all), func(m control.Member) bool { return m.DataHall != key.hall })
 	if len(candidates) < key.limit {
--- a/service/gateway/directory.go
+++ b/service/gateway/directory.go
@@ -13,8 +13,8 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// auxServer answers small questions beside the requests: whether the node is
-// ready, and where callers are to go.
+// auxServer serves HTTP other than clients' requests: readiness, the directory and
+// metrics.
 type auxServer struct {
 	ln   net.Listener
 	http *fasthttp.Server
@@ -22,7 +22,7 @@
 }
 
 func newAuxServer(addr string, r *router.Router) (s *auxServer, err error) {
-	defer func() { err = eris.Wrap(err, "side server") }()
+	defer func() { err = eris.Wrap(err, "auxiliary HTTP server") }()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -43,13 +43,13 @@
 	}()
 }
 
-// close stops serving; it does not wait for clients that keep a connection.
+// close stops serving. It does not wait for open connections.
 func (s *auxServer) close() {
-	_ = s.ln.Close() // Serving ends all the same.
+	_ = s.ln.Close() // Serving ends even if this fails.
 	<-s.done
 }
 
-// readyRoutes answers the platform's question whether clients may be sent here.
+// readyRoutes serves the platform's readiness check.
 func (g *Gateway) readyRoutes() *router.Router {
 	r := router.New()
 	r.GET(g.platform.Paths.Ready, func(c *fasthttp.RequestCtx) {
@@ -60,7 +60,7 @@
 	return r
 }
 
-// directoryRoutes answers callers that ask where to go.
+// directoryRoutes serves clients that ask which nodes to use.
 func (g *Gateway) directoryRoutes() *router.Router {
 	r := router.New()
 	r.GET(g.platform.Paths.Resolve, func(c *fasthttp.RequestCtx) {
@@ -77,8 +77,8 @@
 	return r
 }
 
-// homesOf are the regions in which requests to a host may run, nil where some of its routes
-// may in all, or there are none.
+// homesOf returns the regions in which requests to a host may run, nil if the host has no
+// routes or one of them allows all regions.
 func (g *Gateway) homesOf(host string) (homes []string) {
 	s := g.siteState.Snapshot()
 	if s == nil {
@@ -87,8 +87,7 @@
 	return s.HomesOf(host)
 }
 
-// metricsRoutes serves the node's figures, and a dump of what it believes of each
-// replica.
+// metricsRoutes serves the node's metrics and a dump of the state of each replica.
 func (g *Gateway) metricsRoutes() *router.Router {
 	r := router.New()
 	r.GET("/metrics", func(c *fasthttp.RequestCtx) { writeJSON(c, g.status()) })
--- a/service/gateway/doc.go
+++ b/service/gateway/doc.go
@@ -1,10 +1,10 @@
-// Package gateway is a node that stands between callers and a site's replicas:
-// it forwards requests, decides where each runs and what kept state it reuses,
-// and takes its part in what the nodes do together.
+// Package gateway implements a node between clients and the replicas of a site: it
+// forwards requests, chooses the replica and the cached state for each, and exchanges
+// state with the other nodes.
 //
-// It knows a site by the types of pkg/site only; how a platform spells them is
-// behind the interfaces of Platform.
+// It knows a site through the types of pkg/site only; the platform's formats are behind
+// the interfaces in Platform.
 //
-// Lock order: while a lock of this package is held, of other packages only pkg/route,
-// the codec and the log are called, and those call nobody back.
+// Lock order: while a lock of this package is held, the only other packages called are
+// pkg/route, the codec and the log, and none of these calls back.
 package gateway
--- a/service/gateway/evacuations.go
+++ b/service/gateway/evacuations.go
@@ -8,20 +8,20 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// evacuation is that operators have a data hall get no more requests.
+// evacuation records that operators have taken a data hall out of service.
 type evacuation struct {
 	version int64     // Of the row.
-	since   time.Time // When this node heard of it.
-	// ended is when it heard that the hall is taken back, zero before.
+	since   time.Time // When this node learned of it.
+	// ended is when the node learned that the evacuation is over, zero before.
 	ended time.Time
 }
 
-// evacuationTimeShare is the part of the time that operators allow in which a node leaves the
-// replicas of a data hall one after the other. The load moves in some steps and not in
-// one, and most of the time is left for word of it to reach the node.
+// evacuationTimeShare is the share of the time allowed for an evacuation in which a node
+// stops using the hall's replicas one after the other. The load then moves in several
+// steps, and most of the time is left for the change to reach the node.
 const evacuationTimeShare = 0.2
 
-// setEvacuation notes that a data hall is evacuated, or taken back.
+// setEvacuation starts or ends the evacuation of a data hall.
 func (st *SiteState) setEvacuation(hall string, on bool, version int64, now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -48,8 +48,8 @@
 	st.rebuildPools(now)
 }
 
-// endEvacuation ends an evacuation. The hall's replicas are likely cold by then, and their own
-// word of it comes a moment later: they are taken to be cold until then.
+// endEvacuation returns a data hall to service. Its replicas have probably become cold,
+// which they report only a moment later, so they count as cold from now on.
 func (st *SiteState) endEvacuation(hall string, e *evacuation, version int64, now time.Time) {
 	e.version, e.ended = version, now
 	st.log.Info("data hall evacuation ended", "hall", hall, "version", version, "after", now.Sub(e.since))
@@ -68,8 +68,8 @@
 	}
 }
 
-// endRemovedEvacuations takes back the data halls of which all rows of the operator's table say
-// nothing.
+// endRemovedEvacuations ends the evacuations that are not in the operator's table; rows is
+// the whole table.
 func (st *SiteState) endRemovedEvacuations(rows []site.Row, now time.Time) {
 	evacuated := map[string]bool{}
 	for _, r := range rows {
@@ -91,8 +91,8 @@
 	}
 }
 
-// isEvacuated says whether a replica gets no more requests as its data hall is evacuated; the
-// caller holds mu.
+// isEvacuated reports whether a replica gets no more requests because its data hall is
+// evacuated. The caller holds mu.
 func (st *SiteState) isEvacuated(u *site.Upstream, now time.Time) bool {
 	e, known := st.evacuated[u.DataHall]
 	if !known || !e.ended.IsZero() {
@@ -102,11 +102,12 @@
 	return now.Sub(e.since) >= delay
 }
 
-// evacuationSteps is in how many steps a data hall is left.
+// evacuationSteps is the number of steps in which the replicas of a data hall are taken
+// out of use.
 const evacuationSteps = 8
 
-// evacuationRunning says whether a data hall is just being left, so that the list of replicas has to
-// be made again; the caller holds mu.
+// evacuationRunning reports whether replicas of a data hall are just being taken out of
+// use, so that the pools have to be rebuilt. The caller holds mu.
 func (st *SiteState) evacuationRunning(now time.Time) bool {
 	for _, e := range st.evacuated {
 		if e.ended.IsZero() && now.Sub(e.since) < st.evacuationTime+2*upstreamExpireInterval {
@@ -116,7 +117,7 @@
 	return false
 }
 
-// EvacuatedHalls lists the data halls that get no more requests.
+// EvacuatedHalls lists the data halls under evacuation.
 func (st *SiteState) EvacuatedHalls() (list []string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -128,14 +129,14 @@
 	return list
 }
 
-// UnusableRows counts the rows of the list of upstreams that named none.
+// UnusableRows returns the number of rows of the upstream list that could not be decoded.
 func (st *SiteState) UnusableRows() int64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.unusableRows
 }
 
-// applyColdLimits puts the limits of a configuration on cold replicas in force.
+// applyColdLimits applies a configuration's limits on requests to cold replicas.
 func (st *SiteState) applyColdLimits(s *site.Snapshot) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -144,7 +145,7 @@
 	}
 }
 
-// applyColdLimit limits what cold replicas of a service get; the caller holds mu.
+// applyColdLimit limits the requests to cold replicas of a service. The caller holds mu.
 func (st *SiteState) applyColdLimit(s *site.Snapshot, service string) {
 	if s == nil || s.Services[service] == nil || st.coldShares == nil {
 		return
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -28,29 +28,31 @@
 	connPruneInterval      = 500 * time.Millisecond
 	upstreamExpireInterval = 200 * time.Millisecond
 	refreshInterval        = 200 * time.Millisecond
-	// memoryLimitShare is the part of the memory limit that the runtime is told: the
-	// rest is for what it does not count, such as bytes in sockets.
+	// memoryLimitShare is the share of the configured memory limit passed to the Go
+	// runtime. The rest is for memory that the runtime does not count, such as socket
+	// buffers.
 	memoryLimitShare = 0.75
-	// reservedDescriptorShare are kept for everything but clients' connections.
+	// reservedDescriptorShare of the file descriptors is kept for everything except client
+	// connections.
 	reservedDescriptorShare = 0.4
 	defaultMaxClients       = 10_000
 	bytesPerMB              = 1 << 20
-	// shutdownReserve is the part of the grace period that is kept for the end itself.
+	// shutdownReserve is the part of the grace period kept for closing down.
 	shutdownReserve = 700 * time.Millisecond
-	// acceptAfterStop is for how long a stopping node takes new connections: other
-	// nodes have heard of the stop by then and name it to callers no more. One that
-	// keeps an older answer finds the connection refused and takes another node.
+	// acceptAfterStop is how long a stopping node still accepts connections. By then the
+	// other nodes know of the stop and no longer return it to clients. A client with an
+	// older answer gets its connection refused and tries another node.
 	acceptAfterStop = 1200 * time.Millisecond
-	// leaseReleaseTimeout bounds the giving back of leases, so that a slow store does not
-	// hold the stop: they end by themselves.
+	// leaseReleaseTimeout bounds the release of leases, so that a slow store does not
+	// delay the stop. Leases that are not released expire.
 	leaseReleaseTimeout = time.Second
-	// upstreamsBatchDelay groups changes of the list of upstreams. It is well under
-	// the second or more that a leaving upstream still serves.
+	// upstreamsBatchDelay is how long changes of the upstream list are collected. It is
+	// well under the second or more for which a leaving upstream still serves.
 	upstreamsBatchDelay = 400 * time.Millisecond
-	// defaultRequestTime bounds a request that tells no limit.
+	// defaultRequestTime limits requests that state no limit themselves.
 	defaultRequestTime = 60 * time.Second
-	// assumedNodes is how many nodes at least are assumed to share a budget while a node has
-	// not met the others.
+	// assumedNodes is the least number of nodes that a node assumes to share a budget with
+	// until it has learned of the others.
 	assumedNodes = 64
 )
 
@@ -81,28 +83,28 @@
 	entry           net.Listener
 	readyServer     *auxServer
 	directoryServer *auxServer
-	metricsServer   *auxServer // Nil without an address for them.
+	metricsServer   *auxServer // Nil if no metrics address is configured.
 
 	queuesMu     sync.Mutex
 	queues       map[string]*route.PromptQueue
-	promptQueued chan struct{} // Holds one when a prompt has begun to wait.
+	promptQueued chan struct{} // Signals a newly queued prompt; capacity 1.
 
 	retryBudgetsMu sync.Mutex
 	retryBudgets   map[string]*route.RetryShare
 
-	followers  []*follower // Of the store's tables.
+	followers  []*follower // One per table of the store.
 	suspension *suspension
 
 	inFlight        atomic.Int64
-	stopRequestedAt atomic.Pointer[time.Time] // When the node was told to stop, nil before.
-	stopRequested   chan struct{}             // Closed then.
+	stopRequestedAt atomic.Pointer[time.Time] // Nil before the stop is requested.
+	stopRequested   chan struct{}             // Closed when the stop is requested.
 	closing         atomic.Bool
 	ctx             context.Context
 	cancel          context.CancelFunc
 	wg              sync.WaitGroup
 }
 
-// New builds a node; it listens, but does not serve before Start.
+// New builds a node and opens its listeners. It serves nothing before Start.
 func New(s config.GatewaySettings, p Platform, log *slog.Logger) (g *Gateway, err error) {
 	defer func() { err = eris.Wrap(err, "new gateway") }()
 	if s.Limits.MemoryMB > 0 {
@@ -163,7 +165,7 @@
 	return err
 }
 
-// Start serves. Nothing that it needs has to be there yet.
+// Start begins to serve. The store and the upstreams need not be reachable yet.
 func (g *Gateway) Start() {
 	g.nodes.probes.Start()
 	g.peers.Start()
@@ -228,14 +230,15 @@
 	}
 }
 
-// indirectProbeDivisor is the part of a probe period after which others are asked.
+// indirectProbeDivisor is how many times per probe period missing answers are probed
+// indirectly, through other nodes.
 const indirectProbeDivisor = 3
 
-// conf is the settings in force.
+// conf returns the settings in force.
 func (g *Gateway) conf() *config.GatewaySettings { return g.settings.Load() }
 
-// Reload puts changed settings in force, as far as they can be while the node
-// runs: addresses and the node's own name stay.
+// Reload applies changed settings as far as a running node can: addresses, the node's name
+// and the other settings restored below need a restart.
 func (g *Gateway) Reload(s config.GatewaySettings) {
 	old := g.conf()
 	if reflect.DeepEqual(s, *old) {
@@ -257,16 +260,16 @@
 	g.log.Info("settings in force", "node", old.Node.Name, "retry_share", s.Retry.Share, "grace", s.Stop.Grace.Std())
 }
 
-// ready says whether callers are to be sent here.
+// ready reports whether clients may be sent to this node.
 func (g *Gateway) ready() bool {
 	g.look()
 	return g.awake() && !g.stopping() && g.siteState.Snapshot() != nil && g.siteState.UpstreamCount() > 0 && !g.isolated(boottime.Now())
 }
 
-// isolated says whether the node can't know any more what operators have changed: it hears no
-// other node, where there were some, and has not heard the store for longer than an
-// evacuation may take. Where the store is away for all, no change is accepted by it either,
-// and nodes that hear each other know what there is to know.
+// isolated reports whether the node may miss operators' changes: it reaches no other node
+// although it knows some, and has not heard from the store for longer than an evacuation
+// may take. If the store is down for every node, it accepts no changes either, and nodes
+// that reach each other know all there is.
 func (g *Gateway) isolated(now time.Time) bool {
 	if len(g.nodes.members.All()) <= 1 || len(g.nodes.members.Working()) > 1 {
 		return false
@@ -274,10 +277,10 @@
 	return now.Sub(g.suspension.heardOf(site.TableOperator)) > g.conf().Evacuation.Within.Std()
 }
 
-// stopping says whether the node has been told to stop.
+// stopping reports whether a stop was requested.
 func (g *Gateway) stopping() bool { return g.stopRequestedAt.Load() != nil }
 
-// keepsIdleConns says whether resting connections are still kept.
+// keepsIdleConns reports whether idle client connections are kept open.
 func (g *Gateway) keepsIdleConns() bool { return !g.closing.Load() }
 
 func (g *Gateway) limits() site.Limits {
@@ -287,7 +290,7 @@
 	return site.DefaultLimits()
 }
 
-// maxRequestTime is the longest that a request may be held.
+// maxRequestTime returns how long a request may take in all.
 func (g *Gateway) maxRequestTime(info *site.RequestInfo) time.Duration {
 	if info.ClientTimeout > 0 {
 		return info.ClientTimeout
@@ -295,7 +298,7 @@
 	return defaultRequestTime
 }
 
-// retryBudget is the retry budget for a service.
+// retryBudget returns the retry budget of a service.
 func (g *Gateway) retryBudget(service string) *route.RetryShare {
 	g.retryBudgetsMu.Lock()
 	defer g.retryBudgetsMu.Unlock()
@@ -308,9 +311,9 @@
 	return b
 }
 
-// retrySlack is this node's part of the slack. All nodes ever heard of count, the dead
-// included: nodes that are cut apart, or that think each other dead, would else each give
-// themselves the whole.
+// retrySlack returns this node's part of the retry slack. All members ever known count,
+// also dead ones: otherwise nodes that are partitioned, or that believe each other dead,
+// would each take the whole slack.
 func (g *Gateway) retrySlack() float64 {
 	n := len(g.nodes.members.All())
 	if !g.nodes.coldShares.membersKnown() {
@@ -328,9 +331,9 @@
 	}
 }
 
-// Drain serves on for a while those that still come. Then it takes no connection
-// any more, ends those that rest, and waits until the others have had their
-// answers or the grace period is nearly over.
+// Drain stops the node gracefully. It still accepts connections for acceptAfterStop, then
+// closes the listener and idle connections, and waits until the remaining requests are
+// answered or the grace period is nearly over.
 func (g *Gateway) Drain() {
 	begun := time.Now()
 	within := g.conf().Stop.Grace.Std() - shutdownReserve
@@ -343,7 +346,7 @@
 	g.releaseLeases(ctx)
 	time.Sleep(time.Until(begun.Add(min(acceptAfterStop, within))))
 	g.closing.Store(true)
-	_ = g.entry.Close() // What has not been accepted is sent again elsewhere.
+	_ = g.entry.Close() // Clients whose connection was not accepted try another node.
 	g.clients.drain(ctx)
 }
 
@@ -353,14 +356,14 @@
 	g.rollout.Release(ctx)
 }
 
-// Close stops serving and waits for everything that was started.
+// Close stops serving and waits for all goroutines.
 func (g *Gateway) Close() {
 	begun := time.Now()
 	if told := g.stopRequestedAt.Load(); told != nil {
 		begun = *told
 	}
 	g.closing.Store(true)
-	_ = g.entry.Close() // Accepting ends all the same.
+	_ = g.entry.Close() // Accepting ends even if this fails.
 	g.cancel()
 	cut := g.clients.closeAll()
 	g.metrics.cutByStop.Add(int64(cut.sum()))
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -12,52 +12,52 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// Nodes tell each other what they have in flight, so that each sees the whole
+// Nodes send each other the loads that they have in flight, so that each knows the total
 // load of a replica or a link without asking it.
 //
-// Within a small data hall every node tells every other, as soon as it has sent a
-// prompt somewhere; in a large one it tells one node, the speaker, which tells the
-// sum to all. Between data halls the speakers tell each other, and whoever hears a
-// sum tells it on in its own hall: bytes between halls are paid for, and so
-// neither they nor the notes grow with the square of the nodes.
+// In a small data hall every node sends to every other as soon as it has dispatched a
+// prompt. In a large one it sends to one node, the speaker, which sends the sum to all.
+// Between data halls the speakers send to each other, and each forwards what it receives
+// in its own hall. Traffic between halls is paid for: this way neither it nor the number
+// of datagrams grows with the square of the number of nodes.
 const (
-	// noteLoads tells the nodes of a hall one node's state.
+	// noteLoads carries one node's loads to the nodes of its hall.
 	noteLoads = "gateway.loads"
-	// noteHallLoads tells the sum of another hall.
+	// noteHallLoads carries the sum of a hall's loads.
 	noteHallLoads = "gateway.hall_loads"
-	// loadExpiry is after how long what was told is forgotten.
+	// loadExpiry is after how long received loads are dropped.
 	loadExpiry = 1200 * time.Millisecond
-	// sendIntervalPerPeer is for how long one state is kept from being followed by another,
-	// for each other node of the hall: so the cost of telling is bounded.
+	// sendIntervalPerPeer is the least time between two sends of a node's loads, for each
+	// other node of the hall. It bounds the cost of sending.
 	sendIntervalPerPeer = 3 * time.Millisecond
-	// hallSumInterval is how often a hall's sum is told to the others.
+	// hallSumInterval is how often a hall's sum is sent to the other halls.
 	hallSumInterval = 30 * time.Millisecond
-	// hallSumIntervalPerNode is by how much less often that is for each node of the hall.
+	// hallSumIntervalPerNode is added to it for each node of the hall.
 	hallSumIntervalPerNode = 3 * time.Millisecond
-	// speakerLinkShare is the part of its link that a speaker takes for telling one
-	// hall's sum; it tells more seldom rather than more.
+	// speakerLinkShare is the share of its link that a speaker uses to send one hall's
+	// sum; it sends less often rather than use more.
 	speakerLinkShare = 0.1
-	// maxSumReplicas is of how many replicas a sum tells, the busiest: it must fit a
-	// datagram, and idle ones need no word.
+	// maxSumReplicas limits a sum to the busiest replicas: it must fit a datagram, and
+	// idle replicas need no mention.
 	maxSumReplicas = 400
-	// speakerDuty names the duty of telling a hall's sum.
+	// speakerDuty names the duty of sending a hall's sum.
 	speakerDuty = "speak/"
 )
 
-// loadNote is what one node tells, or a speaker for its hall. Its JSON names are short,
-// as it is sent many times a second.
+// loadNote is the loads of one node, or of its hall if a speaker sends it. Its JSON names
+// are short because it is sent many times a second.
 type loadNote struct {
 	From string `json:"f"`
 	Hall string `json:"h"`
 	Boot uint64 `json:"b"`
 	Seq  uint64 `json:"q"`
-	// Loads are what is in flight at replicas, and Links what has been done with each
-	// store's link so far, both packed.
+	// Loads are the requests in flight at replicas, Links the running totals of each
+	// store's link; both are packed.
 	Loads []byte `json:"l,omitempty"`
 	Links []byte `json:"m,omitempty"`
 }
 
-// linkTallies is what has been done with stores' links.
+// linkTallies holds the running totals of stores' links.
 type linkTallies map[route.NameHash]route.Tally
 
 func newLinkTallies(list []route.StoreTally) linkTallies {
@@ -76,18 +76,18 @@
 	return list
 }
 
-// loadState is what was told and heard of loads; nodes.mu guards it.
+// loadState is the loads sent and received; nodes.mu guards it.
 type loadState struct {
 	seq    uint64
-	byNode map[string]receivedLoads // Of nodes of this hall.
-	byHall map[string]receivedLoads // Sums of the others.
-	// hallTallies is what the whole hall has done with each store's link.
+	byNode map[string]receivedLoads // Loads of the nodes of this hall, by node.
+	byHall map[string]receivedLoads // Sums, by hall.
+	// hallTallies are the running totals of all nodes of this hall.
 	hallTallies         linkTallies
-	ownTallies          linkTallies         // Of that, this node's when last summed.
-	lastSent            []route.ReplicaLoad // What this node told last.
-	ownTalliesAtHallSum linkTallies         // This node's when its hall's sum was last heard.
+	ownTallies          linkTallies         // This node's part of hallTallies.
+	lastSent            []route.ReplicaLoad // The loads that this node sent last.
+	ownTalliesAtHallSum linkTallies         // This node's when its hall's sum was last received.
 
-	nextForward map[string]time.Time // When the sum of a hall may be told on.
+	nextForward map[string]time.Time // When the next sum of a hall may be forwarded.
 
 	// changed says that more was told since the pools were last told, which was at
 	// settled.
@@ -95,7 +95,7 @@
 	mergedAt time.Time
 
 	speakers     map[string]control.Member
-	speakersView *control.View
+	speakersView *control.View // For which speakers holds.
 }
 
 func newLoadState() loadState {
@@ -109,8 +109,8 @@
 	}
 }
 
-// sendLoadsSoon has this node's state told at once, or as soon as the last one is old
-// enough: other nodes would choose the same replica until they hear.
+// sendLoadsSoon has this node's loads sent as soon as the last send is old enough: until
+// other nodes know of them, they would choose the same replica.
 func (n *nodes) sendLoadsSoon() {
 	select {
 	case n.loadsDue <- struct{}{}:
@@ -118,7 +118,7 @@
 	}
 }
 
-// runLoadSender tells this node's state when it is due, and at least every period.
+// runLoadSender sends this node's loads when they are due, and at least once per period.
 func (n *nodes) runLoadSender(ctx context.Context, every time.Duration) {
 	t := time.NewTicker(every)
 	defer t.Stop()
@@ -135,8 +135,8 @@
 	}
 }
 
-// loadRecipients are the nodes that this one tells its state: all others of its hall,
-// or the speaker of a large one.
+// loadRecipients returns the nodes that this one sends its loads to: all others of a small
+// hall, or the speaker of a large one.
 func (n *nodes) loadRecipients(peers []netip.AddrPort) []netip.AddrPort {
 	if len(peers) < directMost {
 		return peers
@@ -148,7 +148,7 @@
 	return []netip.AddrPort{speaker.Peer}
 }
 
-// sendLoads sends this node's state to the others of its hall.
+// sendLoads sends this node's loads.
 func (n *nodes) sendLoads(peers []netip.AddrPort) {
 	loads := n.ownLoads()
 	s := n.newLoadNote()
@@ -160,7 +160,7 @@
 	n.loads.changed = true
 }
 
-// newLoadNote begins a note of this node.
+// newLoadNote returns a note with this node's name and the next sequence number.
 func (n *nodes) newLoadNote() loadNote {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -168,7 +168,7 @@
 	return loadNote{From: n.self.Name, Hall: n.self.DataHall, Boot: n.incarnation, Seq: n.loads.seq}
 }
 
-// ownLoads is what this node itself has in flight.
+// ownLoads returns what this node itself has in flight.
 func (n *nodes) ownLoads() (list []route.ReplicaLoad) {
 	for _, p := range n.siteState.Pools() {
 		list = p.AppendLoads(list)
@@ -176,7 +176,7 @@
 	return list
 }
 
-// sendNote tells other nodes something and returns the bytes sent.
+// sendNote sends a datagram to other nodes and returns the bytes sent.
 func (n *nodes) sendNote(to []netip.AddrPort, method string, params any) int {
 	sent, err := n.probes.SendNote(to, method, params)
 	if err != nil {
@@ -185,13 +185,13 @@
 	return sent
 }
 
-// hallPeers lists the addresses of the other nodes of a hall that may live.
+// hallPeers lists the addresses of the other nodes of a hall that may be alive.
 func (n *nodes) hallPeers(hall string) []netip.AddrPort {
 	return n.members.View().Others(n.self.Name, hall)
 }
 
-// speakers are the nodes that tell their halls' sums, by hall. They are worked
-// out again when something has changed about the members.
+// speakers returns the speaker of each hall. It is recomputed when the membership has
+// changed.
 func (n *nodes) speakers() map[string]control.Member {
 	view := n.members.View()
 	n.mu.Lock()
@@ -212,8 +212,7 @@
 	return list
 }
 
-// runSpeaker tells the sum of this hall to the others while that falls to this
-// node.
+// runSpeaker sends the sum of this hall to the others while this node is the speaker.
 func (n *nodes) runSpeaker(ctx context.Context) {
 	for ctx.Err() == nil {
 		if n.speakers()[n.self.DataHall].Name != n.self.Name {
@@ -225,20 +224,21 @@
 	}
 }
 
-// transmitTime is for how long bytes take this node's share of its link.
+// transmitTime returns how long bytes occupy the share of the link that a speaker may use.
 func (n *nodes) transmitTime(bytes int) time.Duration {
 	if n.self.Link <= 0 {
-		return 0 // Its rate is not known.
+		return 0 // The link's rate is unknown.
 	}
 	const bitsPerByte, megabit = 8, 1e6
 	return time.Duration(float64(bytes) * bitsPerByte / (speakerLinkShare * n.self.Link * megabit) * float64(time.Second))
 }
 
-// speakerCheckInterval is how often a node that is not its hall's speaker looks whether
-// it has become that.
+// speakerCheckInterval is how often a node that is not its hall's speaker checks whether
+// it has become the speaker.
 const speakerCheckInterval = 250 * time.Millisecond
 
-// sendHallSum tells the sum of this hall to the others and returns the bytes sent.
+// sendHallSum sends the sum of this hall to the other speakers, and to the nodes of this
+// hall if it is large. It returns the bytes sent.
 func (n *nodes) sendHallSum() int {
 	speakers := n.speakers()
 	var others []netip.AddrPort
@@ -256,8 +256,8 @@
 	return n.sendNote(others, noteHallLoads, s)
 }
 
-// sumHall adds what the other nodes of this hall have in flight to this one's own, and
-// what all of them have done with links.
+// sumHall returns the loads of all nodes of this hall, this one's included, and their
+// running totals for links.
 func (n *nodes) sumHall(own []route.ReplicaLoad, links linkTallies) (sum map[route.NameHash]route.PeerLoad, all linkTallies) {
 	sum = make(map[route.NameHash]route.PeerLoad, len(own))
 	addLoads(sum, own)
@@ -279,8 +279,8 @@
 	}
 }
 
-// busiest lists the replicas of whose memory the most is held, and behind that those
-// with the most requests.
+// busiest returns the replicas with the most memory in use, then those with the most
+// requests.
 func busiest(sum map[route.NameHash]route.PeerLoad, limit int) []route.ReplicaLoad {
 	list := make([]route.ReplicaLoad, 0, len(sum))
 	for key, load := range sum {
--- a/service/gateway/loads_received.go
+++ b/service/gateway/loads_received.go
@@ -8,7 +8,7 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// receivedLoads is a note that was heard.
+// receivedLoads is a decoded loadNote and when it was received.
 type receivedLoads struct {
 	from       string
 	hall       string
@@ -29,7 +29,7 @@
 	return h, err
 }
 
-// handleLoads takes in the state of another node of this hall.
+// handleLoads takes in the loads of another node of this hall.
 func (n *nodes) handleLoads(params json.RawMessage) {
 	if _, s, old, ok := n.receiveLoads(params, n.loads.byNode, func(s *loadNote) string { return s.From }); ok {
 		added := s.talliesSince(old)
@@ -42,8 +42,8 @@
 	}
 }
 
-// handleHallLoads takes in the sum of another hall, and tells it on in this one if it
-// comes from there.
+// handleHallLoads takes in the sum of a hall. The speaker forwards the sums of other halls
+// in its own.
 func (n *nodes) handleHallLoads(params json.RawMessage) {
 	note, s, old, ok := n.receiveLoads(params, n.loads.byHall, func(s *loadNote) string { return s.Hall })
 	if !ok {
@@ -59,8 +59,8 @@
 	n.addPeerTallies(s.talliesSince(old))
 }
 
-// forwardHallLoads tells the sum of another hall in this one, unless the last one has yet to
-// go through the link: what is left out is in the next.
+// forwardHallLoads sends the sum of another hall to the nodes of this one, unless the last
+// one still occupies the link. A skipped sum is covered by the next.
 func (n *nodes) forwardHallLoads(s loadNote) {
 	now := boottime.Now()
 	n.mu.Lock()
@@ -75,7 +75,7 @@
 	n.loads.nextForward[s.Hall] = now.Add(n.transmitTime(sent))
 }
 
-// withoutOwn takes this node's own part out of what its hall has done with links.
+// subtractOwn removes this node's own part from the hall's link totals.
 func (n *nodes) subtractOwn(added linkTallies) linkTallies {
 	own := newLinkTallies(n.cacheIndex.Tallies())
 	n.mu.Lock()
@@ -87,8 +87,8 @@
 	return added
 }
 
-// hear notes a state under its name and says whether it is newer than the last. What
-// can't be read is counted and dropped, and what was heard before stays.
+// receiveLoads stores a note by its key and reports whether it is newer than the last one.
+// A note that can't be decoded is counted and dropped, and the last one stays.
 func (n *nodes) receiveLoads(params json.RawMessage, received map[string]receivedLoads, key func(*loadNote) string) (note loadNote, s, old receivedLoads, ok bool) {
 	now := boottime.Now()
 	err := json.Unmarshal(params, &note)
@@ -115,7 +115,8 @@
 	return note, s, old, true
 }
 
-// talliesSince is what has been done with links since an older state of the same node.
+// talliesSince returns what was added to the link totals since an older note of the same
+// node.
 func (s *receivedLoads) talliesSince(old receivedLoads) linkTallies {
 	added := linkTallies{}
 	if s.boot != old.boot || s.from != old.from {
@@ -129,7 +130,7 @@
 	return added
 }
 
-// addPeerTallies has others' moves take their time on the links.
+// addPeerTallies accounts other nodes' transfers on the links.
 func (n *nodes) addPeerTallies(links linkTallies) {
 	now := boottime.Now()
 	for store, t := range links {
@@ -137,13 +138,13 @@
 	}
 }
 
-// mergeInterval is after how long what was told is added up again though nothing new was:
-// some of it may have to be forgotten. It is a fifth of the time until then.
+// mergeInterval is after how long the loads are summed again although nothing was
+// received: some may have expired. It is a fifth of loadExpiry.
 const mergeInterval = loadExpiry / 5
 
-// refreshPeerLoads has the pools know what the others have in flight, as far as was told. It is to
-// be called before a replica is chosen: a node of a large fleet hears 27 notes a second
-// and chooses some 10 times.
+// refreshPeerLoads updates the pools with the loads of the other nodes if needed. It is
+// called before a replica is chosen, which is less often than notes arrive: a node of a
+// large fleet receives 27 notes a second and chooses some 10 times.
 func (n *nodes) refreshPeerLoads(now time.Time) {
 	n.mu.Lock()
 	due := n.loads.changed || now.Sub(n.loads.mergedAt) >= mergeInterval
@@ -153,7 +154,7 @@
 	}
 }
 
-// mergePeerLoads adds up what the others have in flight.
+// mergePeerLoads updates the pools with the summed loads of the other nodes.
 func (n *nodes) mergePeerLoads(now time.Time) {
 	n.mergeMu.Lock()
 	defer n.mergeMu.Unlock()
@@ -163,6 +164,7 @@
 	}
 }
 
+// sumPeerLoads sums the loads of the other nodes and drops expired ones.
 func (n *nodes) sumPeerLoads(now time.Time) map[route.NameHash]route.PeerLoad {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -186,7 +188,8 @@
 	return sum
 }
 
-// ignoresHall says whether what nodes of a hall have in flight is left out of account.
+// ignoresHall reports whether the settings disable taking the loads of a hall's nodes into
+// account.
 func (n *nodes) ignoresHall(hall string) bool {
 	if hall == n.self.DataHall {
 		return n.siteState.disabled.HallLoads
--- a/service/gateway/metrics.go
+++ b/service/gateway/metrics.go
@@ -37,7 +37,7 @@
 	_ = l.h.RecordValue(min(maxMicros, max(minMicros, d.Microseconds()))) // It is within the bounds.
 }
 
-// latencyStatus is what is served of a histogram, in milliseconds.
+// latencyStatus is the exported summary of a histogram, in milliseconds.
 type latencyStatus struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -59,20 +59,20 @@
 	}
 }
 
-// metrics are the counters of a node.
+// metrics holds a node's counters.
 type metrics struct {
 	answered          atomic.Int64
 	clientsLeft       atomic.Int64
 	cutByStop         atomic.Int64
 	refusedByReplicas atomic.Int64
-	idleConnsClosed   atomic.Int64 // Resting connections that were taken to be silent.
-	firstByte         *latency     // To the first byte, from the request's sending.
-	total             *latency     // To the end, from the request's coming.
-	beforeSending     *latency     // Before the request is sent.
+	idleConnsClosed   atomic.Int64 // Idle connections to a replica that had stopped answering.
+	firstByte         *latency     // From sending the request to the first byte of the response.
+	total             *latency     // From receiving the request to the end of the response.
+	beforeSending     *latency     // From receiving the request to sending it.
 
 	mu             sync.Mutex
 	refused        map[string]int64
-	answeredByKind map[string]int64 // Answers by kind of route.
+	answeredByKind map[string]int64 // Responses by kind of route.
 }
 
 func newMetrics() *metrics {
@@ -85,13 +85,14 @@
 	}
 }
 
+// countRefusal counts a request that this node refused.
 func (m *metrics) countRefusal(reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refused[reason]++
 }
 
-// answer counts a request that got a replica's answer.
+// countAnswer counts a request that got a replica's response.
 func (m *metrics) countAnswer(kind string, beforeSending, firstByte, total time.Duration) {
 	m.answered.Add(1)
 	m.beforeSending.record(beforeSending)
@@ -102,7 +103,8 @@
 	m.answeredByKind[kind]++
 }
 
-// metricsStatus is what is served; docs/METRICS.md tells units and meaning.
+// metricsStatus is the exported form of the metrics; docs/METRICS.md describes units and
+// meaning.
 type metricsStatus struct {
 	Answered          int64                        `json:"answered"`
 	AnsweredByKind    map[string]int64             `json:"answered_by_kind"`
@@ -130,16 +132,16 @@
 	Suspensions       int64                        `json:"suspensions"`
 }
 
-// replicaCount is how many replicas a service has, and how many may be used.
+// replicaCount is the number of a service's replicas, and of those that can be used.
 type replicaCount struct {
 	All    int `json:"all"`
 	Usable int `json:"usable"`
 	Cold   int `json:"cold"`
-	// Excluded are those that take no request at all, by reason.
+	// Excluded counts the replicas that take no requests, by reason.
 	Excluded map[route.Exclusion]int `json:"excluded,omitempty"`
 }
 
-// status collects what is served.
+// status collects the exported metrics.
 func (g *Gateway) status() metricsStatus {
 	now := boottime.Now()
 	m := g.metrics
@@ -193,7 +195,7 @@
 	}
 }
 
-// MetricsVar is the node's counters for expvar.
+// MetricsVar exports the metrics through expvar.
 func (g *Gateway) MetricsVar() expvar.Func {
 	return func() any { return g.status() }
 }
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -23,29 +23,32 @@
 )
 
 const (
-	// discoverInterval is how often a node that knows no other looks for some.
+	// discoverInterval is how often a node that knows no other node reads the store's list
+	// of nodes.
 	discoverInterval = time.Second
-	// rediscoverInterval is how often one of ten nodes looks that knows others, and more
-	// seldom the more there are: two halves that were cut apart when they started
-	// find each other so.
+	// rediscoverInterval is how often a node that knows others reads that list, per
+	// rediscoverNodes nodes known, so that the load on the store does not grow with the
+	// fleet. In this way two groups that were partitioned when they started find each
+	// other.
 	rediscoverInterval = 15 * time.Second
 	rediscoverNodes    = 10
-	// discoverRetryDelay is the pause after a failure for a node that knows others: each
-	// call is paid for, and it needs no more of them soon.
+	// discoverRetryDelay is the pause after a failed read for a node that knows others:
+	// calls to the store are paid for, and it does not need the list soon.
 	discoverRetryDelay = 5 * time.Second
-	// seedProbeInterval and greetParts are in what time a node greets all others that the store
-	// names: within meetTime, with time left for their answers.
+	// seedProbeInterval and seedProbeBatches spread the first probes of all nodes in the
+	// store's list: they are sent within memberResponseTime, with time left for the
+	// answers.
 	seedProbeInterval = 50 * time.Millisecond
 	seedProbeBatches  = 10
 )
 
-// nodes is what the nodes tell each other: who there is, what each has in flight,
-// which replicas to pass over, and the newest weights.
+// nodes exchanges state with the other nodes: membership, requests in flight, replicas to
+// avoid, and the newest weights.
 type nodes struct {
 	self       control.Member
-	regions    map[string]string // Of data halls.
+	regions    map[string]string // By data hall.
 	coldShares *coldShares
-	// suspects are told of what the nodes' table has of them.
+	// suspects gets the blocked requests that the nodes' table lists.
 	suspects     *suspects.Suspects
 	rateLimits   *ratelimit.Limits
 	members      *control.Members
@@ -54,23 +57,23 @@
 	siteState    *SiteState
 	cacheIndex   *route.CacheIndex
 	log          *slog.Logger
-	loadsDue     chan struct{} // Holds one when the state is to be told soon.
-	incarnation  uint64        // Tells this life of the node from others.
-	notesDropped atomic.Int64  // Notes that could not be read.
-	mergeMu      sync.Mutex    // Has the pools told one sum after the other; taken before mu.
+	loadsDue     chan struct{} // Signals that the loads are to be sent soon; capacity 1.
+	incarnation  uint64        // Distinguishes this run of the node from earlier ones.
+	notesDropped atomic.Int64  // Datagrams that could not be decoded.
+	mergeMu      sync.Mutex    // Serializes updates of the pools; taken before mu.
 
 	mu              sync.Mutex
 	announced       bool
 	membersReadAt   time.Time
-	nextMembersRead time.Time        // Not looked for others before.
-	unprobed        []netip.AddrPort // Yet to be greeted, greetEach at a time.
+	nextMembersRead time.Time        // The list of nodes is not read before.
+	unprobed        []netip.AddrPort // Known by address only, probed probeBatch at a time.
 	probeBatch      int
-	readFailedSince time.Time // Since when the store does not tell the nodes, zero if it does.
+	readFailedSince time.Time // Since when the list of nodes can't be read, zero if it can.
 	loads           loadState
-	pendingUpdates  []replicaUpdate // To be told soon.
+	pendingUpdates  []replicaUpdate // To be sent together.
 }
 
-// nodeRow is what a node writes of itself for those that start later.
+// nodeRow is the row that a node writes so that nodes that start later find it.
 type nodeRow struct {
 	Peer netip.AddrPort `json:"peer"`
 }
@@ -80,12 +83,13 @@
 	n.probes.Send(n.members.Tick(time.Now(), 0))
 }
 
+// probeIndirectly asks other nodes to probe members that have not answered.
 func (n *nodes) probeIndirectly(context.Context) {
 	n.probes.Send(n.members.IndirectProbes(time.Now(), 0))
 }
 
-// discover writes this node's address to the store and learns those of others, as
-// long as it has not, or knows nobody.
+// discover writes this node's address to the store and reads those of the others, until it
+// has done so and knows other nodes, and then again from time to time.
 func (n *nodes) discover(ctx context.Context) {
 	now := boottime.Now()
 	known := len(n.members.Working())
@@ -124,7 +128,7 @@
 	}
 }
 
-// readNodes writes this node's address and reads those of others.
+// readNodes writes this node's address and reads the others' rows.
 func (n *nodes) readNodes(ctx context.Context) (rows []site.Row, err error) {
 	if err := n.announce(ctx); err != nil {
 		return nil, eris.Wrap(err, "write the own address")
@@ -153,6 +157,7 @@
 	return nil
 }
 
+// addSeeds takes in the rows of the nodes' table and begins to probe the nodes in it.
 func (n *nodes) addSeeds(rows []site.Row) {
 	var unprobed []netip.AddrPort
 	for _, r := range rows {
@@ -178,9 +183,9 @@
 	n.probeSeeds(context.Background())
 }
 
-// probeSeeds greets the next ones of the nodes of which only the address is known; the timer
-// service calls it. Who has been heard of meanwhile is left out: where all nodes start
-// together, each pair greets once instead of both ways.
+// probeSeeds probes the next batch of nodes of which only the address is known; the timer
+// service calls it. Nodes that have been heard from meanwhile are left out: if all nodes
+// start together, each pair exchanges one probe instead of two.
 func (n *nodes) probeSeeds(context.Context) {
 	n.mu.Lock()
 	batch := n.unprobed[:min(len(n.unprobed), n.probeBatch)]
@@ -191,15 +196,15 @@
 	}
 }
 
-// announceStop tells the others that this node is stopping.
+// announceStop tells the other nodes that this node is stopping.
 func (n *nodes) announceStop() { n.probes.Send(n.members.Leave(time.Now())) }
 
-// count is how many nodes there are, as far as is known.
+// count returns the number of nodes known to work, at least 1.
 func (n *nodes) count() int { return max(1, len(n.members.Working())) }
 
-// entryAddrs lists where callers of a data hall are to go: to its own nodes, to those of its
-// region if it has too few that are well, or else to all, where what they ask for has homes
-// to those of these regions.
+// entryAddrs lists the nodes that clients in a data hall may use: those of the hall; if
+// fewer than minEntries are alive there, those of its region; then those in the homes, the
+// regions in which the requested host may run; or else all nodes.
 func (n *nodes) entryAddrs(hall, region string, homes []string) []netip.AddrPort {
 	view := n.members.View()
 	candidates := view.Hall(hall).Alive
@@ -222,7 +227,7 @@
 	return addrs
 }
 
-// inRegions lists those of some nodes that stand in one of the regions.
+// inRegions filters the members in one of the regions.
 func (n *nodes) inRegions(list []control.Member, regions []string) (in []control.Member) {
 	for _, m := range list {
 		if region := n.regions[m.DataHall]; region != "" && slices.Contains(regions, region) {
@@ -232,7 +237,7 @@
 	return in
 }
 
-// longer is the larger one of two lists, the second if they are alike.
+// longer returns the longer list, b if both have the same length.
 func longer(a, b []control.Member) []control.Member {
 	if len(a) > len(b) {
 		return a
@@ -240,11 +245,11 @@
 	return b
 }
 
-// minEntries is how many nodes of its own data hall a caller is to have at least:
-// with one alone it would have nowhere to go when that one fails.
+// minEntries is the least number of nodes to give a client: with only one it has no
+// alternative when that node fails.
 const minEntries = 2
 
-// suspectNotifier tells other nodes of suspects.
+// suspectNotifier sends the notes about suspected requests to other nodes.
 type suspectNotifier struct{ n *nodes }
 
 // SendNote implements suspects.Notifier.
--- a/service/gateway/packed_loads.go
+++ b/service/gateway/packed_loads.go
@@ -7,20 +7,20 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// Loads go from node to node as bytes: for each replica its key, which numbers are not
-// zero, and those. As JSON, 256 replicas and 58 stores took 10.5 kB and 0.9 ms of a
+// Loads are sent in binary: for each replica its key, a bit set of the numbers that are
+// not zero, and those numbers. As JSON, 256 replicas and 58 stores took 10.5 kB and 0.9 ms of a
 // core at each of 295 nodes, 22 times a second; packed they take 4.6 kB and 0.06 ms.
 
-// errTruncated says that packed bytes end inside something.
+// errTruncated reports packed bytes that end in the middle of an entry.
 var errTruncated = errors.New("packed loads cut short")
 
 const keyBytes = 4
 
-// fixedNumbers is how many numbers of a load come before the tokens to be read.
+// fixedNumbers is how many numbers of a load precede the token counts.
 const fixedNumbers = 2
 
-// loadNumbers is what is told of a load, in the order on the wire. Numbers are added at
-// the end only: nodes that don't know them pass over them.
+// loadNumbers are the numbers of a load in wire order. New ones may be added only at the
+// end: nodes that don't know them skip them.
 type loadNumbers [fixedNumbers + len(route.BandTokens{})]int
 
 func numbersOf(l *route.PeerLoad) (n loadNumbers) {
@@ -36,8 +36,8 @@
 }
 
 func packLoads(list []route.ReplicaLoad) []byte {
-	const typical = 16 // Bytes.
-	b := make([]byte, 0, typical*len(list))
+	const typicalBytes = 16 // Per replica.
+	b := make([]byte, 0, typicalBytes*len(list))
 	for i := range list {
 		b = binary.BigEndian.AppendUint32(b, uint32(list[i].Key))
 		set := uint64(0)
@@ -57,7 +57,7 @@
 	return b
 }
 
-// unpacker takes packed numbers off the front of bytes.
+// unpacker reads packed numbers from the front of a byte slice.
 type unpacker struct {
 	rest []byte
 	err  error
@@ -83,15 +83,15 @@
 	return n
 }
 
-// maxNumber bounds a number that is told: none that is meant is larger, and sums of
-// them stay far from overflowing.
+// maxNumber bounds a received number: no valid one is larger, and sums of them stay far
+// from overflow.
 const maxNumber = 1 << 50
 
 func (u *unpacker) count() int { return int(min(u.number(), maxNumber)) }
 
 func unpackLoads(b []byte) (list []route.ReplicaLoad, err error) {
-	const least = 6 // Bytes of a replica with anything in flight.
-	list = make([]route.ReplicaLoad, 0, len(b)/least)
+	const minBytes = 6 // Per replica with anything in flight.
+	list = make([]route.ReplicaLoad, 0, len(b)/minBytes)
 	u := unpacker{rest: b}
 	for len(u.rest) > 0 {
 		key := u.key()
--- a/service/gateway/platform.go
+++ b/service/gateway/platform.go
@@ -9,23 +9,24 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Store is the platform's store, as far as a node uses it.
+// Store is the part of the platform's store that a node uses.
 type Store interface {
 	List(ctx context.Context, t site.Table) (site.Listing, error)
-	// Changes waits for changes after a version; the error wraps
-	// site.ErrHistoryGone when they are no longer known.
+	// Changes waits for changes after a version. The error wraps site.ErrHistoryGone if
+	// the store no longer has them.
 	Changes(ctx context.Context, t site.Table, after int64, wait time.Duration) (site.Listing, error)
-	// Put writes a row that has the expected version; the error wraps
-	// site.ErrConflict when it has another.
+	// Put writes a row if it has the expected version; otherwise the error wraps
+	// site.ErrConflict.
 	Put(ctx context.Context, t site.Table, key string, value []byte, expected int64) (site.Listing, error)
-	// Announce writes a row whatever it was.
+	// Announce writes a row whatever its version.
 	Announce(ctx context.Context, t site.Table, key string, value []byte) error
-	// LastLargeResponse is when a large answer last began to come in, zero if none has.
+	// LastLargeResponse returns when a large response last began to arrive, zero if none
+	// has.
 	LastLargeResponse() time.Time
 	Close()
 }
 
-// Engines calls replicas and stores beside the requests.
+// Engines calls replicas and stores outside of requests.
 type Engines interface {
 	Report(ctx context.Context, addr netip.AddrPort) (site.EngineReport, error)
 	Order(ctx context.Context, addr netip.AddrPort, o site.Order) (site.OrderOutcome, error)
@@ -34,29 +35,33 @@
 	Close()
 }
 
-// Codec reads and writes what the platform spells in its own way.
+// Codec converts between the platform's formats and the types of pkg/site.
 type Codec interface {
-	// Configuration decodes a row of the operator's table, nil for another row.
+	// Configuration decodes a row of the operator's table. It returns nil for a row that
+	// is no configuration.
 	Configuration(r site.Row) (*site.Snapshot, error)
-	// Weights decodes the row that names a model's weights.
+	// Weights decodes the row that sets the version of a model's weights; ok is false for
+	// other rows.
 	Weights(r site.Row) (model string, version int64, ok bool, err error)
-	// Evacuation reads the row that has a data hall get no more requests; on is false where
-	// that is taken back, ok where it is another row.
+	// Evacuation decodes the row that takes a data hall out of service; on is false if the
+	// row ends the evacuation, ok is false for other rows.
 	Evacuation(r site.Row) (hall string, on, ok bool)
 	Upstream(r site.Row) (site.Upstream, error)
-	// RequestInfo reads a request's head.
+	// RequestInfo reads a request's header.
 	RequestInfo(h *http1.Head) (site.RequestInfo, error)
-	// UpstreamHeaders returns the header lines that a replica gets.
+	// UpstreamHeaders returns the header fields to send to the replica.
 	UpstreamHeaders(h *http1.Head, d *site.Dispatch) []http1.Field
-	// ResponseInfo reads the head of a replica's answer.
+	// ResponseInfo reads the header of a replica's response.
 	ResponseInfo(h *http1.Head) site.ResponseInfo
-	// RequestIDHeader is the header line that names the request in an answer.
+	// RequestIDHeader returns the header field that carries the request's ID in a
+	// response.
 	RequestIDHeader(id string) http1.Field
-	// Addresses is the answer to a caller that asks where to go.
+	// Addresses returns the directory's response: the nodes that a client may use, and for
+	// how long.
 	Addresses(addrs []netip.AddrPort, ttl time.Duration) any
 }
 
-// Platform is all that a node needs of the platform.
+// Platform is everything that a node needs from the platform.
 type Platform struct {
 	Store   Store
 	Engines Engines
--- a/service/gateway/race_test.go
+++ b/service/gateway/race_test.go
@@ -2,5 +2,6 @@
 
 package gateway
 
-// raceScale is by how much links and configurations are smaller than at their size.
+// raceScale divides link rates and configuration sizes, since nodes are slower under the
+// race detector.
 const raceScale = 8
--- a/service/gateway/replica_clock.go
+++ b/service/gateway/replica_clock.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// replicaClock is the replicas' common clock, as their reports tell it.
+// replicaClock estimates the clock that the replicas share, from readings in their
+// reports.
 type replicaClock struct {
 	mu      sync.Mutex
 	reading time.Duration
 	readAt  time.Time
 }
 
-// update takes in a reading; it was made some time before, so it is behind, which
-// has fetches given up a little early.
+// update records a reading. It was taken before it arrived, so the estimate is behind, and
+// fetches are given up slightly early.
 func (c *replicaClock) update(clock time.Duration, now time.Time) {
 	if clock == 0 {
 		return
@@ -23,7 +24,7 @@
 	c.reading, c.readAt = clock, now
 }
 
-// read is the clock now; ok is false if it was never told.
+// read returns the estimate; ok is false if there was no reading yet.
 func (c *replicaClock) read(now time.Time) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/service/gateway/replica_updates.go
+++ b/service/gateway/replica_updates.go
@@ -11,68 +11,72 @@
 	"github.com/drumpath/drumpath/service/ratelimit"
 )
 
-// News of replicas go to every node. In a small fleet each is told at once and to
-// all. In a large one a roll-out of weights changes hundreds of replicas a second:
-// news go in groups, and to one node of each large hall, which tells the others
-// there, so that bytes between halls don't grow with the nodes. They are told once
-// more through another node, as a note or the first node may be lost.
+// Replica updates go to every node. In a small fleet each is sent at once to all nodes. In
+// a large one a roll-out of weights changes hundreds of replicas a second: updates are
+// batched and sent to one relay in each large hall, which forwards them there, so that
+// traffic between halls does not grow with the number of nodes. Each batch is sent once
+// more through another relay, as a datagram or the first relay may be lost.
 const (
-	// noteReplicaUpdates tells of replicas whose weights are being replaced, or were.
+	// noteReplicaUpdates carries changes of replicas, such as weights being replaced.
 	noteReplicaUpdates = "gateway.news"
-	// updateResendDelay is after how long news are told once more, as a note may be lost.
+	// updateResendDelay is after how long updates are sent a second time.
 	updateResendDelay = 120 * time.Millisecond
-	// updateBatchDelay is for how long news are gathered in a large fleet: a small part
-	// of the time between steering requests away and an order.
+	// updateBatchDelay is how long updates are collected in a large fleet: a small part of
+	// the time between diverting requests from a replica and its order.
 	updateBatchDelay = 30 * time.Millisecond
-	// maxUpdatesPerNote is how many go in one note, some 60 bytes each.
+	// maxUpdatesPerNote limits the updates in one datagram; each takes some 60 bytes.
 	maxUpdatesPerNote = 200
-	// updateRelayDuty names the duty of telling news on in a hall.
+	// updateRelayDuty names the duty of relaying updates in a hall.
 	updateRelayDuty = "news/"
 )
 
-// replicaUpdate is about one replica.
+// replicaUpdate is a change of one replica. Without Unreachable, Draining, AvoidMs and
+// Rate it says that the replica has new weights.
 type replicaUpdate struct {
 	Replica string `json:"r"`
-	// Started is the replica's start that is meant, in Unix milliseconds; 0 for any.
+	// Started is the start of the replica that is meant, in Unix milliseconds; 0 for any.
 	Started int64 `json:"t,omitempty"`
-	// Unreachable says that it was not reached: it may have started again, and be cold.
+	// Unreachable says that a node could not reach the replica: it may have restarted and
+	// be cold.
 	Unreachable bool `json:"x,omitempty"`
-	// Draining says that its answers say so.
+	// Draining says that the replica reports in its responses that it drains.
 	Draining bool `json:"d,omitempty"`
-	// AvoidMs is for how many milliseconds it is to be passed over while it gets the
-	// weights; without it, it has them.
+	// AvoidMs is for how many milliseconds to avoid the replica while it loads the
+	// weights.
 	AvoidMs int64 `json:"a,omitempty"`
-	// Rate says how many requests a second it takes from all nodes; it names the replica itself.
+	// Rate is the request rate that the replica accepts from all nodes together. It names
+	// the replica itself.
 	Rate *ratelimit.RateUpdate `json:"l,omitempty"`
-	// Model and Version are the weights.
+	// Model and Version name the weights.
 	Model   string `json:"m,omitempty"`
 	Version int64  `json:"v,omitempty"`
 }
 
-// replicaUpdatesNote is what is told in one note; Pass says that the hearer tells it on in
-// its hall.
+// replicaUpdatesNote is the content of one datagram; Relay asks the receiver to forward it
+// in its hall.
 type replicaUpdatesNote struct {
 	Updates []replicaUpdate `json:"n"`
 	Relay   bool            `json:"p,omitempty"`
 }
 
-// announceSwap has all nodes pass a replica over for a while, beginning at once.
+// announceSwap has all nodes avoid a replica for a while, from now on, so that it can swap
+// weights.
 func (n *nodes) announceSwap(replica route.ReplicaRef, model string, version int64, d time.Duration) {
 	n.broadcast(updateFor(replica, replicaUpdate{AvoidMs: d.Milliseconds(), Model: model, Version: version}))
 }
 
-// announceWeights tells all nodes that a replica has got other weights.
+// announceWeights tells all nodes that a replica serves other weights.
 func (n *nodes) announceWeights(replica route.ReplicaRef, model string, version int64) {
 	n.broadcast(updateFor(replica, replicaUpdate{Model: model, Version: version}))
 }
 
-// announceUnreachable tells all nodes that a replica was not reached.
+// announceUnreachable tells all nodes that a replica could not be reached.
 func (n *nodes) announceUnreachable(replica route.ReplicaRef) {
 	n.broadcast(updateFor(replica, replicaUpdate{Unreachable: true}))
 }
 
-// recordDraining takes in that a replica has told this node that it drains, and tells all nodes
-// the first time.
+// recordDraining records that a replica reported to this node that it drains, and tells
+// all nodes the first time.
 func (n *nodes) recordDraining(replica route.ReplicaRef) {
 	if n.siteState.ApplyDraining(replica, boottime.Now()) {
 		n.broadcast(updateFor(replica, replicaUpdate{Draining: true}))
@@ -84,7 +88,7 @@
 	n.broadcast(replicaUpdate{Replica: r.Replica, Rate: &r})
 }
 
-// updateFor completes news with the replica that they are of.
+// updateFor returns the update with the replica filled in.
 func updateFor(replica route.ReplicaRef, update replicaUpdate) replicaUpdate {
 	update.Replica = replica.ID
 	if !replica.Started.IsZero() {
@@ -93,7 +97,7 @@
 	return update
 }
 
-// whom names the replica that news are of.
+// replicaRef returns the replica that the update is about.
 func (u *replicaUpdate) replicaRef() route.ReplicaRef {
 	ref := route.ReplicaRef{ID: u.Replica}
 	if u.Started > 0 {
@@ -102,7 +106,7 @@
 	return ref
 }
 
-// broadcast tells news to all nodes, this one included.
+// broadcast applies an update on this node and sends it to all others.
 func (n *nodes) broadcast(u replicaUpdate) {
 	n.applyUpdate(u)
 	if _, relays := n.updateRecipients(0); len(relays) == 0 {
@@ -117,6 +121,7 @@
 	}
 }
 
+// sendPending sends the updates collected since the last batch.
 func (n *nodes) sendPending() {
 	n.mu.Lock()
 	list := n.pendingUpdates
@@ -127,7 +132,7 @@
 	}
 }
 
-// sendTwice tells news twice.
+// sendTwice sends updates now and once more after updateResendDelay.
 func (n *nodes) sendTwice(list []replicaUpdate) {
 	n.sendUpdates(list, 0)
 	time.AfterFunc(updateResendDelay, func() { n.sendUpdates(list, 1) })
@@ -139,13 +144,13 @@
 	n.sendNote(relays, noteReplicaUpdates, replicaUpdatesNote{Updates: list, Relay: true})
 }
 
-// updateRecipients are the nodes that are told news by this one: all of small halls, and
-// of each large one a node that tells the others, another one at each try.
+// updateRecipients returns the nodes that this one sends updates to: all nodes of small
+// halls, and one relay for each large hall, a different one at each try.
 func (n *nodes) updateRecipients(try int) (direct, relays []netip.AddrPort) {
 	return n.members.View().Recipients(n.self.Name, directMost, updateRelayDuty, try)
 }
 
-// handleReplicaUpdates takes in another node's news, and tells them on if it is asked to.
+// handleReplicaUpdates applies another node's updates and relays them if asked to.
 func (n *nodes) handleReplicaUpdates(params json.RawMessage) {
 	var note replicaUpdatesNote
 	if err := json.Unmarshal(params, &note); err != nil {
@@ -161,6 +166,7 @@
 	}
 }
 
+// applyUpdate applies an update to the state of this node.
 func (n *nodes) applyUpdate(u replicaUpdate) {
 	now := boottime.Now()
 	if u.Rate != nil {
--- a/service/gateway/rollout_fleet.go
+++ b/service/gateway/rollout_fleet.go
@@ -10,11 +10,11 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// rolloutFleet is the fleet as the roll-out of weights sees it.
+// rolloutFleet implements rollout.Fleet on the node's site state.
 type rolloutFleet struct {
 	siteState *SiteState
 	nodes     *nodes
-	within    time.Duration // In which all replicas are to have weights that were named.
+	within    time.Duration // Allowed time from naming new weights until all replicas have them.
 }
 
 // Targets implements rollout.Fleet.
@@ -36,8 +36,8 @@
 	return list
 }
 
-// postponed says whether a replica gets no order yet, as it has asked this node to send it
-// nothing. Half of the time that there is for new weights is left for it.
+// postponed reports whether a replica gets no order yet because it asked this node to back
+// off. An order waits for at most half of the time allowed for new weights.
 func (s *rolloutFleet) postponed(p *route.Pool, u *site.Upstream, model string, now time.Time) bool {
 	if !p.InBackoff(u.ID, now) {
 		return false
--- a/service/gateway/site_state.go
+++ b/service/gateway/site_state.go
@@ -13,25 +13,26 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// SiteState is what this node holds for true of the site: the configuration, the
-// newest weights, and which upstreams there are. None of it ever goes back to
-// something older.
+// SiteState is what this node knows of the site: the configuration, the newest weights and
+// the upstreams. None of these ever goes back to an older version.
 type SiteState struct {
 	codec      Codec
 	hall       string
-	returnTime time.Duration
+	returnTime time.Duration // In which a missing upstream may return.
 	cacheIndex *route.CacheIndex
 	disabled   config.DisabledMechanisms
-	regions    map[string]string // Of data halls.
+	regions    map[string]string // By data hall.
 	cold       config.ColdSettings
 	coldShares route.ColdShares
 	rateLimits route.RateLimits
-	// evacuationTime is for how long a data hall is left gradually that is evacuated.
+	// evacuationTime is the time over which the replicas of an evacuated data hall are
+	// taken out of use.
 	evacuationTime time.Duration
-	// onRestart is told of each replica that has started anew under its ID, and whether it
-	// had said before that it leaves.
+	// onRestart is called for each replica that has restarted under its ID; planned says
+	// that it had announced that it was leaving.
 	onRestart func(id string, planned bool, now time.Time)
-	// onDelisted is told of each replica whose entry went though it had not said that it leaves.
+	// onDelisted is called for each replica whose row was removed though it had not
+	// announced that it was leaving.
 	onDelisted func(id string, now time.Time)
 	log        *slog.Logger
 
@@ -42,16 +43,17 @@
 	upstreams map[string]*upstreamEntry
 	pools     map[string]*route.Pool
 	evacuated map[string]*evacuation // By data hall.
-	// draining has the starts of replicas that say in answers that they drain, also where the
-	// list has none or no longer, and when that was heard.
+	// draining holds, by replica ID and start, when a replica reported in a response that
+	// it drains. The upstream list may say otherwise, or no longer have the replica.
 	draining map[string]time.Time
-	// unusableRows counts rows of the list of upstreams that named none.
+	// unusableRows counts rows of the upstream list that could not be decoded.
 	unusableRows int64
-	// revision counts the changes of the list of upstreams.
+	// revision counts the changes of the upstream list.
 	revision int
-	// droppedIDs are replicas of which ended has still to be told.
+	// droppedIDs are the replicas for which onDelisted has yet to be called.
 	droppedIDs []string
-	// unreachableAt is when the store's list was last not to be had, heard when it was.
+	// unreachableAt is when the store's upstream list last could not be read, syncedAt
+	// when it was last read.
 	unreachableAt time.Time
 	syncedAt      time.Time
 }
@@ -59,22 +61,23 @@
 // modelWeights is the newest version of a model's weights.
 type modelWeights struct {
 	version int64
-	since   time.Time // When this node heard of it.
-	// older are the versions before it, the newest last.
+	since   time.Time // When this node learned of it.
+	// older holds the versions before it, oldest first.
 	older []modelWeights
 }
 
-// maxOlderVersions is how many older versions are remembered.
+// maxOlderVersions is how many older versions are kept.
 const maxOlderVersions = 8
 
+// upstreamEntry is an upstream and the state of its row.
 type upstreamEntry struct {
 	site.Upstream
 	version int64 // Of the row.
-	// missingSince is when the store dropped the entry, zero if it has it.
+	// missingSince is when the store removed the row, zero while it has it.
 	missingSince time.Time
 }
 
-// NewSiteState returns beliefs of which none is held yet.
+// NewSiteState returns an empty site state.
 func NewSiteState(c Codec, hall string, returnTime time.Duration, k *route.CacheIndex, log *slog.Logger) *SiteState {
 	return &SiteState{
 		codec:      c,
@@ -92,11 +95,11 @@
 	}
 }
 
-// Snapshot is the configuration in force, nil if none is known yet.
+// Snapshot returns the configuration in force, nil if none is known yet.
 func (st *SiteState) Snapshot() *site.Snapshot { return st.snapshot.Load() }
 
-// ApplyOperator takes in rows of the operator's table; with whole they are all that there
-// are.
+// ApplyOperator applies rows of the operator's table; whole says that rows is the complete
+// table.
 func (st *SiteState) ApplyOperator(rows []site.Row, whole bool, now time.Time) {
 	for _, r := range rows {
 		if err := st.applyOperator(r, now); err != nil {
@@ -132,7 +135,7 @@
 	return nil
 }
 
-// configure puts a configuration in force unless a newer one is.
+// configure puts a configuration in force unless that one or a newer one already is.
 func (st *SiteState) configure(s *site.Snapshot) {
 	for {
 		old := st.snapshot.Load()
@@ -148,7 +151,7 @@
 	st.log.Info("configuration in force", "version", s.Version, "routes", len(s.Routes()))
 }
 
-// ApplyWeights takes in that a model has weights of a version.
+// ApplyWeights records a version of a model's weights if it is newer than the known one.
 func (st *SiteState) ApplyWeights(model string, version int64, now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -165,7 +168,7 @@
 	st.log.Info("weights named", "model", model, "version", version)
 }
 
-// Weights is the newest version of a model's weights, and since when it is known.
+// Weights returns the newest version of a model's weights and since when it is known.
 func (st *SiteState) Weights(model string) (version int64, since time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -173,8 +176,8 @@
 	return n.version, n.since
 }
 
-// WeightsBefore is the newest version of a model's weights that was known at a
-// time, 0 for none.
+// WeightsBefore returns the newest version of a model's weights known at a time, 0 for
+// none.
 func (st *SiteState) WeightsBefore(model string, at time.Time) int64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -190,8 +193,8 @@
 	return 0
 }
 
-// ReplacedAt is when the first version behind one of a model's weights was named,
-// zero if it is the newest.
+// ReplacedAt returns when the first version after the given one became known, zero if
+// there is none.
 func (st *SiteState) ReplacedAt(model string, version int64) time.Time {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -209,7 +212,7 @@
 	return at
 }
 
-// NewestWeights lists the newest versions of all models.
+// NewestWeights returns the newest version of the weights of each model.
 func (st *SiteState) NewestWeights() map[string]int64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -220,23 +223,22 @@
 	return list
 }
 
-// MarkStoreUnreachable records that the list of upstreams can't be had.
+// MarkStoreUnreachable records that the upstream list can't be read.
 func (st *SiteState) MarkStoreUnreachable(now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.unreachableAt = now
 }
 
-// MarkStoreSynced records that the list of upstreams is as the store has it.
+// MarkStoreSynced records that the upstream list is as the store has it.
 func (st *SiteState) MarkStoreSynced(now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.syncedAt = now
 }
 
-// Ages tells how old the beliefs are: the version of the configuration in force,
-// since when the store's list was not heard of, and how long ago it was last not
-// to be had, 0 for never.
+// Ages returns the version of the configuration in force, the time since the upstream list
+// was last read, and the time since it last could not be read, 0 for never.
 func (st *SiteState) Ages(now time.Time) (config int64, sinceSync, sinceUnreachable time.Duration) {
 	if s := st.snapshot.Load(); s != nil {
 		config = s.Version
@@ -250,15 +252,15 @@
 	return config, sinceSync, sinceUnreachable
 }
 
-// unreachableGrace is how long after an absence of the store an entry that is dropped
-// may be one that lapsed meanwhile.
+// unreachableGrace is how long after the store was unreachable a removed row may be one
+// that expired only because the replica could not renew it.
 const unreachableGrace = 4 * time.Second
 
-// ApplyUpstreams takes in rows of the list of upstreams; with whole they are all
-// that there are.
+// ApplyUpstreams applies rows of the upstream list; whole says that rows is the complete
+// list.
 func (st *SiteState) ApplyUpstreams(rows []site.Row, whole bool, now time.Time) {
-	// What was held before is forgotten without the lock: look-ups of it ask the beliefs
-	// with a lock of their own.
+	// The cache index is reset without holding mu: its look-ups call SiteState while
+	// they hold the index's lock.
 	for id, planned := range st.applyUpstreams(rows, whole, now) {
 		st.cacheIndex.ResetEngine(id)
 		st.onRestart(id, planned, now)
@@ -266,7 +268,7 @@
 	st.notifyDropped(now)
 }
 
-// notifyDropped tells of replicas that were dropped, without the lock.
+// notifyDropped calls onDelisted for the replicas dropped, without holding mu.
 func (st *SiteState) notifyDropped(now time.Time) {
 	st.mu.Lock()
 	list := st.droppedIDs
@@ -277,8 +279,8 @@
 	}
 }
 
-// applyUpstreams lists the replicas that have started anew under their IDs, with whether
-// they had said before that they leave.
+// applyUpstreams returns the replicas that have restarted under their IDs, each with
+// whether it had announced that it was leaving.
 func (st *SiteState) applyUpstreams(rows []site.Row, whole bool, now time.Time) (restarted map[string]bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -302,9 +304,9 @@
 	return restarted
 }
 
-// applyUpstream takes in one row. What is older than what is known is passed over; a row
-// that can't be used names no replica, whatever stood there before. It says whether the
-// replica has started anew under its ID.
+// applyUpstream applies one row and reports whether the replica has restarted under its
+// ID. Rows older than the known one are ignored; a row that can't be decoded removes the
+// replica it replaces.
 func (st *SiteState) applyUpstream(r site.Row, now time.Time) (restarted bool) {
 	old, known := st.upstreams[r.Key]
 	if known && r.Version < old.version {
@@ -327,13 +329,14 @@
 	return st.recordUpstream(u, r.Version, now)
 }
 
-// recordUpstream notes a row that can be used, and says whether it is of a new start. Its cold term
-// counts from when the row was written, so a row that is heard again does not begin it anew.
+// recordUpstream records a decoded row and reports whether it is of a new start. The time
+// for which the replica counts as cold begins when its row is first seen; the same row
+// seen again does not extend it.
 func (st *SiteState) recordUpstream(u site.Upstream, version int64, now time.Time) (restarted bool) {
 	old, known := st.upstreams[u.ID]
 	restarted = known && old.StartedBefore(&u)
 	if known && !restarted && st.reportedDraining(old.StartKey()) {
-		st.draining[u.StartKey()] = now // The same start, told with its time or without.
+		st.draining[u.StartKey()] = now // The same start, with or without its time in the row.
 	}
 	if !known || restarted || old.Draining != u.Draining {
 		st.log.Info("upstream listed", "upstream", u.ID, "service", u.Service, "addr", u.Addr, "draining", u.Draining,
@@ -351,13 +354,14 @@
 	return restarted
 }
 
-// drainingRetention is for how long after it said so a start of a replica is remembered as
-// draining that isn't listed.
+// drainingRetention is how long a report of draining is kept for a start of a replica that
+// isn't in the upstream list.
 const drainingRetention = 10 * time.Minute
 
-// ApplyDraining takes in that a start of a replica says in answers that it drains, and says
-// whether that is news. It holds until the replica ends, whatever the list says: a row may be
-// late, or not have been written, and a replica that drains does not go back on it.
+// ApplyDraining records that a replica reported in a response that it drains, and reports
+// whether a listed replica was not known to drain. It holds until this start of the
+// replica ends, whatever the upstream list says: a row may be late or missing, and a
+// draining replica does not become ready again.
 func (st *SiteState) ApplyDraining(replica route.ReplicaRef, now time.Time) (first bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -385,14 +389,16 @@
 	return true
 }
 
-// reportedDraining says whether a start of a replica has said in an answer that it drains.
+// reportedDraining reports whether this start of a replica has reported in a response that
+// it drains.
 func (st *SiteState) reportedDraining(start string) bool {
 	_, reported := st.draining[start]
 	return reported
 }
 
-// drop takes an upstream out, at once unless the store was away: an entry may
-// then have run out for want of a heartbeat, and is given time to come back.
+// drop removes an upstream whose row is gone: at once, unless the store was unreachable
+// shortly before. Then the row may have expired for want of a heartbeat, and the upstream
+// gets time to return.
 func (st *SiteState) drop(id string, now time.Time) {
 	e, known := st.upstreams[id]
 	if !known || !e.missingSince.IsZero() {
@@ -406,7 +412,7 @@
 	st.log.Info("upstream dropped", "upstream", id, "service", e.Service)
 }
 
-// removeUpstream takes an entry out; the caller holds mu.
+// removeUpstream removes an entry. The caller holds mu.
 func (st *SiteState) removeUpstream(id string, e *upstreamEntry) {
 	delete(st.upstreams, id)
 	if !e.Draining {
@@ -414,8 +420,8 @@
 	}
 }
 
-// Expire drops upstreams whose entries have not come back; the timer service
-// calls it.
+// Expire removes upstreams whose rows have not returned in time; the timer service calls
+// it.
 func (st *SiteState) Expire(now time.Time) {
 	defer st.notifyDropped(now)
 	st.mu.Lock()
@@ -433,6 +439,8 @@
 	}
 }
 
+// rebuildPools updates the pool of each service from the upstream list. The caller holds
+// mu.
 func (st *SiteState) rebuildPools(now time.Time) {
 	st.revision++
 	lists := map[string][]site.Upstream{}
@@ -460,7 +468,7 @@
 	return st.pools[service]
 }
 
-// Pools lists all pools by service.
+// Pools returns all pools by service.
 func (st *SiteState) Pools() map[string]*route.Pool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -471,14 +479,14 @@
 	return list
 }
 
-// Revision counts the changes of the list of upstreams so far.
+// Revision returns the number of changes of the upstream list so far.
 func (st *SiteState) Revision() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.revision
 }
 
-// UpstreamCount is how many upstreams are known.
+// UpstreamCount returns the number of known upstreams.
 func (st *SiteState) UpstreamCount() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/service/gateway/wiring.go
+++ b/service/gateway/wiring.go
@@ -20,7 +20,7 @@
 	"github.com/drumpath/drumpath/service/suspects"
 )
 
-// components are what a node is made of, as the container builds them.
+// components are the parts of a node that the dependency container builds.
 type components struct {
 	dig.In
 
@@ -43,7 +43,7 @@
 	Clock      *replicaClock
 }
 
-// build has the container make the parts.
+// build has the container construct the components.
 func build(s config.GatewaySettings, p Platform, log *slog.Logger) (built components, err error) {
 	defer func() { err = eris.Wrap(dig.RootCause(err), "build") }()
 	c := dig.New()
@@ -56,7 +56,7 @@
 	return built, err
 }
 
-// constructors are what the container builds a node from.
+// constructors lists the constructors that the container uses.
 func constructors(s config.GatewaySettings, p Platform, log *slog.Logger) []any {
 	self := control.Member{
 		Name:     s.Node.Name,
@@ -78,19 +78,19 @@
 		func() *control.Members {
 			return control.NewMembers(self, s.Peer.ProbeEvery.Std(), nil, newRand())
 		},
-		func(k *route.CacheIndex, o *coldShares, u *upstreamConns, x *suspects.Suspects, l *ratelimit.Limits) *SiteState {
-			b := NewSiteState(p.Codec, s.Node.DataHall, s.Platform.ReturnTime.Std(), k, log)
-			b.disabled, b.regions, b.cold, b.coldShares = s.Disabled, s.Regions, s.Cold, o
-			b.rateLimits = l
-			b.evacuationTime = time.Duration(evacuationTimeShare * float64(s.Evacuation.Within))
-			b.onRestart = func(id string, planned bool, now time.Time) {
-				u.lost(id)
+		func(cacheIndex *route.CacheIndex, shares *coldShares, conns *upstreamConns, sus *suspects.Suspects, limits *ratelimit.Limits) *SiteState {
+			st := NewSiteState(p.Codec, s.Node.DataHall, s.Platform.ReturnTime.Std(), cacheIndex, log)
+			st.disabled, st.regions, st.cold, st.coldShares = s.Disabled, s.Regions, s.Cold, shares
+			st.rateLimits = limits
+			st.evacuationTime = time.Duration(evacuationTimeShare * float64(s.Evacuation.Within))
+			st.onRestart = func(id string, planned bool, now time.Time) {
+				conns.lost(id)
 				if !planned {
-					x.RecordRestart(id, now)
+					sus.RecordRestart(id, now)
 				}
 			}
-			b.onDelisted = x.RecordDelisted
-			return b
+			st.onDelisted = sus.RecordDelisted
+			return st
 		},
 		newColdShares,
 		func(m *control.Members, c *peer.Client) *suspects.Suspects {
@@ -140,7 +140,8 @@
 	return int((1 - reservedDescriptorShare) * float64(descriptors))
 }
 
-// newNodes listens for what other nodes tell.
+// newNodes creates the exchange with other nodes and registers the handlers of its
+// datagrams.
 func newNodes(s config.GatewaySettings, self control.Member, m *control.Members, shares *coldShares, x *suspects.Suspects, l *ratelimit.Limits, st Store, siteState *SiteState, cacheIndex *route.CacheIndex, log *slog.Logger) (*nodes, error) {
 	n := &nodes{
 		self:        self,
@@ -172,7 +173,7 @@
 	return n, nil
 }
 
-// newPeers listens for nodes that ask this one.
+// newPeers creates the server for calls from other nodes.
 func newPeers(s config.GatewaySettings, r *readers, w *watchers, h *holdings, x *suspects.Suspects, l *ratelimit.Limits, log *slog.Logger) (*peer.Server, error) {
 	server, err := peer.NewServer(s.Peer.Listen, map[peer.Role]string{peer.RolePeer: s.Peer.Key}, log)
 	if err != nil {
