--- a/service/gateway/cold_shares_test.go
+++ b/service/gateway/cold_shares_test.go
@@ -11,7 +11,7 @@
 	"github.com/drumpath/drumpath/pkg/rendezvous"
 )
 
-// newMembers are nodes in some halls, of which the first ones are dead.
+// newMembers returns n nodes spread over some halls, the first of them dead.
 func newMembers(n, halls, dead int) (list []control.Member) {
 	for i := range n {
 		m := control.Member{Name: fmt.Sprintf("n%03d", i), DataHall: fmt.Sprintf("h%d", i%halls)}
@@ -23,51 +23,51 @@
 	return list
 }
 
-// All shares of a replica together are within the limit, also where nodes think different
-// ones dead, and none is left unused that a node could have.
+// The shares of a cold replica together stay within its limit, also if nodes believe
+// different members dead, and most of the limit is given out.
 func TestColdSharesDoNotExceedLimit(t *testing.T) {
-	const views = 5 // In each of which other nodes are thought dead.
+	const views = 5 // Each with other dead nodes.
 	for _, nodes := range []int{1, 2, 7, 9, 59, 71, 295, 900} {
 		var lists [views][]control.Member
 		for i := range lists {
 			lists[i] = newMembers(nodes, 3, i)
 		}
-		replicas := max(1, min(20, 600/nodes)) // The work grows with the square of the nodes.
-		for _, most := range []int{0, 1, 3, 16, 40} {
+		replicas := max(1, min(20, 600/nodes)) // The work grows with the square of the number of nodes.
+		for _, limit := range []int{0, 1, 3, 16, 40} {
 			for r := range replicas {
-				of := coldShareKey{replica: rendezvous.Hash(fmt.Sprint("r", r)), hall: fmt.Sprintf("h%d", r%3), limit: most}
+				key := coldShareKey{replica: rendezvous.Hash(fmt.Sprint("r", r)), hall: fmt.Sprintf("h%d", r%3), limit: limit}
 				sum, users := 0, 0
 				for i := range nodes {
-					share := computeShare(lists[i%views], fmt.Sprintf("n%03d", i), of)
+					share := computeShare(lists[i%views], fmt.Sprintf("n%03d", i), key)
 					sum += share
 					if share > 0 {
 						users++
 					}
 				}
-				assert.Assert(t, sum <= most, "%d nodes: %d of %d", nodes, sum, most)
-				assert.Assert(t, 2*sum >= min(most, 2*most-1), "%d nodes: %d of %d", nodes, sum, most)
-				assert.Assert(t, users <= most)
+				assert.Assert(t, sum <= limit, "%d nodes: %d of %d", nodes, sum, limit)
+				assert.Assert(t, 2*sum >= min(limit, 2*limit-1), "%d nodes: %d of %d", nodes, sum, limit)
+				assert.Assert(t, users <= limit)
 			}
 		}
 	}
 }
 
-// A node that has not read who the others are can't know its share.
+// A node that has not read the list of nodes can't know its share.
 func TestNoColdShareBeforeMembersAreKnown(t *testing.T) {
 	self := control.Member{Name: "n000", DataHall: "h0", Incarnation: 1}
 	m := control.NewMembers(self, time.Second, nil, newRand())
-	c := newColdShares(self, m)
-	assert.Equal(t, c.Share(1, "h0", 16), 0)
-	c.markMembersRead(time.Now())
-	assert.Equal(t, c.Share(1, "h0", 16), 0, "the others have had no time to answer")
-	c.membersReadAt = time.Now().Add(-memberResponseTime)
-	assert.Equal(t, c.Share(1, "h0", 16), 16)
+	shares := newColdShares(self, m)
+	assert.Equal(t, shares.Share(1, "h0", 16), 0)
+	shares.markMembersRead(time.Now())
+	assert.Equal(t, shares.Share(1, "h0", 16), 0, "the others have had no time to answer")
+	shares.membersReadAt = time.Now().Add(-memberResponseTime)
+	assert.Equal(t, shares.Share(1, "h0", 16), 16)
 	m.Merge(newMembers(8, 1, 0)[1:], time.Now())
-	assert.Equal(t, c.Share(1, "h0", 16), 2)
+	assert.Equal(t, shares.Share(1, "h0", 16), 2)
 }
 
-// The directory's answers stay inside the homes of a host and the caller's region, as long
-// as there is a node.
+// The directory returns nodes in the caller's region and the host's home regions as long
+// as there are any.
 func TestDirectoryPrefersHomeRegions(t *testing.T) {
 	self := control.Member{Name: "a0", DataHall: "a", Incarnation: 1}
 	m := control.NewMembers(self, time.Second, nil, newRand())
--- a/service/gateway/control_bench_test.go
+++ b/service/gateway/control_bench_test.go
@@ -20,8 +20,7 @@
 
 const fleetHalls = 5
 
-// newFleetNode returns what a node of a fleet keeps of the others, without sockets that
-// are used.
+// newFleetNode returns a node's state of a fleet, without sending to the other nodes.
 func newFleetNode(b *testing.B, nodeCount, engines int) (*nodes, *holdings) {
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: "front-0", DataHall: "hall-0", State: control.MemberAlive, Link: 20}
@@ -59,7 +58,7 @@
 
 func engineID(i int) string { return fmt.Sprintf("i-%08x", uint32(i)*2654435761) }
 
-// newHallSumNote is a note of what a hall has in flight at all engines.
+// newHallSumNote returns a note with a hall's loads at all engines.
 func newHallSumNote(b *testing.B, hall string, seq uint64, engines int) json.RawMessage {
 	s := loadNote{From: "front-x" + hall, Hall: hall, Boot: 1, Seq: seq}
 	var loads []route.ReplicaLoad
@@ -80,8 +79,8 @@
 	return text
 }
 
-// BenchmarkHandleHallLoads is the cost of one note of another hall's loads at a node. At 295
-// nodes some 22 come a second.
+// BenchmarkHandleHallLoads measures receiving one sum of another hall. With 295 nodes some
+// 22 arrive a second.
 func BenchmarkHandleHallLoads(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
@@ -102,8 +101,8 @@
 	}
 }
 
-// BenchmarkSendLoads is the cost of one telling of a node's own loads; at 295 nodes a node
-// does so up to 5.6 times a second.
+// BenchmarkSendLoads measures sending a node's own loads, which a node of 295 does up to
+// 5.6 times a second.
 func BenchmarkSendLoads(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
@@ -121,8 +120,8 @@
 	}
 }
 
-// BenchmarkHoldingsRefresh is the cost of finding out whom to ask of held state, done
-// five times a second.
+// BenchmarkHoldingsRefresh measures choosing the nodes to ask for cached state, done five
+// times a second.
 func BenchmarkHoldingsRefresh(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
@@ -136,8 +135,8 @@
 	}
 }
 
-// BenchmarkHandleHeldUpdates is the cost of news of what engines hold, for each second of news of
-// all engines, each of which tells 20 changes a second.
+// BenchmarkHandleHeldUpdates measures taking in one second of cache changes of all
+// engines, 20 changes from each.
 func BenchmarkHandleHeldUpdates(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
@@ -173,7 +172,7 @@
 	}
 }
 
-// BenchmarkChooseReader is the cost of finding out who reads the store for a node, twice a
+// BenchmarkChooseReader measures choosing the node that reads the store, done twice a
 // second and more.
 func BenchmarkChooseReader(b *testing.B) {
 	for _, size := range fleetSizes {
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -335,16 +335,16 @@
 // closes the listener and idle connections, and waits until the remaining requests are
 // answered or the grace period is nearly over.
 func (g *Gateway) Drain() {
-	begun := time.Now()
-	within := g.conf().Stop.Grace.Std() - shutdownReserve
-	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(within))
+	start := time.Now()
+	grace := g.conf().Stop.Grace.Std() - shutdownReserve
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(grace))
 	defer cancel()
 	g.log.Info("stopping", "node", g.conf().Node.Name, "in_flight", g.inFlight.Load())
-	g.stopRequestedAt.Store(&begun)
+	g.stopRequestedAt.Store(&start)
 	close(g.stopRequested)
 	g.nodes.announceStop()
 	g.releaseLeases(ctx)
-	time.Sleep(time.Until(begun.Add(min(acceptAfterStop, within))))
+	time.Sleep(time.Until(start.Add(min(acceptAfterStop, grace))))
 	g.closing.Store(true)
 	_ = g.entry.Close() // Clients whose connection was not accepted try another node.
 	g.clients.drain(ctx)
@@ -358,9 +358,9 @@
 
 // Close stops serving and waits for all goroutines.
 func (g *Gateway) Close() {
-	begun := time.Now()
-	if told := g.stopRequestedAt.Load(); told != nil {
-		begun = *told
+	start := time.Now()
+	if requestedAt := g.stopRequestedAt.Load(); requestedAt != nil {
+		start = *requestedAt
 	}
 	g.closing.Store(true)
 	_ = g.entry.Close() // Accepting ends even if this fails.
@@ -368,7 +368,7 @@
 	cut := g.clients.closeAll()
 	g.metrics.cutByStop.Add(int64(cut.sum()))
 	if cut.sum() > 0 {
-		g.log.Warn("requests cut by a stop", "node", g.conf().Node.Name, "after", time.Since(begun),
+		g.log.Warn("requests cut by a stop", "node", g.conf().Node.Name, "after", time.Since(start),
 			"heading", cut.heading, "bodying", cut.bodying, "serving", cut.serving)
 	}
 	g.timer.Close()
@@ -389,5 +389,5 @@
 	g.wg.Wait()
 	g.suspects.Close()
 	g.rateLimits.Close()
-	g.log.Info("node stopped", "node", g.conf().Node.Name, "after", time.Since(begun), "cut", cut.sum())
+	g.log.Info("node stopped", "node", g.conf().Node.Name, "after", time.Since(start), "cut", cut.sum())
 }
--- a/service/gateway/grown_configuration_test.go
+++ b/service/gateway/large_configuration_test.go
@@ -22,88 +22,86 @@
 )
 
 const (
-	// largeHallNodes is how many nodes a large data hall has. Where each may have to
-	// read the whole for itself there are fewNodes, the least that have a reader
-	// and one more, so that the links are measured and not the processor that the
-	// nodes of a test share.
+	// largeHallNodes is the size of a large data hall. Cases in which each node may have
+	// to read everything itself use smallHallNodes, one more than the least that have a
+	// reader, so that the links are measured and not the processor that the nodes of a
+	// test share.
 	largeHallNodes = 20
 	smallHallNodes = directMost + 2
-	// narrowMbit and wideMbit are the rates of nodes' links in Mbit/s: the store's
-	// answer with 5,640 routes takes a narrow one 1.9 s, a wide one 0.1 s.
+	// narrowMbit and wideMbit are link rates in Mbit/s: the store's answer with 5,640
+	// routes takes 1.9 s on a narrow link and 0.1 s on a wide one.
 	narrowMbit = 10.0 / raceScale
 	wideMbit   = 200.0 / raceScale
-	// routesPerChange is how many routes are added at once, and grownHosts on how many
-	// hosts all are.
+	// routesPerChange is how many routes each change adds, hostCount the number of hosts
+	// that all routes are spread over.
 	routesPerChange = 1400 / raceScale
 	hostCount       = 200
-	// initialRoutes is how many routes there are before the first change.
+	// initialRoutes is the number of routes before the first change.
 	initialRoutes = 40 / raceScale
-	// changeInterval is how long after one change the next is made. It leaves room
-	// behind inForceWithin, so that each version is judged by itself.
+	// changeInterval is the time between two changes. It exceeds inForceWithin, so that
+	// each version is checked by itself.
 	changeInterval = 3500 * time.Millisecond
-	// inForceWithin is how long after the store has a configuration a node may
-	// handle requests by the one before; users hold large sites to it.
+	// inForceWithin is how long a node may go on using the previous configuration after
+	// the store has a new one; users require it of large sites.
 	inForceWithin = 3 * time.Second
-	// longPollTimeout is for how long a node has calls for changes held, the product's
-	// default.
+	// longPollTimeout is how long a call waits for changes, the product's default.
 	longPollTimeout = 2500 * time.Millisecond
-	// maxChangeBytes bounds what a node receives for a change, in bytes. A change of
-	// 1,400 routes is 60 kB when compressed and all of 5,640 are 240 kB, so a
-	// node that is sent the whole exceeds it.
+	// maxChangeBytes bounds the bytes that a node receives for a change. Compressed, a
+	// change of 1,400 routes takes 60 kB and all 5,640 take 240 kB, so a node that is sent
+	// everything exceeds it.
 	maxChangeBytes = 200_000 / raceScale
-	// maxFullReadBytes bounds it where nobody may be able to pass the change on in
-	// time, in bytes: the store's answer with 5,640 routes has 2.4 MB and may be
-	// read once.
+	// maxFullReadBytes bounds them if possibly nobody forwards the change in time: the
+	// store's answer with 5,640 routes takes 2.4 MB and may be read once.
 	maxFullReadBytes = 2_450_000/raceScale + maxChangeBytes
-	// freezeBefore is how long before a change a reader stops answering. Calls
-	// that wait for changes are under way then.
+	// freezeBefore is how long before a change the reader stops answering, so that calls
+	// that wait for changes are under way.
 	freezeBefore = 200 * time.Millisecond
 )
 
-// With the race detector all nodes' processors, which they share here, are some twelve
-// times slower, and not what is tested. Links and routes are an eighth then: what passes
-// a link takes as long as before. Figures below are of links and routes at their size.
+// Under the race detector the nodes, which share a processor here, are some twelve times
+// slower, and that is not what is tested. Link rates and route counts are an eighth then, so
+// transfers take as long as before. Figures in comments are for the full sizes.
 
-// operatorKey is the row that has the configuration.
+// operatorKey is the key of the configuration's row.
 const operatorKey = "config"
 
-// growthCase is one way in which a configuration grows.
+// growthCase is one way in which the configuration grows.
 type growthCase struct {
 	name  string
 	nodes int
-	// wideLinks is how many nodes have wide links.
+	// wideLinks is the number of nodes with wide links.
 	wideLinks int
-	// initialChanges is how many changes the nodes already have, end how many there are.
+	// initialChanges is the number of changes that the nodes know at the start,
+	// finalChanges the number at the end.
 	initialChanges, finalChanges int
 	// freezeReader stops the reader before the last change.
 	freezeReader bool
-	// lateNode has one node start only after the last change, with nothing.
+	// lateNode has one node start without a configuration after the last change.
 	lateNode bool
-	// maxBytes bounds the bytes that a node receives for a change; the reader receives
-	// the store's whole answer.
+	// maxBytes bounds the bytes that a node receives for a change; the reader receives the
+	// store's complete answer.
 	maxBytes int64
 }
 
-// The operator added 1,400 routes to the configuration several times, a few seconds
-// apart, with nothing out of order. In data halls of some 20 nodes, most of them on
-// links of 10 Mbit/s, the nodes went on by the version before for more than 3 s after
-// the store had the new one, and answered 404 on the routes that were new.
+// An operator added 1,400 routes several times, a few seconds apart, without any fault. In
+// halls of some 20 nodes, most on links of 10 Mbit/s, nodes used the previous version for
+// more than 3 s after the store had the new one, and answered 404 on the new routes.
 //
-// One node of a hall reads the store's row and sends it whole to each of the others.
-// With 4,240 routes that is 1.8 MB and takes a narrow link 1.5 s, with 5,640 routes
-// 2.4 MB and 1.9 s. A call to the reader ends 1.4 s after it was made, up to one of
-// which it has waited for the change, and one to the store 1.7 s after, however much
-// has arrived: a version that takes longer is begun again and again and never comes.
-// What was given up goes on filling the link meanwhile, so that versions which would
-// fit are late, too. Played four times with 20 nodes, the first version was in force
-// at all after at most 0.8 s; the second was late at 4 to 15 nodes, the third at 16 to
-// 18, the fourth at 18, which are all with narrow links. For the last two, links
-// brought up to 4.4 MB in 3.5 s, which is all that they can.
+// One node of a hall read the store's row and sent it whole to each of the
+// others: 1.8 MB and 1.5 s on a narrow link with 4,240 routes, 2.4 MB and 1.9 s with
+// 5,640. A call to the reader ends 1.4 s after it was made, up to one of which it has
+// waited for the change, and a call to the store 1.7 s after, however much has arrived. A
+// version that takes longer is requested again and again and never arrives; abandoned
+// transfers go on filling the link, so versions that would fit are late, too. In four runs
+// with 20 nodes the first version was in force everywhere after at most 0.8 s; the second
+// was late at 4 to 15 nodes, the third at 16 to 18, the fourth at 18, which are all with
+// narrow links. For the last two, links carried up to 4.4 MB in 3.5 s, which is all that
+// they can.
 func TestLargeConfigurationIsInForceInTime(t *testing.T) {
 	for _, c := range []growthCase{
 		{name: "wide reader", nodes: largeHallNodes, wideLinks: 2, finalChanges: 4, maxBytes: maxChangeBytes},
-		// It ends with 4,240 routes: the links alone take 1.5 s for these and 1.9 s
-		// for 5,640, which leaves too little for nodes that share a processor.
+		// It ends with 4,240 routes, which take the links alone 1.5 s. The 1.9 s for
+		// 5,640 would leave too little time for nodes that share a processor.
 		{name: "all links narrow", nodes: smallHallNodes, initialChanges: 1, finalChanges: 3, maxBytes: maxFullReadBytes},
 		{name: "reader stops answering", nodes: largeHallNodes, wideLinks: 2, initialChanges: 3, finalChanges: 4, freezeReader: true, maxBytes: maxFullReadBytes},
 		{name: "node starts with nothing", nodes: largeHallNodes, wideLinks: 2, initialChanges: 4, finalChanges: 4, lateNode: true, maxBytes: maxFullReadBytes},
@@ -112,8 +110,7 @@
 	}
 }
 
-// simulatedHall is the nodes of one data hall, each behind a link of its own, and the
-// store.
+// simulatedHall is the nodes of one data hall, each behind its own link, and the store.
 type simulatedHall struct {
 	t     *testing.T
 	c     growthCase
@@ -123,7 +120,7 @@
 	codec *cachingCodec
 }
 
-// simulatedNode is what keeps a node's configuration up to date.
+// simulatedNode is the part of a node that keeps its configuration up to date.
 type simulatedNode struct {
 	member    control.Member
 	link      *link
@@ -197,7 +194,8 @@
 	return n
 }
 
-// addMembers has a node know the others, each at an address behind both links.
+// addMembers adds the other nodes to a node's members, each at an address behind both
+// links.
 func (h *simulatedHall) addMembers(n *simulatedNode) {
 	var list []control.Member
 	for _, x := range h.nodes {
@@ -210,7 +208,7 @@
 	n.members.Merge(list, time.Now())
 }
 
-// reader is the node that reads the operator's table for the hall.
+// reader returns the node that reads the operator's table for the hall.
 func (h *simulatedHall) reader() *simulatedNode {
 	var list []control.Member
 	for _, n := range h.nodes {
@@ -226,7 +224,7 @@
 	return nil
 }
 
-// lateNode is the node that starts with nothing, nil if there is none.
+// lateNode returns the node that starts without a configuration, nil if there is none.
 func (h *simulatedHall) lateNode() *simulatedNode {
 	if !h.c.lateNode {
 		return nil
@@ -234,8 +232,8 @@
 	return h.nodes[len(h.nodes)-1]
 }
 
-// writeConfig has the operator write the configuration after so many changes, and returns
-// its version and when the store has it.
+// writeConfig writes the configuration after that many changes, and returns its version
+// and when the store has it.
 func (h *simulatedHall) writeConfig(changes int) (version int64, at time.Time) {
 	version = int64(1 + changes)
 	value, err := json.Marshal(onplatform.NewConfiguration(version, initialRoutes+changes*routesPerChange, hostCount))
@@ -245,7 +243,7 @@
 	return version, time.Now()
 }
 
-// readConfig reads the operator's table past all links.
+// readConfig reads the operator's table from the store directly, without the links.
 func (h *simulatedHall) readConfig() site.Listing {
 	direct := platform.NewStore(h.store.Addr())
 	defer direct.Close()
@@ -271,7 +269,7 @@
 	}
 }
 
-// freeze stops the reader and returns the nodes that go on.
+// freeze stops the reader and returns the other nodes.
 func (h *simulatedHall) freeze() (nodes []*simulatedNode) {
 	reader := h.reader()
 	reader.link.frozen.Store(true)
@@ -284,8 +282,8 @@
 	return nodes
 }
 
-// checkChange waits for the time of one change to pass and checks where the version is in
-// force, and what it has cost each node since it had received before.
+// checkChange waits until changeInterval has passed since a change, then checks at which
+// nodes the version is in force and how many bytes each has received since receivedBefore.
 func (h *simulatedHall) checkChange(nodes []*simulatedNode, version int64, at time.Time, receivedBefore []int64) {
 	time.Sleep(time.Until(at.Add(changeInterval)))
 	late, slowest, mostReceived := 0, time.Duration(0), int64(0)
@@ -311,7 +309,7 @@
 	assert.Check(h.t, mostReceived <= h.c.maxBytes, "a node received %d bytes for version %d, bound %d", mostReceived, version, h.c.maxBytes)
 }
 
-// received is how many bytes each node has received.
+// received returns how many bytes each node has received.
 func received(nodes []*simulatedNode) []int64 {
 	list := make([]int64, len(nodes))
 	for i, n := range nodes {
@@ -320,7 +318,7 @@
 	return list
 }
 
-// follower keeps up with the operator's table.
+// follower returns a follower of the operator's table.
 func (n *simulatedNode) follower() *follower {
 	return &follower{
 		store: n.readers, table: site.TableOperator, name: "operator", hold: longPollTimeout,
@@ -334,14 +332,14 @@
 	}
 }
 
-// preload has the node know what it has read before.
+// preload gives the node a configuration as if it had read it.
 func (n *simulatedNode) preload(f *follower, l site.Listing) {
 	n.readers.take(changesRequest{Table: site.TableOperator, Whole: true}, l, true)
 	f.apply(l.Rows, true, time.Now())
 	f.version, f.listed = l.Version, true
 }
 
-// recordInForce records that the configuration is in force.
+// recordInForce records since when the current version is in force.
 func (n *simulatedNode) recordInForce() {
 	s := n.siteState.Snapshot()
 	if s == nil {
@@ -354,15 +352,15 @@
 	}
 }
 
-// inForceSince is since when a version or a newer one is in force, zero if none is.
+// inForceSince returns since when a version or a newer one is in force, zero if none is.
 func (n *simulatedNode) inForceSince(version int64) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.inForce[version]
 }
 
-// cachingCodec decodes each configuration once for all nodes, which in the field have a
-// processor each, and knows only what the operator wrote, byte by byte.
+// cachingCodec decodes each configuration once for all nodes, which in production have a
+// processor each. It accepts only the exact bytes that were written.
 type cachingCodec struct {
 	platform.Codec
 
@@ -370,7 +368,7 @@
 	decoded map[string]*site.Snapshot // By the row's value.
 }
 
-// expect decodes what the operator is about to write.
+// expect decodes a configuration before it is written.
 func (c *cachingCodec) expect(value []byte) error {
 	s, err := c.Codec.Configuration(site.Row{Key: operatorKey, Value: value})
 	if err != nil {
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -89,8 +89,8 @@
 
 	nextForward map[string]time.Time // When the next sum of a hall may be forwarded.
 
-	// changed says that more was told since the pools were last told, which was at
-	// settled.
+	// changed says that loads were sent or received since the pools were last updated, at
+	// mergedAt.
 	changed  bool
 	mergedAt time.Time
 
@@ -258,7 +258,7 @@
 
 // sumHall returns the loads of all nodes of this hall, this one's included, and their
 // running totals for links.
-func (n *nodes) sumHall(own []route.ReplicaLoad, links linkTallies) (sum map[route.NameHash]route.PeerLoad, all linkTallies) {
+func (n *nodes) sumHall(own []route.ReplicaLoad, links linkTallies) (sum map[route.NameHash]route.PeerLoad, hallTotal linkTallies) {
 	sum = make(map[route.NameHash]route.PeerLoad, len(own))
 	addLoads(sum, own)
 	n.mu.Lock()
@@ -273,9 +273,9 @@
 	return sum, maps.Clone(n.loads.hallTallies)
 }
 
-func addLoads(sum map[route.NameHash]route.PeerLoad, list []route.ReplicaLoad) {
-	for i := range list {
-		sum[list[i].Key] = sum[list[i].Key].Plus(list[i].Load)
+func addLoads(sum map[route.NameHash]route.PeerLoad, loads []route.ReplicaLoad) {
+	for i := range loads {
+		sum[loads[i].Key] = sum[loads[i].Key].Plus(loads[i].Load)
 	}
 }
 
--- a/service/gateway/loads_test.go
+++ b/service/gateway/loads_test.go
@@ -15,8 +15,7 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// The sum of a large hall tells of the busiest replicas only: all of them would not
-// fit a datagram.
+// A hall's sum lists only the busiest replicas: all of them would not fit a datagram.
 func TestSumOfALargeHallFitsADatagram(t *testing.T) {
 	n := &nodes{self: control.Member{Name: "n0", DataHall: "h"}, cacheIndex: route.NewCacheIndex(), loads: newLoadState()}
 	const replicas = 3000
@@ -35,12 +34,12 @@
 	assert.Assert(t, slices.ContainsFunc(list, func(l route.ReplicaLoad) bool { return l.Key == busy }), "the busiest is told of")
 	text, err := json.Marshal(loadNote{Loads: packLoads(list)})
 	assert.NilError(t, err)
-	// Stores' tallies and the envelope take as much again at most.
+	// Link totals and the envelope take at most as much again.
 	const datagram = 16 << 10
 	assert.Assert(t, len(text) < datagram/2, "%d bytes", len(text))
 }
 
-// A speaker with a narrow link tells more seldom.
+// A speaker with a slow link sends less often.
 func TestSpeakerStaysWithinLinkShare(t *testing.T) {
 	narrow := &nodes{self: control.Member{Link: 10}}
 	assert.Equal(t, narrow.transmitTime(125_000), time.Second)
@@ -50,8 +49,8 @@
 	assert.Equal(t, unknown.transmitTime(125_000), time.Duration(0))
 }
 
-// A way on which notes are lost shows nothing: what was told on it must not be believed
-// for good, and what others tell must.
+// A lost datagram leaves no sign, so loads must expire once nothing more arrives from a
+// node, and those of other nodes must stay.
 func TestLoadsOfSilentNodeExpire(t *testing.T) {
 	n := newTestNodes(3)
 	now := time.Now()
@@ -59,10 +58,10 @@
 		n.loads.byNode[name] = receivedLoads{from: name, loads: []route.ReplicaLoad{{Key: route.HashName("r"), Load: route.PeerLoad{Requests: 1}}}, receivedAt: at}
 	}
 	n.mergePeerLoads(now)
-	_, heard := n.loads.byNode["a-1"]
-	assert.Assert(t, heard)
-	_, heard = n.loads.byNode["a-2"]
-	assert.Assert(t, !heard)
+	_, known := n.loads.byNode["a-1"]
+	assert.Assert(t, known)
+	_, known = n.loads.byNode["a-2"]
+	assert.Assert(t, !known)
 }
 
 func TestPackedLoadsRoundTrip(t *testing.T) {
@@ -93,7 +92,8 @@
 	})
 }
 
-// A later version may tell more of each replica; what is known of it here is still read.
+// A later version may send more numbers for each replica; the known ones must still be
+// read.
 func TestUnpackIgnoresNumbersOfLaterVersions(t *testing.T) {
 	later := []byte{0, 0, 0, 7}
 	later = binary.AppendUvarint(later, 1|1<<40)
@@ -104,16 +104,16 @@
 	assert.DeepEqual(t, got, []route.ReplicaLoad{{Key: 7, Load: route.PeerLoad{Requests: 3}}, {Key: 8, Load: route.PeerLoad{Memory: 5}}})
 }
 
-// A note that can't be read takes nothing away from what was heard before.
+// A note that can't be decoded must not remove loads received before.
 func TestUndecodableNoteIsCountedAndDropped(t *testing.T) {
 	n := newTestNodes(3)
-	tell := func(seq uint64, loads []byte) {
+	send := func(seq uint64, loads []byte) {
 		text, err := json.Marshal(loadNote{From: "a-1", Hall: "a", Boot: 1, Seq: seq, Loads: loads})
 		assert.NilError(t, err)
 		n.handleLoads(text)
 	}
-	tell(1, packLoads([]route.ReplicaLoad{{Key: 9, Load: route.PeerLoad{Requests: 4}}}))
-	tell(2, []byte{1, 2})
+	send(1, packLoads([]route.ReplicaLoad{{Key: 9, Load: route.PeerLoad{Requests: 4}}}))
+	send(2, []byte{1, 2})
 	n.handleLoads(json.RawMessage(`{"f": 1}`))
 	assert.Equal(t, n.notesDropped.Load(), int64(2))
 	assert.DeepEqual(t, n.sumPeerLoads(time.Now()), map[route.NameHash]route.PeerLoad{9: {Requests: 4}})
--- a/service/gateway/metrics.go
+++ b/service/gateway/metrics.go
@@ -169,8 +169,8 @@
 		Limits:            g.rateLimits.Status(),
 		Suspensions:       g.suspension.count.Load(),
 	}
-	config, heard, _ := g.siteState.Ages(now)
-	s.ConfigVersion, s.UpstreamListAge = config, heard.Seconds()
+	config, listAge, _ := g.siteState.Ages(now)
+	s.ConfigVersion, s.UpstreamListAge = config, listAge.Seconds()
 	for service, p := range g.siteState.Pools() {
 		all, usable := p.Count(now)
 		s.Replicas[service] = replicaCount{All: all, Usable: usable, Cold: p.CountCold(now), Excluded: p.Excluded(now)}
@@ -178,8 +178,8 @@
 	m.copyCounts(&s)
 	g.queuesMu.Lock()
 	defer g.queuesMu.Unlock()
-	for service, a := range g.queues {
-		s.Queues[service] = a.Status()
+	for service, queue := range g.queues {
+		s.Queues[service] = queue.Status()
 	}
 	return s
 }
@@ -187,11 +187,11 @@
 func (m *metrics) copyCounts(s *metricsStatus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for reason, n := range m.refused {
-		s.Refused[reason] = n
+	for reason, count := range m.refused {
+		s.Refused[reason] = count
 	}
-	for kind, n := range m.answeredByKind {
-		s.AnsweredByKind[kind] = n
+	for kind, count := range m.answeredByKind {
+		s.AnsweredByKind[kind] = count
 	}
 }
 
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -94,8 +94,8 @@
 	now := boottime.Now()
 	known := len(n.members.Working())
 	n.mu.Lock()
-	again := rediscoverInterval * time.Duration(max(1, known/rediscoverNodes))
-	due := !n.announced || known <= 1 || now.Sub(n.membersReadAt) >= again
+	interval := rediscoverInterval * time.Duration(max(1, known/rediscoverNodes))
+	due := !n.announced || known <= 1 || now.Sub(n.membersReadAt) >= interval
 	due = due && !now.Before(n.nextMembersRead)
 	n.mu.Unlock()
 	if !due {
--- a/service/gateway/nodes_test.go
+++ b/service/gateway/nodes_test.go
@@ -17,8 +17,8 @@
 	"github.com/drumpath/drumpath/service/suspects"
 )
 
-// A node that the store turns away and that knows others leaves it alone for a
-// while, and logs one line for the loss and one for the return.
+// A node that knows others and fails to read the list of nodes waits before it tries
+// again, and logs one line for the failure and one for the recovery.
 func TestFailedNodeListReadIsNotRetriedAtOnce(t *testing.T) {
 	self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1}
 	m := control.NewMembers(self, time.Second, nil, rand.New(rand.NewPCG(1, 2)))
@@ -50,11 +50,9 @@
 	assert.Equal(t, strings.Count(logged.String(), "nodes read again"), 1)
 }
 
-// Symptom: duties fell to a node without a name, so that nobody did them, and the nodes
-// under suspicion were missing from every list of those that work.
-// Sequence: one node was suspect; a list of the nodes that are well was made.
-// Cause: the list was made by deleting from the one that Members keeps for all callers.
-// What settled it: the kept list had ended with a zero member after one such call.
+// alive built its list by deleting suspect nodes from the list that Members shares between
+// its callers. That list then ended with a zero member and lacked the suspect nodes, so
+// duties fell to a node without a name and nobody did them.
 func TestAliveDoesNotModifyWorkingMembers(t *testing.T) {
 	n := newTestNodes(3)
 	before := slices.Clone(n.members.Working())
--- a/service/gateway/replica_updates_test.go
+++ b/service/gateway/replica_updates_test.go
@@ -16,13 +16,13 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// newTestNodes is a node's view of three halls of so many nodes each.
-func newTestNodes(each int) *nodes {
+// newTestNodes returns the state of a node that knows three halls with perHall nodes each.
+func newTestNodes(perHall int) *nodes {
 	self := control.Member{Name: "a-0", DataHall: "a", Incarnation: 1}
 	m := control.NewMembers(self, time.Second, nil, rand.New(rand.NewPCG(1, 2)))
 	var list []control.Member
 	for h, hall := range []string{"a", "b", "c"} {
-		for i := range each {
+		for i := range perHall {
 			list = append(list, control.Member{
 				Name: fmt.Sprint(hall, "-", i), DataHall: hall, Incarnation: 1,
 				Peer: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+100*h+i)),
@@ -33,8 +33,8 @@
 	return &nodes{self: self, members: m, log: slog.New(slog.DiscardHandler), loads: newLoadState(), siteState: &SiteState{}}
 }
 
-// A roll-out over 3,000 replicas told to each of 300 nodes took nine tenths of a
-// day's worth in bytes between halls.
+// Sent to each of 300 nodes, the updates of a roll-out over 3,000 replicas took nine
+// tenths of the traffic between halls that a day allows.
 func TestReplicaUpdatesGoThroughOneRelayPerLargeHall(t *testing.T) {
 	small := newTestNodes(3)
 	direct, relays := small.updateRecipients(0)
@@ -44,8 +44,8 @@
 	direct, relays = large.updateRecipients(0)
 	assert.Equal(t, len(direct), 0)
 	assert.Equal(t, len(relays), 3)
-	_, again := large.updateRecipients(1)
-	for _, r := range again {
+	_, secondTry := large.updateRecipients(1)
+	for _, r := range secondTry {
 		for _, first := range relays {
 			assert.Assert(t, r != first, "another node is asked the second time")
 		}
@@ -53,15 +53,15 @@
 }
 
 func TestReplicaUpdatesAreRelayedInHall(t *testing.T) {
-	heard := make(chan replicaUpdatesNote, 1)
-	// An address that no other process listens at.
+	received := make(chan replicaUpdatesNote, 1)
+	// An address at which no other process listens.
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 77, byte(os.Getpid()), byte(os.Getpid() >> 8)}), 8004)
 	listener, err := peer.NewProbes(addr, "key", nil, slog.New(slog.DiscardHandler))
 	assert.NilError(t, err)
 	listener.OnNote(noteReplicaUpdates, func(params json.RawMessage) {
-		var w replicaUpdatesNote
-		assert.Check(t, json.Unmarshal(params, &w))
-		heard <- w
+		var got replicaUpdatesNote
+		assert.Check(t, json.Unmarshal(params, &got))
+		received <- got
 	})
 	listener.Start()
 	t.Cleanup(listener.Close)
@@ -74,7 +74,7 @@
 	assert.NilError(t, err)
 	n.probes.Start()
 	n.handleReplicaUpdates(note)
-	w := <-heard
-	assert.Equal(t, w.Updates[0].Replica, "r")
-	assert.Assert(t, !w.Relay, "told on once only")
+	got := <-received
+	assert.Equal(t, got.Updates[0].Replica, "r")
+	assert.Assert(t, !got.Relay, "told on once only")
 }
--- a/service/gateway/site_state.go
+++ b/service/gateway/site_state.go
@@ -136,19 +136,19 @@
 }
 
 // configure puts a configuration in force unless that one or a newer one already is.
-func (st *SiteState) configure(s *site.Snapshot) {
+func (st *SiteState) configure(next *site.Snapshot) {
 	for {
 		old := st.snapshot.Load()
-		if old != nil && old.Version >= s.Version {
+		if old != nil && old.Version >= next.Version {
 			return
 		}
-		if st.snapshot.CompareAndSwap(old, s) {
+		if st.snapshot.CompareAndSwap(old, next) {
 			break
 		}
 	}
-	st.cacheIndex.Configure(s.Stores())
-	st.applyColdLimits(s)
-	st.log.Info("configuration in force", "version", s.Version, "routes", len(s.Routes()))
+	st.cacheIndex.Configure(next.Stores())
+	st.applyColdLimits(next)
+	st.log.Info("configuration in force", "version", next.Version, "routes", len(next.Routes()))
 }
 
 // ApplyWeights records a version of a model's weights if it is newer than the known one.
@@ -202,14 +202,14 @@
 	if n.version <= version {
 		return time.Time{}
 	}
-	at := n.since
+	replaced := n.since
 	for _, o := range slices.Backward(n.older) {
 		if o.version <= version {
 			break
 		}
-		at = o.since
+		replaced = o.since
 	}
-	return at
+	return replaced
 }
 
 // NewestWeights returns the newest version of the weights of each model.
--- a/service/gateway/site_state_test.go
+++ b/service/gateway/site_state_test.go
@@ -12,7 +12,7 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Each version's time counts from its own naming, whatever came behind it.
+// A version counts as replaced from when the next one became known, not from later ones.
 func TestReplacedAtReturnsTimeOfNextVersion(t *testing.T) {
 	st := NewSiteState(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
 	t0 := time.Now()
@@ -21,7 +21,7 @@
 	st.ApplyWeights("m", 1, at(0))
 	st.ApplyWeights("m", 2, at(10))
 	st.ApplyWeights("m", 4, at(14))
-	st.ApplyWeights("m", 3, at(15)) // Told late by another node.
+	st.ApplyWeights("m", 3, at(15)) // Arrives late from another node.
 	assert.Equal(t, st.ReplacedAt("m", 1), at(10))
 	assert.Equal(t, st.ReplacedAt("m", 2), at(14))
 	assert.Equal(t, st.ReplacedAt("m", 3), at(14))
@@ -33,13 +33,9 @@
 	assert.Assert(t, version == 4 && since.Equal(at(14)))
 }
 
-// Symptom: a node stood still for good: it answered nobody and did not stop.
-// Sequence: a prompt's parts are looked up, which asks when weights were replaced, while the
-// list of upstreams tells that a replica has started again under its ID.
-// Cause: what the replica had held was forgotten with the lock of the beliefs held, and the
-// look-up asks the beliefs with that of the held parts.
-// What settled it: a dump of the process, with SiteState.take waiting in CacheIndex.ResetEngine and
-// everything else for the beliefs.
+// A cache look-up holds the index's lock and calls ReplacedAt. A restarted replica in the
+// upstream list resets its part of the index; doing so with SiteState's lock held
+// deadlocked the node.
 func TestReplicaRestartDoesNotDeadlockCacheLookup(t *testing.T) {
 	k := route.NewCacheIndex()
 	st := NewSiteState(nil, "h", time.Second, k, slog.New(slog.DiscardHandler))
@@ -50,15 +46,15 @@
 		defer close(done)
 		realm := func(version int64) route.Realm {
 			close(inside)
-			time.Sleep(100 * time.Millisecond) // For the list to come meanwhile.
+			time.Sleep(100 * time.Millisecond) // The upstream list is applied meanwhile.
 			return route.Realm{Name: "r", CompleteBefore: st.ReplacedAt("m", version)}
 		}
 		k.Coverage([]site.Upstream{u}, "m", realm, []site.Part{{ID: "p", Tokens: 10}}, &site.Engine{}, time.Second, time.Now())
 	}()
 	<-inside
-	again := u
-	again.Started = time.UnixMilli(2)
-	go st.applyRow(again, time.Now())
+	restarted := u
+	restarted.Started = time.UnixMilli(2)
+	go st.applyRow(restarted, time.Now())
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
@@ -74,20 +70,21 @@
 
 func (c fixedUpstreamCodec) Upstream(site.Row) (site.Upstream, error) { return c.u, nil }
 
-// applyRow takes in a row of an upstream.
+// applyRow applies a row that decodes as u.
 func (st *SiteState) applyRow(u site.Upstream, now time.Time) {
 	st.codec = fixedUpstreamCodec{u: u}
 	st.ApplyUpstreams([]site.Row{{Key: u.ID, Version: u.Started.UnixMilli()}}, false, now)
 }
 
-// A replica said in its answers that it drains, and its row, which is late or comes again, said that it is ready.
+// A replica reported in a response that it drains. Its row, late or written again, says
+// that it is ready, and must not bring it back.
 func TestDrainingInResponseOverridesStoreList(t *testing.T) {
 	st := NewSiteState(nil, "h", time.Second, route.NewCacheIndex(), slog.New(slog.DiscardHandler))
 	now := time.Now()
 	u := site.Upstream{ID: "e", Service: "s", DataHall: "h", Started: time.UnixMilli(5)}
 	st.applyRow(u, now)
 	p := st.Pool("s")
-	row := func(version int64, gone bool) {
+	applyVersion := func(version int64, gone bool) {
 		st.ApplyUpstreams([]site.Row{{Key: "e", Version: version, Gone: gone}}, false, now)
 	}
 	assert.Assert(t, p.Accepts(&u, now))
@@ -95,18 +92,18 @@
 	assert.Assert(t, !st.ApplyDraining(route.RefOf(&u), now))
 	assert.Assert(t, !p.Accepts(&u, now))
 	assert.Assert(t, !p.IsActive("e"))
-	row(6, false)
+	applyVersion(6, false)
 	assert.Assert(t, !p.Accepts(&u, now), "written once more as ready")
-	row(7, true)
-	row(8, false)
+	applyVersion(7, true)
+	applyVersion(8, false)
 	assert.Assert(t, !p.Accepts(&u, now), "gone, and written again")
 
-	again := u
-	again.Started = time.UnixMilli(9)
-	st.applyRow(again, now)
-	assert.Assert(t, p.Accepts(&again, now), "it has started again")
+	restarted := u
+	restarted.Started = time.UnixMilli(9)
+	st.applyRow(restarted, now)
+	assert.Assert(t, p.Accepts(&restarted, now), "it has started again")
 	assert.Assert(t, !st.ApplyDraining(route.RefOf(&u), now), "its former start's answer comes late")
-	assert.Assert(t, p.Accepts(&again, now))
+	assert.Assert(t, p.Accepts(&restarted, now))
 }
 
 func TestDrainingStartsAreForgotten(t *testing.T) {
