--- a/service/gateway/control_bench_test.go
+++ b/service/gateway/control_bench_test.go
@@ -60,7 +60,7 @@
 
 // newHallSumNote returns a note with a hall's loads at all engines.
 func newHallSumNote(b *testing.B, hall string, seq uint64, engines int) json.RawMessage {
-	s := loadNote{From: "front-x" + hall, Hall: hall, Boot: 1, Seq: seq}
+	s := loadNote{From: "front-x" + hall, Hall: hall, Incarnation: 1, Seq: seq}
 	var loads []route.ReplicaLoad
 	for i := range engines {
 		load := route.PeerLoad{Requests: 1 + i%3, Memory: 9000 + i, Tokens: route.BandTokens{i % 2 * 1500, i % 5 * 1700}}
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -47,10 +47,10 @@
 // loadNote is the loads of one node, or of its hall if a speaker sends it. Its JSON names
 // are short because it is sent many times a second.
 type loadNote struct {
-	From string `json:"f"`
-	Hall string `json:"h"`
-	Boot uint64 `json:"b"`
-	Seq  uint64 `json:"q"`
+	From        string `json:"f"`
+	Hall        string `json:"h"`
+	Incarnation uint64 `json:"b"`
+	Seq         uint64 `json:"q"`
 	// Loads are the requests in flight at replicas, Links the running totals of each
 	// store's link; both are packed.
 	Loads []byte `json:"l,omitempty"`
@@ -165,7 +165,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loads.seq++
-	return loadNote{From: n.self.Name, Hall: n.self.DataHall, Boot: n.incarnation, Seq: n.loads.seq}
+	return loadNote{From: n.self.Name, Hall: n.self.DataHall, Incarnation: n.incarnation, Seq: n.loads.seq}
 }
 
 // ownLoads returns what this node itself has in flight.
@@ -195,9 +195,9 @@
 func (n *nodes) speakers() map[string]control.Member {
 	view := n.members.View()
 	n.mu.Lock()
-	list, known := n.loads.speakers, n.loads.speakersView
+	list, computedFor := n.loads.speakers, n.loads.speakersView
 	n.mu.Unlock()
-	if list != nil && known == view {
+	if list != nil && computedFor == view {
 		return list
 	}
 	list = map[string]control.Member{}
@@ -266,9 +266,9 @@
 	for _, state := range n.loads.byNode {
 		addLoads(sum, state.loads)
 	}
-	for store, t := range links {
-		n.loads.hallTallies[store] = n.loads.hallTallies[store].Plus(t.Since(n.loads.ownTallies[store]))
-		n.loads.ownTallies[store] = t
+	for store, tally := range links {
+		n.loads.hallTallies[store] = n.loads.hallTallies[store].Plus(tally.Since(n.loads.ownTallies[store]))
+		n.loads.ownTallies[store] = tally
 	}
 	return sum, maps.Clone(n.loads.hallTallies)
 }
--- a/service/gateway/loads_received.go
+++ b/service/gateway/loads_received.go
@@ -10,23 +10,23 @@
 
 // receivedLoads is a decoded loadNote and when it was received.
 type receivedLoads struct {
-	from       string
-	hall       string
-	boot       uint64
-	seq        uint64
-	loads      []route.ReplicaLoad
-	links      linkTallies
-	receivedAt time.Time
+	from        string
+	hall        string
+	incarnation uint64
+	seq         uint64
+	loads       []route.ReplicaLoad
+	links       linkTallies
+	receivedAt  time.Time
 }
 
-func decodeLoads(s *loadNote, now time.Time) (h receivedLoads, err error) {
-	h = receivedLoads{from: s.From, hall: s.Hall, boot: s.Boot, seq: s.Seq, receivedAt: now}
-	if h.loads, err = unpackLoads(s.Loads); err != nil {
-		return h, err
+func decodeLoads(note *loadNote, now time.Time) (r receivedLoads, err error) {
+	r = receivedLoads{from: note.From, hall: note.Hall, incarnation: note.Incarnation, seq: note.Seq, receivedAt: now}
+	if r.loads, err = unpackLoads(note.Loads); err != nil {
+		return r, err
 	}
-	links, err := unpackTallies(s.Links)
-	h.links = newLinkTallies(links)
-	return h, err
+	links, err := unpackTallies(note.Links)
+	r.links = newLinkTallies(links)
+	return r, err
 }
 
 // handleLoads takes in the loads of another node of this hall.
@@ -106,7 +106,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	old = received[key(&note)]
-	same := s.from == old.from && s.boot == old.boot
+	same := s.from == old.from && s.incarnation == old.incarnation
 	if same && s.seq <= old.seq && now.Sub(old.receivedAt) < loadExpiry {
 		return note, s, old, false
 	}
@@ -119,7 +119,7 @@
 // node.
 func (s *receivedLoads) talliesSince(old receivedLoads) linkTallies {
 	added := linkTallies{}
-	if s.boot != old.boot || s.from != old.from {
+	if s.incarnation != old.incarnation || s.from != old.from {
 		return added
 	}
 	for store, t := range s.links {
@@ -130,11 +130,11 @@
 	return added
 }
 
-// addPeerTallies accounts other nodes' transfers on the links.
+// addPeerTallies counts other nodes' transfers towards the use of the links.
 func (n *nodes) addPeerTallies(links linkTallies) {
 	now := boottime.Now()
-	for store, t := range links {
-		n.cacheIndex.AddPeerTally(store, t, now)
+	for store, tally := range links {
+		n.cacheIndex.AddPeerTally(store, tally, now)
 	}
 }
 
--- a/service/gateway/loads_test.go
+++ b/service/gateway/loads_test.go
@@ -31,7 +31,7 @@
 	list := busiest(sum, maxSumReplicas)
 	assert.Equal(t, len(list), maxSumReplicas)
 	busy := route.HashName(fmt.Sprintf("i-%012d", replicas-1))
-	assert.Assert(t, slices.ContainsFunc(list, func(l route.ReplicaLoad) bool { return l.Key == busy }), "the busiest is told of")
+	assert.Assert(t, slices.ContainsFunc(list, func(l route.ReplicaLoad) bool { return l.Key == busy }), "the busiest replica is in the sum")
 	text, err := json.Marshal(loadNote{Loads: packLoads(list)})
 	assert.NilError(t, err)
 	// Link totals and the envelope take at most as much again.
@@ -108,7 +108,7 @@
 func TestUndecodableNoteIsCountedAndDropped(t *testing.T) {
 	n := newTestNodes(3)
 	send := func(seq uint64, loads []byte) {
-		text, err := json.Marshal(loadNote{From: "a-1", Hall: "a", Boot: 1, Seq: seq, Loads: loads})
+		text, err := json.Marshal(loadNote{From: "a-1", Hall: "a", Incarnation: 1, Seq: seq, Loads: loads})
 		assert.NilError(t, err)
 		n.handleLoads(text)
 	}
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -103,10 +103,10 @@
 	}
 	rows, err := n.readNodes(ctx)
 	n.mu.Lock()
-	firstFailure := n.readFailedSince.IsZero()
+	wasReadable := n.readFailedSince.IsZero()
 	failedFor := now.Sub(n.readFailedSince)
 	if err != nil {
-		if firstFailure {
+		if wasReadable {
 			n.readFailedSince = now
 		}
 		if known > 1 {
@@ -118,12 +118,12 @@
 	n.mu.Unlock()
 	switch {
 	case err == nil:
-		if !firstFailure {
+		if !wasReadable {
 			n.log.Info("nodes read again", "away", failedFor)
 		}
 		n.addSeeds(rows)
 		n.coldShares.markMembersRead(now)
-	case firstFailure:
+	case wasReadable:
 		n.log.Warn("nodes not read", "err", err)
 	}
 }
@@ -137,6 +137,7 @@
 	return l.Rows, eris.Wrap(err, "read the nodes' addresses")
 }
 
+// announce writes this node's address unless that is done.
 func (n *nodes) announce(ctx context.Context) error {
 	n.mu.Lock()
 	done := n.announced
--- a/service/gateway/replica_updates_test.go
+++ b/service/gateway/replica_updates_test.go
@@ -76,5 +76,5 @@
 	n.handleReplicaUpdates(note)
 	got := <-received
 	assert.Equal(t, got.Updates[0].Replica, "r")
-	assert.Assert(t, !got.Relay, "told on once only")
+	assert.Assert(t, !got.Relay, "relayed only once")
 }
--- a/service/gateway/site_state_test.go
+++ b/service/gateway/site_state_test.go
@@ -88,7 +88,7 @@
 		st.ApplyUpstreams([]site.Row{{Key: "e", Version: version, Gone: gone}}, false, now)
 	}
 	assert.Assert(t, p.Accepts(&u, now))
-	assert.Assert(t, st.ApplyDraining(route.RefOf(&u), now), "it is news, and told at once")
+	assert.Assert(t, st.ApplyDraining(route.RefOf(&u), now), "new, so it is broadcast")
 	assert.Assert(t, !st.ApplyDraining(route.RefOf(&u), now))
 	assert.Assert(t, !p.Accepts(&u, now))
 	assert.Assert(t, !p.IsActive("e"))
--- a/service/gateway/wiring.go
+++ b/service/gateway/wiring.go
@@ -96,12 +96,12 @@
 		func(m *control.Members, c *peer.Client) *suspects.Suspects {
 			return suspects.New(self, m, p.Store, c, log)
 		},
-		func(m *control.Members, c *peer.Client, o *coldShares) *ratelimit.Limits {
-			return ratelimit.New(self, m, c, o.membersKnown, log)
+		func(m *control.Members, c *peer.Client, shares *coldShares) *ratelimit.Limits {
+			return ratelimit.New(self, m, c, shares.membersKnown, log)
 		},
-		func(b *SiteState, n *nodes, l *ratelimit.Limits) *rollout.Rollout {
-			f := &rolloutFleet{siteState: b, nodes: n, within: s.Orders.Within.Std()}
-			r := rollout.New(s.Node.Name, s.Orders.Pause.Std(), p.Store, countedOrders{p.Engines, b, l}, f, log)
+		func(st *SiteState, n *nodes, limits *ratelimit.Limits) *rollout.Rollout {
+			f := &rolloutFleet{siteState: st, nodes: n, within: s.Orders.Within.Std()}
+			r := rollout.New(s.Node.Name, s.Orders.Pause.Std(), p.Store, countedOrders{p.Engines, st, limits}, f, log)
 			if s.Disabled.SwapBound {
 				r.SetUnbounded()
 			}
@@ -142,23 +142,25 @@
 
 // newNodes creates the exchange with other nodes and registers the handlers of its
 // datagrams.
-func newNodes(s config.GatewaySettings, self control.Member, m *control.Members, shares *coldShares, x *suspects.Suspects, l *ratelimit.Limits, st Store, siteState *SiteState, cacheIndex *route.CacheIndex, log *slog.Logger) (*nodes, error) {
+func newNodes(s config.GatewaySettings, self control.Member, members *control.Members, shares *coldShares, sus *suspects.Suspects, limits *ratelimit.Limits, store Store, siteState *SiteState, cacheIndex *route.CacheIndex, log *slog.Logger) (*nodes, error) {
 	n := &nodes{
 		self:        self,
 		regions:     s.Regions,
 		coldShares:  shares,
-		suspects:    x,
-		rateLimits:  l,
-		members:     m,
-		store:       st,
+		suspects:    sus,
+		rateLimits:  limits,
+		members:     members,
+		store:       store,
 		siteState:   siteState,
 		cacheIndex:  cacheIndex,
 		log:         log,
 		loads:       newLoadState(),
 		loadsDue:    make(chan struct{}, 1),
-		incarnation: m.Self().Incarnation,
+		incarnation: members.Self().Incarnation,
+	}
+	handle := func(from netip.AddrPort, p control.Probe) []control.Packet {
+		return members.Handle(from, p, time.Now(), 0)
 	}
-	handle := func(from netip.AddrPort, p control.Probe) []control.Packet { return m.Handle(from, p, time.Now(), 0) }
 	var err error
 	if n.probes, err = peer.NewProbes(s.Peer.Listen, s.Peer.Key, handle, log); err != nil {
 		return nil, err
@@ -166,49 +168,49 @@
 	n.probes.OnNote(noteLoads, n.handleLoads)
 	n.probes.OnNote(noteHallLoads, n.handleHallLoads)
 	n.probes.OnNote(noteReplicaUpdates, n.handleReplicaUpdates)
-	n.probes.OnNote(suspects.NoteCases, x.HandleCases)
-	n.probes.OnNote(suspects.NoteDigest, x.HandleDigest)
-	x.SetNotifier(suspectNotifier{n})
-	l.SetAnnouncer(n)
+	n.probes.OnNote(suspects.NoteCases, sus.HandleCases)
+	n.probes.OnNote(suspects.NoteDigest, sus.HandleDigest)
+	sus.SetNotifier(suspectNotifier{n})
+	limits.SetAnnouncer(n)
 	return n, nil
 }
 
 // newPeers creates the server for calls from other nodes.
-func newPeers(s config.GatewaySettings, r *readers, w *watchers, h *holdings, x *suspects.Suspects, l *ratelimit.Limits, log *slog.Logger) (*peer.Server, error) {
+func newPeers(s config.GatewaySettings, readers *readers, watchers *watchers, holdings *holdings, sus *suspects.Suspects, limits *ratelimit.Limits, log *slog.Logger) (*peer.Server, error) {
 	server, err := peer.NewServer(s.Peer.Listen, map[peer.Role]string{peer.RolePeer: s.Peer.Key}, log)
 	if err != nil {
 		return nil, err
 	}
-	server.Handle(peer.RolePeer, methodChanges, r.serve)
-	server.Handle(peer.RolePeer, methodEvents, w.serve)
-	server.Handle(peer.RolePeer, methodEventsOf, w.serveSeveral)
-	server.Handle(peer.RolePeer, methodHeld, h.serve)
-	server.Handle(peer.RolePeer, suspects.MethodRun, x.ServeRun)
-	server.Handle(peer.RolePeer, suspects.MethodRunEnded, x.ServeRunEnded)
-	server.Handle(peer.RolePeer, ratelimit.MethodTake, peer.Handle(l.ServeTake))
-	server.Handle(peer.RolePeer, ratelimit.MethodRate, peer.Handle(l.ServeRate))
-	server.Handle(peer.RolePeer, ratelimit.MethodSpend, peer.Handle(l.ServeSpend))
+	server.Handle(peer.RolePeer, methodChanges, readers.serve)
+	server.Handle(peer.RolePeer, methodEvents, watchers.serve)
+	server.Handle(peer.RolePeer, methodEventsOf, watchers.serveSeveral)
+	server.Handle(peer.RolePeer, methodHeld, holdings.serve)
+	server.Handle(peer.RolePeer, suspects.MethodRun, sus.ServeRun)
+	server.Handle(peer.RolePeer, suspects.MethodRunEnded, sus.ServeRunEnded)
+	server.Handle(peer.RolePeer, ratelimit.MethodTake, peer.Handle(limits.ServeTake))
+	server.Handle(peer.RolePeer, ratelimit.MethodRate, peer.Handle(limits.ServeRate))
+	server.Handle(peer.RolePeer, ratelimit.MethodSpend, peer.Handle(limits.ServeSpend))
 	return server, nil
 }
 
 func newStores(
 	self control.Member,
 	e Engines,
-	w *watchers,
-	b *SiteState,
-	k *route.CacheIndex,
-	m *control.Members,
-	c *replicaClock,
+	watchers *watchers,
+	siteState *SiteState,
+	cacheIndex *route.CacheIndex,
+	members *control.Members,
+	clock *replicaClock,
 	log *slog.Logger,
 ) *stores {
 	return &stores{
 		engines: e,
-		watch:   w,
-		beliefs: b,
-		kept:    k,
-		members: m,
+		watch:   watchers,
+		beliefs: siteState,
+		kept:    cacheIndex,
+		members: members,
 		self:    self.Name,
-		clock:   c,
+		clock:   clock,
 		log:     log,
 		watched: map[string]*followedStore{},
 		tellers: map[netip.AddrPort]context.CancelFunc{},
