--- a/service/gateway/attempt.go
+++ b/service/gateway/attempt.go
@@ -217,7 +217,7 @@
 		return
 	}
 	if n := x.g.conns.closeIdle(a.choice.ID); n > 0 {
-		x.g.metrics.dropped.Add(int64(n))
+		x.g.metrics.idleConnsClosed.Add(int64(n))
 		x.g.log.Warn("idle connections closed", "request", x.info.ID, "replica", a.choice.ID, "quiet", silence, "closed", n)
 	}
 }
--- a/service/gateway/client_conn.go
+++ b/service/gateway/client_conn.go
@@ -151,7 +151,7 @@
 	c.setReadTimeout(c.g.limits().IdleTimeout)
 	c.setState(connIdle)
 	defer c.setState(connReadingHead)
-	if !c.g.serving() {
+	if !c.g.keepsIdleConns() {
 		c.endIdle()
 	}
 	return <-c.firstByte == nil
@@ -222,7 +222,7 @@
 		shouldClose: func() bool { return clientCloses || c.g.stopping() },
 	}
 	// If it fails, so does the next write.
-	_ = c.conn.SetWriteDeadline(boottime.Monotonic(receivedAt.Add(c.g.holdMost(&info) + writeGrace)))
+	_ = c.conn.SetWriteDeadline(boottime.Monotonic(receivedAt.Add(c.g.maxRequestTime(&info) + writeGrace)))
 	c.g.inFlight.Add(1)
 	defer c.g.inFlight.Add(-1)
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -274,7 +274,7 @@
 	default:
 		return
 	}
-	c.g.metrics.refusal(f.reason)
+	c.g.metrics.countRefusal(f.reason)
 	_ = c.conn.SetWriteDeadline(time.Now().Add(lingerTimeout)) // If it fails, so does the next write.
 	if _, err := c.conn.Write(f.encode(c.g.codec, "", true)); err != nil {
 		return
--- a/service/gateway/directory.go
+++ b/service/gateway/directory.go
@@ -13,28 +13,28 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// sideServer answers small questions beside the requests: whether the node is
-// ready, and where callers are to go.
-type sideServer struct {
+// auxServer serves HTTP other than clients' requests: readiness, the directory and
+// metrics.
+type auxServer struct {
 	ln   net.Listener
 	http *fasthttp.Server
 	done chan struct{}
 }
 
-func newSideServer(addr string, r *router.Router) (s *sideServer, err error) {
-	defer func() { err = eris.Wrap(err, "side server") }()
+func newAuxServer(addr string, r *router.Router) (s *auxServer, err error) {
+	defer func() { err = eris.Wrap(err, "auxiliary HTTP server") }()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &sideServer{
+	return &auxServer{
 		ln:   ln,
 		http: &fasthttp.Server{Handler: r.Handler, NoDefaultServerHeader: true, CloseOnShutdown: true},
 		done: make(chan struct{}),
 	}, nil
 }
 
-func (s *sideServer) start(g *Gateway) {
+func (s *auxServer) start(g *Gateway) {
 	go func() {
 		defer close(s.done)
 		if err := s.http.Serve(&listener{Listener: s.ln, log: g.log}); err != nil {
@@ -43,13 +43,13 @@
 	}()
 }
 
-// close stops serving; it does not wait for clients that keep a connection.
-func (s *sideServer) close() {
-	_ = s.ln.Close() // Serving ends all the same.
+// close stops serving. It does not wait for open connections.
+func (s *auxServer) close() {
+	_ = s.ln.Close() // Serving ends even if this fails.
 	<-s.done
 }
 
-// readyRoutes answers the platform's question whether clients may be sent here.
+// readyRoutes serves the platform's readiness check.
 func (g *Gateway) readyRoutes() *router.Router {
 	r := router.New()
 	r.GET(g.platform.Paths.Ready, func(c *fasthttp.RequestCtx) {
@@ -60,13 +60,13 @@
 	return r
 }
 
-// directoryRoutes answers callers that ask where to go.
+// directoryRoutes serves clients that ask which nodes to use.
 func (g *Gateway) directoryRoutes() *router.Router {
 	r := router.New()
 	r.GET(g.platform.Paths.Resolve, func(c *fasthttp.RequestCtx) {
 		q := c.QueryArgs()
 		hall, region := string(q.Peek(g.platform.Paths.DataHall)), string(q.Peek(g.platform.Paths.Region))
-		addrs := g.nodes.entries(hall, region, g.homesOf(string(q.Peek(g.platform.Paths.Host))))
+		addrs := g.nodes.entryAddrs(hall, region, g.homesOf(string(q.Peek(g.platform.Paths.Host))))
 		g.checkSuspension()
 		if len(addrs) == 0 || !g.synced() {
 			c.SetStatusCode(http.StatusServiceUnavailable)
@@ -77,25 +77,24 @@
 	return r
 }
 
-// homesOf are the regions in which requests to a host may run, nil where some of its routes
-// may in all, or there are none.
+// homesOf returns the regions in which requests to a host may run, nil if the host has no
+// routes or one of them allows all regions.
 func (g *Gateway) homesOf(host string) (homes []string) {
-	s := g.beliefs.Snapshot()
+	s := g.siteState.Snapshot()
 	if s == nil {
 		return nil
 	}
 	return s.HomesOf(host)
 }
 
-// metricsRoutes serves the node's figures, and a dump of what it believes of each
-// replica.
+// metricsRoutes serves the node's metrics and a dump of the state of each replica.
 func (g *Gateway) metricsRoutes() *router.Router {
 	r := router.New()
 	r.GET("/metrics", func(c *fasthttp.RequestCtx) { writeJSON(c, g.status()) })
 	r.GET("/state", func(c *fasthttp.RequestCtx) {
 		state := map[string][]route.PoolReplicaStatus{}
-		g.nodes.settle(boottime.Now())
-		for service, p := range g.beliefs.Pools() {
+		g.nodes.refreshPeerLoads(boottime.Now())
+		for service, p := range g.siteState.Pools() {
 			state[service] = p.Status(boottime.Now())
 		}
 		writeJSON(c, state)
--- a/service/gateway/engine_caches.go
+++ b/service/gateway/engine_caches.go
@@ -162,7 +162,7 @@
 // route.SelectTracked.
 func (h *engineCacheFollower) chooseEngines(s *site.Snapshot) map[string][]site.Upstream {
 	byHall := map[string][]site.Upstream{}
-	if s == nil || h.state.without.Held {
+	if s == nil || h.state.disabled.Held {
 		return byHall
 	}
 	pools := map[string]*route.Pool{}
@@ -287,7 +287,7 @@
 		if lost {
 			h.log.Info("engine event stream restored", "replica", u.ID, "boot", c.Boot)
 		}
-		h.clock.hear(c.Clock, boottime.Now())
+		h.clock.update(c.Clock, boottime.Now())
 		full := since == 0 || c.Lost || c.Boot != boot
 		if full || lost || len(c.Changes) > 0 {
 			h.apply(newCacheUpdate(u.ID, full, c))
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -86,7 +86,7 @@
 		x.refuse(f)
 		return
 	}
-	x.g.budget(x.service.Name).AddRequest(x.receivedAt)
+	x.g.retryBudget(x.service.Name).AddRequest(x.receivedAt)
 	ctx, cancel := context.WithTimeout(ctx, boottime.Until(x.deadline))
 	defer cancel()
 	defer func() { x.leaveQueue(boottime.Now()) }()
@@ -108,7 +108,7 @@
 func (x *exchange) endRequest(ctx context.Context, f refusal) {
 	switch {
 	case context.Cause(ctx) == errClientLeft:
-		x.g.metrics.left.Add(1)
+		x.g.metrics.clientsLeft.Add(1)
 		x.g.log.Info("client left", "request", x.info.ID, "route", x.route.Name, "after", boottime.Since(x.receivedAt), "attempts", x.mayHaveRun)
 		x.out.abort()
 	case context.Cause(ctx) == errNodeStopped:
@@ -160,7 +160,7 @@
 	a.realm = dispatch.Realm
 	x.leaveQueue(now)
 	if x.pickInput.Tokens > 0 {
-		x.g.nodes.soon()
+		x.g.nodes.sendLoadsSoon()
 	}
 	result, err := a.sendRequest(ctx, x, dispatch)
 	defer func() {
@@ -211,10 +211,10 @@
 // recordUnreachable records that a replica can't be reached.
 func (x *exchange) recordUnreachable(u *site.Upstream, now time.Time) {
 	if x.pool.RecordUnreachable(u.ID, now) {
-		x.g.nodes.doubt(route.RefOf(u))
+		x.g.nodes.announceUnreachable(route.RefOf(u))
 	}
 	x.g.conns.closeIdle(u.ID)
-	x.g.kept.AvoidEngine(u.ID, now.Add(unreachableFetchPause))
+	x.g.cacheIndex.AvoidEngine(u.ID, now.Add(unreachableFetchPause))
 }
 
 // handleNotRun decides how to go on when the replica refused the request.
@@ -224,7 +224,7 @@
 	x.recordRefusal(a, now)
 	x.pickInput.Exclude = append(x.pickInput.Exclude, a.choice.ID)
 	x.notRunCount++
-	x.g.metrics.notRun.Add(1)
+	x.g.metrics.refusedByReplicas.Add(1)
 	x.g.log.Info("replica refused", "request", x.info.ID, "replica", a.choice.ID, "status", a.head.Status,
 		"weights", a.choice.Weights, "newest", x.pickInput.NewestVersion, "limit", a.info.Limit.String(),
 		"draining", a.info.Draining, "backoff", a.info.Backoff, "not_run", x.notRunCount)
@@ -263,7 +263,7 @@
 		return
 	}
 	x.pool.Avoid(a.choice.ID, now.Add(reusedAddressPause))
-	x.g.kept.AvoidEngine(a.choice.ID, now.Add(reusedAddressPause))
+	x.g.cacheIndex.AvoidEngine(a.choice.ID, now.Add(reusedAddressPause))
 }
 
 // handleUnknown decides how to go on when the connection was lost while the request may
@@ -301,7 +301,7 @@
 	if x.deadline.Sub(now) < minTimeLeft {
 		return false
 	}
-	return x.g.budget(x.service.Name).Take(now)
+	return x.g.retryBudget(x.service.Name).Take(now)
 }
 
 // deadlineRefusal is the answer at the deadline. It says whether the request may have
@@ -393,7 +393,7 @@
 // recordFirstByte records that the first byte of the answer's body has arrived.
 func (x *exchange) recordFirstByte(a *attempt, now time.Time) {
 	if a.firstByteAfter == 0 && a.realm != "" {
-		x.g.kept.RecordPrefill(a.choice.ID, a.realm, x.info.Shared())
+		x.g.cacheIndex.RecordPrefill(a.choice.ID, a.realm, x.info.Shared())
 	}
 	a.recordFirstByte(now)
 	x.leaveQueue(now)
@@ -412,7 +412,7 @@
 }
 
 func (x *exchange) refuse(f refusal) {
-	x.g.metrics.refusal(f.reason)
+	x.g.metrics.countRefusal(f.reason)
 	x.logRefusal(f, boottime.Now())
 	x.out.writeMessage(f.encode(x.g.codec, x.info.ID, x.out.fixClose()))
 }
--- a/service/gateway/exchange_limits.go
+++ b/service/gateway/exchange_limits.go
@@ -40,7 +40,7 @@
 	u := &a.choice.Upstream
 	x.g.rateLimits.ObserveAnswer(u, &a.info, a.startedAt, now)
 	if a.info.Draining {
-		x.g.nodes.hearDraining(route.RefOf(u))
+		x.g.nodes.recordDraining(route.RefOf(u))
 	}
 	if a.info.Backoff > 0 {
 		x.pool.BackOff(u, a.info.Backoff, now)
--- a/service/gateway/exchange_log.go
+++ b/service/gateway/exchange_log.go
@@ -7,7 +7,7 @@
 // logAnswer logs which replica served the request and how long each stage took.
 func (x *exchange) logAnswer(a *attempt, now time.Time) {
 	coverage := x.pickInput.Coverage[a.choice.ID]
-	x.g.metrics.answer(x.route.Kind(), a.startedAt.Sub(x.receivedAt), a.firstByteAfter, now.Sub(x.receivedAt))
+	x.g.metrics.countAnswer(x.route.Kind(), a.startedAt.Sub(x.receivedAt), a.firstByteAfter, now.Sub(x.receivedAt))
 	x.g.log.Info("answered", "request", x.info.ID, "route", x.route.Name, "replica", a.choice.ID,
 		"hall", a.choice.DataHall, "weights", a.choice.Weights, "newest", x.pickInput.NewestVersion,
 		"tokens", x.pickInput.Tokens, "shared", x.pickInput.Shared, "kept", coverage.Held+coverage.Fetched, "held", coverage.Held, "read", a.choice.PrefillTokens,
@@ -32,7 +32,7 @@
 		replicas, usable = x.pool.Count(now)
 		medianWait = x.pool.MedianWait(now)
 	}
-	configVersion, listAge, storeAway := x.g.beliefs.Ages(now)
+	configVersion, listAge, storeAway := x.g.siteState.Ages(now)
 	x.g.log.Info("refused", "request", x.info.ID, "status", f.status, "reason", f.reason, "route", route, "service", service,
 		"retry_after", f.retryAfter, "after", now.Sub(x.receivedAt), "attempts", x.mayHaveRun, "not_run", x.notRunCount,
 		"config", configVersion, "list_age", listAge, "store_away", storeAway, "replicas", replicas, "usable", usable,
--- a/service/gateway/exchange_needs.go
+++ b/service/gateway/exchange_needs.go
@@ -13,7 +13,7 @@
 // admit finds the route, organisation, service and pool of the request; ok is false if
 // it is refused.
 func (x *exchange) admit() (f refusal, ok bool) {
-	snapshot := x.g.beliefs.Snapshot()
+	snapshot := x.g.siteState.Snapshot()
 	if snapshot == nil {
 		return retryLater(reasonNoConfiguration, startRetryAfter), false
 	}
@@ -35,7 +35,7 @@
 	if x.service == nil {
 		return retryLater(reasonNoReplica, noReplicaRetryAfter), false
 	}
-	if x.pool = x.g.beliefs.Pool(x.service.Name); x.pool == nil {
+	if x.pool = x.g.siteState.Pool(x.service.Name); x.pool == nil {
 		return retryLater(reasonNoReplica, noReplicaRetryAfter), false
 	}
 	x.pickInput = x.newPickInput()
@@ -88,10 +88,10 @@
 	realm := func(version int64) route.Realm {
 		return route.Realm{
 			Name:           x.realm(version),
-			CompleteBefore: x.g.beliefs.ReplacedAt(x.pickInput.Model, version),
+			CompleteBefore: x.g.siteState.ReplacedAt(x.pickInput.Model, version),
 		}
 	}
-	x.pickInput.Coverage = x.g.kept.Coverage(x.pool.Upstreams(), x.pickInput.Model, realm, x.info.Shared(), e, x.maxExpectedFetch(), now)
+	x.pickInput.Coverage = x.g.cacheIndex.Coverage(x.pool.Upstreams(), x.pickInput.Model, realm, x.info.Shared(), e, x.maxExpectedFetch(), now)
 }
 
 const (
@@ -110,7 +110,7 @@
 	if x.pickInput.Model == "" {
 		return
 	}
-	version, since := x.g.beliefs.Weights(x.pickInput.Model)
+	version, since := x.g.siteState.Weights(x.pickInput.Model)
 	x.pickInput.NewestVersion = version
 	age := now.Sub(since)
 	x.pickInput.StalenessWeight = newWeightsStaleness
@@ -118,13 +118,13 @@
 		x.pickInput.StalenessWeight = 1
 	}
 	orderWindow := x.g.conf().Orders.Within.Std() - orderWindowMargin
-	x.pickInput.MinVersion = x.g.beliefs.WeightsBefore(x.pickInput.Model, now.Add(-orderWindow))
+	x.pickInput.MinVersion = x.g.siteState.WeightsBefore(x.pickInput.Model, now.Add(-orderWindow))
 }
 
 // pick picks a replica by the current state.
 func (x *exchange) pick(now time.Time) (route.Choice, bool) {
 	x.refreshWeights(now)
 	x.lookUpCoverage(now)
-	x.g.nodes.settle(now)
+	x.g.nodes.refreshPeerLoads(now)
 	return x.pool.Pick(&x.pickInput, now)
 }
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -24,34 +24,36 @@
 )
 
 const (
-	timerWorkers = 6
-	pruneEvery   = 500 * time.Millisecond
-	expireEvery  = 200 * time.Millisecond
-	watchEvery   = 200 * time.Millisecond
-	// memoryShare is the part of the memory limit that the runtime is told: the
-	// rest is for what it does not count, such as bytes in sockets.
-	memoryShare = 0.75
-	// spareDescriptors are kept for everything but clients' connections.
-	spareDescriptors = 0.4
-	defaultMost      = 10_000
-	bytesPerMB       = 1 << 20
-	// lostTime is the part of the grace period that is kept for the end itself.
-	lostTime = 700 * time.Millisecond
-	// steerAwayTime is for how long a stopping node takes new connections: other
-	// nodes have heard of the stop by then and name it to callers no more. One that
-	// keeps an older answer finds the connection refused and takes another node.
-	steerAwayTime = 1200 * time.Millisecond
-	// releaseTime bounds the giving back of leases, so that a slow store does not
-	// hold the stop: they end by themselves.
-	releaseTime = time.Second
-	// upstreamsRest groups changes of the list of upstreams. It is well under
-	// the second or more that a leaving upstream still serves.
-	upstreamsRest = 400 * time.Millisecond
-	// longestHold bounds a request that tells no limit.
-	longestHold = 60 * time.Second
-	// unknownNodes is how many nodes at least are assumed to share a budget while a node has
-	// not met the others.
-	unknownNodes = 64
+	timerWorkers           = 6
+	connPruneInterval      = 500 * time.Millisecond
+	upstreamExpireInterval = 200 * time.Millisecond
+	refreshInterval        = 200 * time.Millisecond
+	// memoryLimitShare is the share of the configured memory limit passed to the Go
+	// runtime. The rest is for memory that the runtime does not count, such as socket
+	// buffers.
+	memoryLimitShare = 0.75
+	// reservedDescriptorShare of the file descriptors is kept for everything except client
+	// connections.
+	reservedDescriptorShare = 0.4
+	defaultMaxClients       = 10_000
+	bytesPerMB              = 1 << 20
+	// shutdownReserve is the part of the grace period kept for closing down.
+	shutdownReserve = 700 * time.Millisecond
+	// acceptAfterStop is how long a stopping node still accepts connections. By then the
+	// other nodes know of the stop and no longer return it to clients. A client with an
+	// older answer gets its connection refused and tries another node.
+	acceptAfterStop = 1200 * time.Millisecond
+	// leaseReleaseTimeout bounds the release of leases, so that a slow store does not
+	// delay the stop. Leases that are not released expire.
+	leaseReleaseTimeout = time.Second
+	// upstreamsBatchDelay is how long changes of the upstream list are collected. It is
+	// well under the second or more for which a leaving upstream still serves.
+	upstreamsBatchDelay = 400 * time.Millisecond
+	// defaultRequestTime limits requests that state no limit themselves.
+	defaultRequestTime = 60 * time.Second
+	// assumedNodes is the least number of nodes that a node assumes to share a budget with
+	// until it has learned of the others.
+	assumedNodes = 64
 )
 
 // Gateway is one node.
@@ -61,8 +63,8 @@
 	codec      Codec
 	log        *slog.Logger
 	timer      *timer.Service
-	beliefs    *SiteState
-	kept       *route.CacheIndex
+	siteState  *SiteState
+	cacheIndex *route.CacheIndex
 	nodes      *nodes
 	peers      *peer.Server
 	client     *peer.Client
@@ -78,37 +80,37 @@
 	metrics    *metrics
 	clock      *replicaClock
 
-	entry     net.Listener
-	readySide *sideServer
-	directory *sideServer
-	figures   *sideServer // Nil without an address for them.
+	entry           net.Listener
+	readyServer     *auxServer
+	directoryServer *auxServer
+	metricsServer   *auxServer // Nil if no metrics address is configured.
 
-	queuesMu sync.Mutex
-	queues   map[string]*route.PromptQueue
-	queued   chan struct{} // Holds one when a prompt has begun to wait.
+	queuesMu     sync.Mutex
+	queues       map[string]*route.PromptQueue
+	promptQueued chan struct{} // Signals a newly queued prompt; capacity 1.
 
-	budgetMu sync.Mutex
-	budgets  map[string]*route.RetryShare
+	retryBudgetsMu sync.Mutex
+	retryBudgets   map[string]*route.RetryShare
 
-	followers  []*follower // Of the store's tables.
+	followers  []*follower // One per table of the store.
 	suspension *suspension
 
-	inFlight atomic.Int64
-	told     atomic.Pointer[time.Time] // When the node was told to stop, nil before.
-	stopped  chan struct{}             // Closed then.
-	closing  atomic.Bool
-	ctx      context.Context
-	cancel   context.CancelFunc
-	wg       sync.WaitGroup
+	inFlight        atomic.Int64
+	stopRequestedAt atomic.Pointer[time.Time] // Nil before the stop is requested.
+	stopRequested   chan struct{}             // Closed when the stop is requested.
+	closing         atomic.Bool
+	ctx             context.Context
+	cancel          context.CancelFunc
+	wg              sync.WaitGroup
 }
 
-// New builds a node; it listens, but does not serve before Start.
+// New builds a node and opens its listeners. It serves nothing before Start.
 func New(s config.GatewaySettings, p Platform, log *slog.Logger) (g *Gateway, err error) {
 	defer func() { err = eris.Wrap(err, "new gateway") }()
 	if s.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * s.Limits.MemoryMB * bytesPerMB))
+		debug.SetMemoryLimit(int64(memoryLimitShare * s.Limits.MemoryMB * bytesPerMB))
 	}
-	in, err := build(s, p, log)
+	built, err := build(s, p, log)
 	if err != nil {
 		return nil, err
 	}
@@ -116,31 +118,31 @@
 		platform:   p,
 		codec:      p.Codec,
 		log:        log,
-		timer:      in.Timer,
-		beliefs:    in.Beliefs,
-		kept:       in.Kept,
-		nodes:      in.Nodes,
-		peers:      in.Peers,
-		client:     in.Client,
-		readers:    in.Readers,
-		watchers:   in.Watchers,
-		stores:     in.Stores,
-		holdings:   in.Holdings,
-		suspects:   in.Suspects,
-		rateLimits: in.Limits,
-		rollout:    in.Rollout,
-		conns:      in.Conns,
-		clients:    in.Clients,
-		metrics:    in.Metrics,
-		clock:      in.Clock,
+		timer:      built.Timer,
+		siteState:  built.SiteState,
+		cacheIndex: built.CacheIndex,
+		nodes:      built.Nodes,
+		peers:      built.Peers,
+		client:     built.Client,
+		readers:    built.Readers,
+		watchers:   built.Watchers,
+		stores:     built.Stores,
+		holdings:   built.Holdings,
+		suspects:   built.Suspects,
+		rateLimits: built.Limits,
+		rollout:    built.Rollout,
+		conns:      built.Conns,
+		clients:    built.Clients,
+		metrics:    built.Metrics,
+		clock:      built.Clock,
 
-		budgets: map[string]*route.RetryShare{},
-		queues:  map[string]*route.PromptQueue{},
-		queued:  make(chan struct{}, 1),
+		retryBudgets: map[string]*route.RetryShare{},
+		queues:       map[string]*route.PromptQueue{},
+		promptQueued: make(chan struct{}, 1),
 
 		suspension: newSuspension(),
 
-		stopped: make(chan struct{}),
+		stopRequested: make(chan struct{}),
 	}
 	g.settings.Store(&s)
 	g.ctx, g.cancel = context.WithCancel(context.Background())
@@ -151,41 +153,41 @@
 	if g.entry, err = net.Listen("tcp", g.conf().Entry.Listen.String()); err != nil {
 		return err
 	}
-	if g.readySide, err = newSideServer(g.conf().Entry.Ready.String(), g.readyRoutes()); err != nil {
+	if g.readyServer, err = newAuxServer(g.conf().Entry.Ready.String(), g.readyRoutes()); err != nil {
 		return err
 	}
-	if g.directory, err = newSideServer(g.conf().Entry.Directory.String(), g.directoryRoutes()); err != nil {
+	if g.directoryServer, err = newAuxServer(g.conf().Entry.Directory.String(), g.directoryRoutes()); err != nil {
 		return err
 	}
 	if addr := g.conf().Entry.Metrics; addr.IsValid() {
-		g.figures, err = newSideServer(addr.String(), g.metricsRoutes())
+		g.metricsServer, err = newAuxServer(addr.String(), g.metricsRoutes())
 	}
 	return err
 }
 
-// Start serves. Nothing that it needs has to be there yet.
+// Start begins to serve. The store and the upstreams need not be reachable yet.
 func (g *Gateway) Start() {
 	g.nodes.probes.Start()
 	g.peers.Start()
-	g.readySide.start(g)
-	g.directory.start(g)
-	if g.figures != nil {
-		g.figures.start(g)
+	g.readyServer.start(g)
+	g.directoryServer.start(g)
+	if g.metricsServer != nil {
+		g.metricsServer.start(g)
 	}
 	hold := g.conf().Platform.LongPollTimeout.Std()
 	g.followers = []*follower{
 		{
 			store: g.readers, table: site.TableOperator, name: "operator", longPoll: hold, log: g.log,
-			apply:     g.beliefs.ApplyOperator,
+			apply:     g.siteState.ApplyOperator,
 			onFailure: func(time.Time) {},
 			onAnswer:  func(begun, _ time.Time) { g.suspension.recordAnswer(site.TableOperator, begun) },
 		},
 		{
 			store: g.readers, table: site.TableUpstreams, name: "upstreams", longPoll: hold, log: g.log,
-			apply: g.beliefs.ApplyUpstreams, batchDelay: upstreamsRest,
-			onFailure: g.beliefs.MarkStoreUnreachable,
+			apply: g.siteState.ApplyUpstreams, batchDelay: upstreamsBatchDelay,
+			onFailure: g.siteState.MarkStoreUnreachable,
 			onAnswer: func(begun, now time.Time) {
-				g.beliefs.MarkStoreSynced(now)
+				g.siteState.MarkStoreSynced(now)
 				g.suspension.recordAnswer(site.TableUpstreams, begun)
 			},
 		},
@@ -195,24 +197,24 @@
 	}
 	every := g.conf().Peer.ProbeEvery.Std()
 	g.runEvery(every, g.nodes.probe)
-	g.runEvery(every/lateShare, g.nodes.probeLate)
-	g.runEvery(meetEvery, g.nodes.meet)
-	g.runEvery(greetEvery, g.nodes.greetSome)
-	g.runEvery(pruneEvery, func(context.Context) { g.conns.prune(boottime.Now()) })
-	g.runEvery(expireEvery, func(context.Context) { g.beliefs.Expire(boottime.Now()) })
-	g.runEvery(watchEvery, g.stores.refresh)
-	g.runEvery(watchEvery, g.holdings.refresh)
+	g.runEvery(every/indirectProbeDivisor, g.nodes.probeIndirectly)
+	g.runEvery(discoverInterval, g.nodes.discover)
+	g.runEvery(seedProbeInterval, g.nodes.probeSeeds)
+	g.runEvery(connPruneInterval, func(context.Context) { g.conns.prune(boottime.Now()) })
+	g.runEvery(upstreamExpireInterval, func(context.Context) { g.siteState.Expire(boottime.Now()) })
+	g.runEvery(refreshInterval, g.stores.refresh)
+	g.runEvery(refreshInterval, g.holdings.refresh)
 	g.runEvery(freeInterval, g.stores.freeUnused)
 	g.runEvery(rollout.StepInterval, g.rollout.Step)
-	g.runEvery(watchEvery, g.shareBudgets)
+	g.runEvery(refreshInterval, g.updateRetrySlack)
 	g.runEvery(suspects.StepInterval, g.suspects.Step)
 	g.runEvery(suspects.StepInterval, g.suspects.SaveRow)
 	g.runEvery(suspects.LearnInterval, g.suspects.Learn)
 	g.runEvery(ratelimit.ForgetInterval, g.rateLimits.Forget)
 	g.wg.Go(func() { g.runQueues(g.ctx) })
-	g.wg.Go(func() { g.nodes.meet(g.ctx) })
+	g.wg.Go(func() { g.nodes.discover(g.ctx) })
 	g.wg.Go(func() { g.nodes.runSpeaker(g.ctx) })
-	g.wg.Go(func() { g.nodes.run(g.ctx, g.conf().Peer.LoadEvery.Std()) })
+	g.wg.Go(func() { g.nodes.runLoadSender(g.ctx, g.conf().Peer.LoadEvery.Std()) })
 	g.wg.Go(func() {
 		if err := g.clients.accept(g, &listener{Listener: g.entry, log: g.log}); err != nil && !g.closing.Load() {
 			g.log.Error("request listener failed", "err", err)
@@ -228,14 +230,15 @@
 	}
 }
 
-// lateShare is the part of a probe period after which others are asked.
-const lateShare = 3
+// indirectProbeDivisor is how many times per probe period missing answers are probed
+// indirectly, through other nodes.
+const indirectProbeDivisor = 3
 
-// conf is the settings in force.
+// conf returns the settings in force.
 func (g *Gateway) conf() *config.GatewaySettings { return g.settings.Load() }
 
-// Reload puts changed settings in force, as far as they can be while the node
-// runs: addresses and the node's own name stay.
+// Reload applies changed settings as far as a running node can: addresses, the node's name
+// and the other settings restored below need a restart.
 func (g *Gateway) Reload(s config.GatewaySettings) {
 	old := g.conf()
 	if reflect.DeepEqual(s, *old) {
@@ -251,131 +254,131 @@
 	}
 	boottime.SimulateSuspend(max(0, kept.Test.Suspended.Std()-old.Test.Suspended.Std()))
 	g.settings.Store(&kept)
-	g.budgetMu.Lock()
-	clear(g.budgets)
-	g.budgetMu.Unlock()
+	g.retryBudgetsMu.Lock()
+	clear(g.retryBudgets)
+	g.retryBudgetsMu.Unlock()
 	g.log.Info("settings in force", "node", old.Node.Name, "retry_share", s.Retry.Share, "grace", s.Stop.Grace.Std())
 }
 
-// ready says whether callers are to be sent here.
+// ready reports whether clients may be sent to this node.
 func (g *Gateway) ready() bool {
 	g.checkSuspension()
-	return g.synced() && !g.stopping() && g.beliefs.Snapshot() != nil && g.beliefs.UpstreamCount() > 0 && !g.apart(boottime.Now())
+	return g.synced() && !g.stopping() && g.siteState.Snapshot() != nil && g.siteState.UpstreamCount() > 0 && !g.isolated(boottime.Now())
 }
 
-// apart says whether the node can't know any more what operators have changed: it hears no
-// other node, where there were some, and has not heard the store for longer than an
-// evacuation may take. Where the store is away for all, no change is accepted by it either,
-// and nodes that hear each other know what there is to know.
-func (g *Gateway) apart(now time.Time) bool {
+// isolated reports whether the node may miss operators' changes: it reaches no other node
+// although it knows some, and has not heard from the store for longer than an evacuation
+// may take. If the store is down for every node, it accepts no changes either, and nodes
+// that reach each other know all there is.
+func (g *Gateway) isolated(now time.Time) bool {
 	if len(g.nodes.members.All()) <= 1 || len(g.nodes.members.Working()) > 1 {
 		return false
 	}
 	return now.Sub(g.suspension.lastAnswered(site.TableOperator)) > g.conf().Evacuation.Within.Std()
 }
 
-// stopping says whether the node has been told to stop.
-func (g *Gateway) stopping() bool { return g.told.Load() != nil }
+// stopping reports whether a stop was requested.
+func (g *Gateway) stopping() bool { return g.stopRequestedAt.Load() != nil }
 
-// serving says whether resting connections are still kept.
-func (g *Gateway) serving() bool { return !g.closing.Load() }
+// keepsIdleConns reports whether idle client connections are kept open.
+func (g *Gateway) keepsIdleConns() bool { return !g.closing.Load() }
 
 func (g *Gateway) limits() site.Limits {
-	if s := g.beliefs.Snapshot(); s != nil {
+	if s := g.siteState.Snapshot(); s != nil {
 		return s.Limits
 	}
 	return site.DefaultLimits()
 }
 
-// holdMost is the longest that a request may be held.
-func (g *Gateway) holdMost(t *site.RequestInfo) time.Duration {
-	if t.ClientTimeout > 0 {
-		return t.ClientTimeout
+// maxRequestTime returns how long a request may take in all.
+func (g *Gateway) maxRequestTime(info *site.RequestInfo) time.Duration {
+	if info.ClientTimeout > 0 {
+		return info.ClientTimeout
 	}
-	return longestHold
+	return defaultRequestTime
 }
 
-// budget is the retry budget for a service.
-func (g *Gateway) budget(service string) *route.RetryShare {
-	g.budgetMu.Lock()
-	defer g.budgetMu.Unlock()
-	b, ok := g.budgets[service]
+// retryBudget returns the retry budget of a service.
+func (g *Gateway) retryBudget(service string) *route.RetryShare {
+	g.retryBudgetsMu.Lock()
+	defer g.retryBudgetsMu.Unlock()
+	b, ok := g.retryBudgets[service]
 	if !ok {
 		b = route.NewRetryShare(g.conf().Retry.Share, g.conf().Retry.Window.Std())
-		b.SetSlack(g.slackShare())
-		g.budgets[service] = b
+		b.SetSlack(g.retrySlack())
+		g.retryBudgets[service] = b
 	}
 	return b
 }
 
-// slackShare is this node's part of the slack. All nodes ever heard of count, the dead
-// included: nodes that are cut apart, or that think each other dead, would else each give
-// themselves the whole.
-func (g *Gateway) slackShare() float64 {
+// retrySlack returns this node's part of the retry slack. All members ever known count,
+// also dead ones: otherwise nodes that are partitioned, or that believe each other dead,
+// would each take the whole slack.
+func (g *Gateway) retrySlack() float64 {
 	n := len(g.nodes.members.All())
-	if !g.nodes.shares.hasMet() {
-		n = max(n, unknownNodes)
+	if !g.nodes.coldShares.membersKnown() {
+		n = max(n, assumedNodes)
 	}
 	return g.conf().Retry.Slack / float64(n)
 }
 
-func (g *Gateway) shareBudgets(context.Context) {
-	share := g.slackShare()
-	g.budgetMu.Lock()
-	defer g.budgetMu.Unlock()
-	for _, b := range g.budgets {
+func (g *Gateway) updateRetrySlack(context.Context) {
+	share := g.retrySlack()
+	g.retryBudgetsMu.Lock()
+	defer g.retryBudgetsMu.Unlock()
+	for _, b := range g.retryBudgets {
 		b.SetSlack(share)
 	}
 }
 
-// Drain serves on for a while those that still come. Then it takes no connection
-// any more, ends those that rest, and waits until the others have had their
-// answers or the grace period is nearly over.
+// Drain stops the node gracefully. It still accepts connections for acceptAfterStop, then
+// closes the listener and idle connections, and waits until the remaining requests are
+// answered or the grace period is nearly over.
 func (g *Gateway) Drain() {
-	begun := time.Now()
-	within := g.conf().Stop.Grace.Std() - lostTime
-	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(within))
+	start := time.Now()
+	grace := g.conf().Stop.Grace.Std() - shutdownReserve
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(grace))
 	defer cancel()
 	g.log.Info("stopping", "node", g.conf().Node.Name, "in_flight", g.inFlight.Load())
-	g.told.Store(&begun)
-	close(g.stopped)
+	g.stopRequestedAt.Store(&start)
+	close(g.stopRequested)
 	g.nodes.announceStop()
 	g.releaseLeases(ctx)
-	time.Sleep(time.Until(begun.Add(min(steerAwayTime, within))))
+	time.Sleep(time.Until(start.Add(min(acceptAfterStop, grace))))
 	g.closing.Store(true)
-	_ = g.entry.Close() // What has not been accepted is sent again elsewhere.
+	_ = g.entry.Close() // Clients whose connection was not accepted try another node.
 	g.clients.drain(ctx)
 }
 
 func (g *Gateway) releaseLeases(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, releaseTime)
+	ctx, cancel := context.WithTimeout(ctx, leaseReleaseTimeout)
 	defer cancel()
 	g.rollout.Release(ctx)
 }
 
-// Close stops serving and waits for everything that was started.
+// Close stops serving and waits for all goroutines.
 func (g *Gateway) Close() {
-	begun := time.Now()
-	if told := g.told.Load(); told != nil {
-		begun = *told
+	start := time.Now()
+	if requestedAt := g.stopRequestedAt.Load(); requestedAt != nil {
+		start = *requestedAt
 	}
 	g.closing.Store(true)
-	_ = g.entry.Close() // Accepting ends all the same.
+	_ = g.entry.Close() // Accepting ends even if this fails.
 	g.cancel()
 	cut := g.clients.closeAll()
-	g.metrics.cut.Add(int64(cut.sum()))
+	g.metrics.cutByStop.Add(int64(cut.sum()))
 	if cut.sum() > 0 {
-		g.log.Warn("requests cut by a stop", "node", g.conf().Node.Name, "after", time.Since(begun),
+		g.log.Warn("requests cut by a stop", "node", g.conf().Node.Name, "after", time.Since(start),
 			"heading", cut.readingHead, "bodying", cut.readingBody, "serving", cut.serving)
 	}
 	g.timer.Close()
 	g.rollout.Close()
 	g.stores.close()
 	g.holdings.close()
-	g.readySide.close()
-	g.directory.close()
-	if g.figures != nil {
-		g.figures.close()
+	g.readyServer.close()
+	g.directoryServer.close()
+	if g.metricsServer != nil {
+		g.metricsServer.close()
 	}
 	g.nodes.probes.Close()
 	g.peers.Close()
@@ -386,5 +389,5 @@
 	g.wg.Wait()
 	g.suspects.Close()
 	g.rateLimits.Close()
-	g.log.Info("node stopped", "node", g.conf().Node.Name, "after", time.Since(begun), "cut", cut.sum())
+	g.log.Info("node stopped", "node", g.conf().Node.Name, "after", time.Since(start), "cut", cut.sum())
 }
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -12,63 +12,63 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// Nodes tell each other what they have in flight, so that each sees the whole
+// Nodes send each other the loads that they have in flight, so that each knows the total
 // load of a replica or a link without asking it.
 //
-// Within a small data hall every node tells every other, as soon as it has sent a
-// prompt somewhere; in a large one it tells one node, the speaker, which tells the
-// sum to all. Between data halls the speakers tell each other, and whoever hears a
-// sum tells it on in its own hall: bytes between halls are paid for, and so
-// neither they nor the notes grow with the square of the nodes.
+// In a small data hall every node sends to every other as soon as it has dispatched a
+// prompt. In a large one it sends to one node, the speaker, which sends the sum to all.
+// Between data halls the speakers send to each other, and each forwards what it receives
+// in its own hall. Traffic between halls is paid for: this way neither it nor the number
+// of datagrams grows with the square of the number of nodes.
 const (
-	// noteState tells the nodes of a hall one node's state.
-	noteState = "gateway.loads"
-	// noteHall tells the sum of another hall.
-	noteHall = "gateway.hall_loads"
-	// stateTerm is after how long what was told is forgotten.
-	stateTerm = 1200 * time.Millisecond
-	// tellEach is for how long one state is kept from being followed by another,
-	// for each other node of the hall: so the cost of telling is bounded.
-	tellEach = 3 * time.Millisecond
-	// hallEvery is how often a hall's sum is told to the others.
-	hallEvery = 30 * time.Millisecond
-	// hallEach is by how much less often that is for each node of the hall.
-	hallEach = 3 * time.Millisecond
-	// linkShare is the part of its link that a speaker takes for telling one
-	// hall's sum; it tells more seldom rather than more.
-	linkShare = 0.1
-	// sumMost is of how many replicas a sum tells, the busiest: it must fit a
-	// datagram, and idle ones need no word.
-	sumMost = 400
-	// speakDuty names the duty of telling a hall's sum.
-	speakDuty = "speak/"
+	// noteLoads carries one node's loads to the nodes of its hall.
+	noteLoads = "gateway.loads"
+	// noteHallLoads carries the sum of a hall's loads.
+	noteHallLoads = "gateway.hall_loads"
+	// loadExpiry is after how long received loads are dropped.
+	loadExpiry = 1200 * time.Millisecond
+	// sendIntervalPerPeer is the least time between two sends of a node's loads, for each
+	// other node of the hall. It bounds the cost of sending.
+	sendIntervalPerPeer = 3 * time.Millisecond
+	// hallSumInterval is how often a hall's sum is sent to the other halls.
+	hallSumInterval = 30 * time.Millisecond
+	// hallSumIntervalPerNode is added to it for each node of the hall.
+	hallSumIntervalPerNode = 3 * time.Millisecond
+	// speakerLinkShare is the share of its link that a speaker uses to send one hall's
+	// sum; it sends less often rather than use more.
+	speakerLinkShare = 0.1
+	// maxSumReplicas limits a sum to the busiest replicas: it must fit a datagram, and
+	// idle replicas need no mention.
+	maxSumReplicas = 400
+	// speakerDuty names the duty of sending a hall's sum.
+	speakerDuty = "speak/"
 )
 
-// stateNote is what one node tells, or a speaker for its hall. Its JSON names are short,
-// as it is sent many times a second.
-type stateNote struct {
-	From string `json:"f"`
-	Hall string `json:"h"`
-	Boot uint64 `json:"b"`
-	Seq  uint64 `json:"q"`
-	// Loads are what is in flight at replicas, and Links what has been done with each
-	// store's link so far, both packed.
+// loadNote is the loads of one node, or of its hall if a speaker sends it. Its JSON names
+// are short because it is sent many times a second.
+type loadNote struct {
+	From        string `json:"f"`
+	Hall        string `json:"h"`
+	Incarnation uint64 `json:"b"`
+	Seq         uint64 `json:"q"`
+	// Loads are the requests in flight at replicas, Links the running totals of each
+	// store's link; both are packed.
 	Loads []byte `json:"l,omitempty"`
 	Links []byte `json:"m,omitempty"`
 }
 
-// tallies is what has been done with stores' links.
-type tallies map[route.NameHash]route.Tally
+// linkTallies holds the running totals of stores' links.
+type linkTallies map[route.NameHash]route.Tally
 
-func talliesOf(list []route.StoreTally) tallies {
-	t := make(tallies, len(list))
+func newLinkTallies(list []route.StoreTally) linkTallies {
+	t := make(linkTallies, len(list))
 	for _, s := range list {
 		t[s.Key] = s.Tally
 	}
 	return t
 }
 
-func (t tallies) list() []route.StoreTally {
+func (t linkTallies) list() []route.StoreTally {
 	list := make([]route.StoreTally, 0, len(t))
 	for key, tally := range t {
 		list = append(list, route.StoreTally{Key: key, Tally: tally})
@@ -76,50 +76,50 @@
 	return list
 }
 
-// loads is what was told and heard of loads; nodes.mu guards it.
-type loads struct {
+// loadState is the loads sent and received; nodes.mu guards it.
+type loadState struct {
 	seq    uint64
-	states map[string]heardState // Of nodes of this hall.
-	halls  map[string]heardState // Sums of the others.
-	// links is what the whole hall has done with each store's link.
-	links tallies
-	own   tallies             // Of that, this node's when last summed.
-	told  []route.ReplicaLoad // What this node told last.
-	heard tallies             // This node's when its hall's sum was last heard.
+	byNode map[string]receivedLoads // Loads of the nodes of this hall, by node.
+	byHall map[string]receivedLoads // Sums, by hall.
+	// hallTallies are the running totals of all nodes of this hall.
+	hallTallies         linkTallies
+	ownTallies          linkTallies         // This node's part of hallTallies.
+	lastSent            []route.ReplicaLoad // The loads that this node sent last.
+	ownTalliesAtHallSum linkTallies         // This node's when its hall's sum was last received.
 
-	passNext map[string]time.Time // When the sum of a hall may be told on.
+	nextForward map[string]time.Time // When the next sum of a hall may be forwarded.
 
-	// changed says that more was told since the pools were last told, which was at
-	// settled.
-	changed bool
-	settled time.Time
+	// changed says that loads were sent or received since the pools were last updated, at
+	// mergedAt.
+	changed  bool
+	mergedAt time.Time
 
-	speakers   map[string]control.Member
-	speakersAt *control.View
+	speakers     map[string]control.Member
+	speakersView *control.View // For which speakers holds.
 }
 
-func newLoads() loads {
-	return loads{
-		states: map[string]heardState{},
-		halls:  map[string]heardState{},
-		links:  tallies{},
-		own:    tallies{},
+func newLoadState() loadState {
+	return loadState{
+		byNode:      map[string]receivedLoads{},
+		byHall:      map[string]receivedLoads{},
+		hallTallies: linkTallies{},
+		ownTallies:  linkTallies{},
 
-		passNext: map[string]time.Time{},
+		nextForward: map[string]time.Time{},
 	}
 }
 
-// soon has this node's state told at once, or as soon as the last one is old
-// enough: other nodes would choose the same replica until they hear.
-func (n *nodes) soon() {
+// sendLoadsSoon has this node's loads sent as soon as the last send is old enough: until
+// other nodes know of them, they would choose the same replica.
+func (n *nodes) sendLoadsSoon() {
 	select {
-	case n.due <- struct{}{}:
+	case n.loadsDue <- struct{}{}:
 	default:
 	}
 }
 
-// run tells this node's state when it is due, and at least every period.
-func (n *nodes) run(ctx context.Context, every time.Duration) {
+// runLoadSender sends this node's loads when they are due, and at least once per period.
+func (n *nodes) runLoadSender(ctx context.Context, every time.Duration) {
 	t := time.NewTicker(every)
 	defer t.Stop()
 	for {
@@ -127,17 +127,17 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-n.due:
+		case <-n.loadsDue:
 		}
-		peers := n.inHall(n.self.DataHall)
-		n.tell(n.audience(peers))
-		sleep(ctx, min(every, time.Duration(len(peers))*tellEach))
+		peers := n.hallPeers(n.self.DataHall)
+		n.sendLoads(n.loadRecipients(peers))
+		sleep(ctx, min(every, time.Duration(len(peers))*sendIntervalPerPeer))
 	}
 }
 
-// audience are the nodes that this one tells its state: all others of its hall,
-// or the speaker of a large one.
-func (n *nodes) audience(peers []netip.AddrPort) []netip.AddrPort {
+// loadRecipients returns the nodes that this one sends its loads to: all others of a small
+// hall, or the speaker of a large one.
+func (n *nodes) loadRecipients(peers []netip.AddrPort) []netip.AddrPort {
 	if len(peers) < maxDirectNodes {
 		return peers
 	}
@@ -148,36 +148,36 @@
 	return []netip.AddrPort{speaker.Peer}
 }
 
-// tell sends this node's state to the others of its hall.
-func (n *nodes) tell(peers []netip.AddrPort) {
+// sendLoads sends this node's loads.
+func (n *nodes) sendLoads(peers []netip.AddrPort) {
 	loads := n.ownLoads()
-	s := n.newNote()
-	s.Loads, s.Links = packLoads(loads), packTallies(n.kept.Tallies())
-	n.note(peers, noteState, s)
+	s := n.newLoadNote()
+	s.Loads, s.Links = packLoads(loads), packTallies(n.cacheIndex.Tallies())
+	n.sendNote(peers, noteLoads, s)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loads.told = loads
+	n.loads.lastSent = loads
 	n.loads.changed = true
 }
 
-// newNote begins a note of this node.
-func (n *nodes) newNote() stateNote {
+// newLoadNote returns a note with this node's name and the next sequence number.
+func (n *nodes) newLoadNote() loadNote {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loads.seq++
-	return stateNote{From: n.self.Name, Hall: n.self.DataHall, Boot: n.boot, Seq: n.loads.seq}
+	return loadNote{From: n.self.Name, Hall: n.self.DataHall, Incarnation: n.incarnation, Seq: n.loads.seq}
 }
 
-// ownLoads is what this node itself has in flight.
+// ownLoads returns what this node itself has in flight.
 func (n *nodes) ownLoads() (list []route.ReplicaLoad) {
-	for _, p := range n.beliefs.Pools() {
+	for _, p := range n.siteState.Pools() {
 		list = p.AppendLoads(list)
 	}
 	return list
 }
 
-// note tells other nodes something and returns the bytes sent.
-func (n *nodes) note(to []netip.AddrPort, method string, params any) int {
+// sendNote sends a datagram to other nodes and returns the bytes sent.
+func (n *nodes) sendNote(to []netip.AddrPort, method string, params any) int {
 	sent, err := n.probes.SendNote(to, method, params)
 	if err != nil {
 		n.log.Error("notification not sent", "method", method, "err", err)
@@ -185,64 +185,64 @@
 	return sent
 }
 
-// inHall lists the addresses of the other nodes of a hall that may live.
-func (n *nodes) inHall(hall string) []netip.AddrPort {
+// hallPeers lists the addresses of the other nodes of a hall that may be alive.
+func (n *nodes) hallPeers(hall string) []netip.AddrPort {
 	return n.members.View().Peers(n.self.Name, hall)
 }
 
-// speakers are the nodes that tell their halls' sums, by hall. They are worked
-// out again when something has changed about the members.
+// speakers returns the speaker of each hall. It is recomputed when the membership has
+// changed.
 func (n *nodes) speakers() map[string]control.Member {
 	view := n.members.View()
 	n.mu.Lock()
-	list, known := n.loads.speakers, n.loads.speakersAt
+	list, computedFor := n.loads.speakers, n.loads.speakersView
 	n.mu.Unlock()
-	if list != nil && known == view {
+	if list != nil && computedFor == view {
 		return list
 	}
 	list = map[string]control.Member{}
 	for _, hall := range view.Halls() {
-		if m, ok := control.Owner(control.WithWidestLinks(view.Hall(hall).Working), speakDuty+hall); ok {
+		if m, ok := control.Owner(control.WithWidestLinks(view.Hall(hall).Working), speakerDuty+hall); ok {
 			list[hall] = m
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loads.speakers, n.loads.speakersAt = list, view
+	n.loads.speakers, n.loads.speakersView = list, view
 	return list
 }
 
-// runSpeaker tells the sum of this hall to the others while that falls to this
-// node.
+// runSpeaker sends the sum of this hall to the others while this node is the speaker.
 func (n *nodes) runSpeaker(ctx context.Context) {
 	for ctx.Err() == nil {
 		if n.speakers()[n.self.DataHall].Name != n.self.Name {
-			sleep(ctx, speakerAgain)
+			sleep(ctx, speakerCheckInterval)
 			continue
 		}
-		sent := n.speak()
-		sleep(ctx, max(n.linkTime(sent), hallEvery+time.Duration(len(n.inHall(n.self.DataHall)))*hallEach))
+		sent := n.sendHallSum()
+		sleep(ctx, max(n.transmitTime(sent), hallSumInterval+time.Duration(len(n.hallPeers(n.self.DataHall)))*hallSumIntervalPerNode))
 	}
 }
 
-// linkTime is for how long bytes take this node's share of its link.
-func (n *nodes) linkTime(bytes int) time.Duration {
+// transmitTime returns how long bytes occupy the share of the link that a speaker may use.
+func (n *nodes) transmitTime(bytes int) time.Duration {
 	if n.self.Link <= 0 {
-		return 0 // Its rate is not known.
+		return 0 // The link's rate is unknown.
 	}
 	const bitsPerByte, megabit = 8, 1e6
-	return time.Duration(float64(bytes) * bitsPerByte / (linkShare * n.self.Link * megabit) * float64(time.Second))
+	return time.Duration(float64(bytes) * bitsPerByte / (speakerLinkShare * n.self.Link * megabit) * float64(time.Second))
 }
 
-// speakerAgain is how often a node that is not its hall's speaker looks whether
-// it has become that.
-const speakerAgain = 250 * time.Millisecond
+// speakerCheckInterval is how often a node that is not its hall's speaker checks whether
+// it has become the speaker.
+const speakerCheckInterval = 250 * time.Millisecond
 
-// speak tells the sum of this hall to the others and returns the bytes sent.
-func (n *nodes) speak() int {
+// sendHallSum sends the sum of this hall to the other speakers, and to the nodes of this
+// hall if it is large. It returns the bytes sent.
+func (n *nodes) sendHallSum() int {
 	speakers := n.speakers()
 	var others []netip.AddrPort
-	if peers := n.inHall(n.self.DataHall); len(peers) >= maxDirectNodes {
+	if peers := n.hallPeers(n.self.DataHall); len(peers) >= maxDirectNodes {
 		others = peers
 	}
 	for hall, m := range speakers {
@@ -250,47 +250,47 @@
 			others = append(others, m.Peer)
 		}
 	}
-	sum, links := n.sumHall(n.ownLoads(), talliesOf(n.kept.Tallies()))
-	s := n.newNote()
-	s.Loads, s.Links = packLoads(busiest(sum, sumMost)), packTallies(links.list())
-	return n.note(others, noteHall, s)
+	sum, links := n.sumHall(n.ownLoads(), newLinkTallies(n.cacheIndex.Tallies()))
+	s := n.newLoadNote()
+	s.Loads, s.Links = packLoads(busiest(sum, maxSumReplicas)), packTallies(links.list())
+	return n.sendNote(others, noteHallLoads, s)
 }
 
-// sumHall adds what the other nodes of this hall have in flight to this one's own, and
-// what all of them have done with links.
-func (n *nodes) sumHall(own []route.ReplicaLoad, links tallies) (sum map[route.NameHash]route.PeerLoad, all tallies) {
+// sumHall returns the loads of all nodes of this hall, this one's included, and their
+// running totals for links.
+func (n *nodes) sumHall(own []route.ReplicaLoad, links linkTallies) (sum map[route.NameHash]route.PeerLoad, hallTotal linkTallies) {
 	sum = make(map[route.NameHash]route.PeerLoad, len(own))
 	addLoads(sum, own)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, state := range n.loads.states {
+	for _, state := range n.loads.byNode {
 		addLoads(sum, state.loads)
 	}
-	for store, t := range links {
-		n.loads.links[store] = n.loads.links[store].Plus(t.Since(n.loads.own[store]))
-		n.loads.own[store] = t
+	for store, tally := range links {
+		n.loads.hallTallies[store] = n.loads.hallTallies[store].Plus(tally.Since(n.loads.ownTallies[store]))
+		n.loads.ownTallies[store] = tally
 	}
-	return sum, maps.Clone(n.loads.links)
+	return sum, maps.Clone(n.loads.hallTallies)
 }
 
-func addLoads(sum map[route.NameHash]route.PeerLoad, list []route.ReplicaLoad) {
-	for i := range list {
-		sum[list[i].Key] = sum[list[i].Key].Plus(list[i].Load)
+func addLoads(sum map[route.NameHash]route.PeerLoad, loads []route.ReplicaLoad) {
+	for i := range loads {
+		sum[loads[i].Key] = sum[loads[i].Key].Plus(loads[i].Load)
 	}
 }
 
-// busiest lists the replicas of whose memory the most is held, and behind that those
-// with the most requests.
-func busiest(sum map[route.NameHash]route.PeerLoad, most int) []route.ReplicaLoad {
+// busiest returns the replicas with the most memory in use, then those with the most
+// requests.
+func busiest(sum map[route.NameHash]route.PeerLoad, limit int) []route.ReplicaLoad {
 	list := make([]route.ReplicaLoad, 0, len(sum))
 	for key, load := range sum {
 		list = append(list, route.ReplicaLoad{Key: key, Load: load})
 	}
-	if len(list) <= most {
+	if len(list) <= limit {
 		return list
 	}
 	slices.SortFunc(list, func(a, b route.ReplicaLoad) int {
 		return cmp.Or(cmp.Compare(b.Load.Memory, a.Load.Memory), cmp.Compare(b.Load.Requests, a.Load.Requests), cmp.Compare(a.Key, b.Key))
 	})
-	return list[:most]
+	return list[:limit]
 }
--- /dev/null
+++ b/service/gateway/loads_received.go
@@ -0,0 +1,198 @@
+package gateway
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/drumpath/drumpath/pkg/boottime"
+	"github.com/drumpath/drumpath/pkg/route"
+)
+
+// receivedLoads is a decoded loadNote and when it was received.
+type receivedLoads struct {
+	from        string
+	hall        string
+	incarnation uint64
+	seq         uint64
+	loads       []route.ReplicaLoad
+	links       linkTallies
+	receivedAt  time.Time
+}
+
+func decodeLoads(note *loadNote, now time.Time) (r receivedLoads, err error) {
+	r = receivedLoads{from: note.From, hall: note.Hall, incarnation: note.Incarnation, seq: note.Seq, receivedAt: now}
+	if r.loads, err = unpackLoads(note.Loads); err != nil {
+		return r, err
+	}
+	links, err := unpackTallies(note.Links)
+	r.links = newLinkTallies(links)
+	return r, err
+}
+
+// handleLoads takes in the loads of another node of this hall.
+func (n *nodes) handleLoads(params json.RawMessage) {
+	if _, s, old, ok := n.receiveLoads(params, n.loads.byNode, func(s *loadNote) string { return s.From }); ok {
+		added := s.talliesSince(old)
+		n.mu.Lock()
+		for store, t := range added {
+			n.loads.hallTallies[store] = n.loads.hallTallies[store].Plus(t)
+		}
+		n.mu.Unlock()
+		n.addPeerTallies(added)
+	}
+}
+
+// handleHallLoads takes in the sum of a hall. The speaker forwards the sums of other halls
+// in its own.
+func (n *nodes) handleHallLoads(params json.RawMessage) {
+	note, s, old, ok := n.receiveLoads(params, n.loads.byHall, func(s *loadNote) string { return s.Hall })
+	if !ok {
+		return
+	}
+	if s.hall == n.self.DataHall {
+		n.addPeerTallies(n.subtractOwn(s.talliesSince(old)))
+		return
+	}
+	if n.speakers()[n.self.DataHall].Name == n.self.Name {
+		n.forwardHallLoads(note)
+	}
+	n.addPeerTallies(s.talliesSince(old))
+}
+
+// forwardHallLoads sends the sum of another hall to the nodes of this one, unless the last
+// one still occupies the link. A skipped sum is covered by the next.
+func (n *nodes) forwardHallLoads(s loadNote) {
+	now := boottime.Now()
+	n.mu.Lock()
+	due := !now.Before(n.loads.nextForward[s.Hall])
+	n.mu.Unlock()
+	if !due {
+		return
+	}
+	sent := n.sendNote(n.hallPeers(n.self.DataHall), noteHallLoads, s)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.loads.nextForward[s.Hall] = now.Add(n.transmitTime(sent))
+}
+
+// subtractOwn removes this node's own part from the hall's link totals.
+func (n *nodes) subtractOwn(added linkTallies) linkTallies {
+	own := newLinkTallies(n.cacheIndex.Tallies())
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for store, t := range own {
+		added[store] = added[store].Since(t.Since(n.loads.ownTalliesAtHallSum[store]))
+	}
+	n.loads.ownTalliesAtHallSum = own
+	return added
+}
+
+// receiveLoads stores a note by its key and reports whether it is newer than the last one.
+// A note that can't be decoded is counted and dropped, and the last one stays.
+func (n *nodes) receiveLoads(params json.RawMessage, received map[string]receivedLoads, key func(*loadNote) string) (note loadNote, s, old receivedLoads, ok bool) {
+	now := boottime.Now()
+	err := json.Unmarshal(params, &note)
+	if err == nil {
+		s, err = decodeLoads(&note, now)
+	}
+	if err != nil {
+		n.notesDropped.Add(1)
+		n.log.Debug("node state can't be decoded", "err", err)
+		return note, s, old, false
+	}
+	if note.From == n.self.Name {
+		return note, s, old, false
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	old = received[key(&note)]
+	same := s.from == old.from && s.incarnation == old.incarnation
+	if same && s.seq <= old.seq && now.Sub(old.receivedAt) < loadExpiry {
+		return note, s, old, false
+	}
+	received[key(&note)] = s
+	n.loads.changed = true
+	return note, s, old, true
+}
+
+// talliesSince returns what was added to the link totals since an older note of the same
+// node.
+func (s *receivedLoads) talliesSince(old receivedLoads) linkTallies {
+	added := linkTallies{}
+	if s.incarnation != old.incarnation || s.from != old.from {
+		return added
+	}
+	for store, t := range s.links {
+		if d := t.Since(old.links[store]); !d.Empty() {
+			added[store] = d
+		}
+	}
+	return added
+}
+
+// addPeerTallies counts other nodes' transfers towards the use of the links.
+func (n *nodes) addPeerTallies(links linkTallies) {
+	now := boottime.Now()
+	for store, tally := range links {
+		n.cacheIndex.AddPeerTally(store, tally, now)
+	}
+}
+
+// mergeInterval is after how long the loads are summed again although nothing was
+// received: some may have expired. It is a fifth of loadExpiry.
+const mergeInterval = loadExpiry / 5
+
+// refreshPeerLoads updates the pools with the loads of the other nodes if needed. It is
+// called before a replica is chosen, which is less often than notes arrive: a node of a
+// large fleet receives 27 notes a second and chooses some 10 times.
+func (n *nodes) refreshPeerLoads(now time.Time) {
+	n.mu.Lock()
+	due := n.loads.changed || now.Sub(n.loads.mergedAt) >= mergeInterval
+	n.mu.Unlock()
+	if due {
+		n.mergePeerLoads(now)
+	}
+}
+
+// mergePeerLoads updates the pools with the summed loads of the other nodes.
+func (n *nodes) mergePeerLoads(now time.Time) {
+	n.mergeMu.Lock()
+	defer n.mergeMu.Unlock()
+	sum := n.sumPeerLoads(now)
+	for _, p := range n.siteState.Pools() {
+		p.SetPeers(sum)
+	}
+}
+
+// sumPeerLoads sums the loads of the other nodes and drops expired ones.
+func (n *nodes) sumPeerLoads(now time.Time) map[route.NameHash]route.PeerLoad {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.loads.changed, n.loads.mergedAt = false, now
+	sum := map[route.NameHash]route.PeerLoad{}
+	for _, received := range []map[string]receivedLoads{n.loads.byNode, n.loads.byHall} {
+		for name, s := range received {
+			switch {
+			case now.Sub(s.receivedAt) > loadExpiry:
+				delete(received, name)
+			case !n.ignoresHall(s.hall):
+				addLoads(sum, s.loads)
+			}
+		}
+	}
+	if _, hallSumReceived := n.loads.byHall[n.self.DataHall]; hallSumReceived {
+		for _, l := range n.loads.lastSent {
+			sum[l.Key] = sum[l.Key].Minus(l.Load)
+		}
+	}
+	return sum
+}
+
+// ignoresHall reports whether the settings disable taking the loads of a hall's nodes into
+// account.
+func (n *nodes) ignoresHall(hall string) bool {
+	if hall == n.self.DataHall {
+		return n.siteState.disabled.HallLoads
+	}
+	return n.siteState.disabled.FarLoads
+}
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -23,54 +23,57 @@
 )
 
 const (
-	// meetEvery is how often a node that knows no other looks for some.
-	meetEvery = time.Second
-	// meetAgain is how often one of ten nodes looks that knows others, and more
-	// seldom the more there are: two halves that were cut apart when they started
-	// find each other so.
-	meetAgain = 15 * time.Second
-	meetNodes = 10
-	// meetRetry is the pause after a failure for a node that knows others: each
-	// call is paid for, and it needs no more of them soon.
-	meetRetry = 5 * time.Second
-	// greetEvery and greetParts are in what time a node greets all others that the store
-	// names: within meetTime, with time left for their answers.
-	greetEvery = 50 * time.Millisecond
-	greetParts = 10
+	// discoverInterval is how often a node that knows no other node reads the store's list
+	// of nodes.
+	discoverInterval = time.Second
+	// rediscoverInterval is how often a node that knows others reads that list, per
+	// rediscoverNodes nodes known, so that the load on the store does not grow with the
+	// fleet. In this way two groups that were partitioned when they started find each
+	// other.
+	rediscoverInterval = 15 * time.Second
+	rediscoverNodes    = 10
+	// discoverRetryDelay is the pause after a failed read for a node that knows others:
+	// calls to the store are paid for, and it does not need the list soon.
+	discoverRetryDelay = 5 * time.Second
+	// seedProbeInterval and seedProbeBatches spread the first probes of all nodes in the
+	// store's list: they are sent within memberResponseTime, with time left for the
+	// answers.
+	seedProbeInterval = 50 * time.Millisecond
+	seedProbeBatches  = 10
 )
 
-// nodes is what the nodes tell each other: who there is, what each has in flight,
-// which replicas to pass over, and the newest weights.
+// nodes exchanges state with the other nodes: membership, requests in flight, replicas to
+// avoid, and the newest weights.
 type nodes struct {
-	self    control.Member
-	regions map[string]string // Of data halls.
-	shares  *coldShares
-	// suspects are told of what the nodes' table has of them.
-	suspects   *suspects.Suspects
-	rateLimits *ratelimit.Limits
-	members    *control.Members
-	probes     *peer.Probes
-	store      Store
-	beliefs    *SiteState
-	kept       *route.CacheIndex
-	log        *slog.Logger
-	due        chan struct{} // Holds one when the state is to be told soon.
-	boot       uint64        // Tells this life of the node from others.
-	dropped    atomic.Int64  // Notes that could not be read.
-	mergeMu    sync.Mutex    // Has the pools told one sum after the other; taken before mu.
+	self       control.Member
+	regions    map[string]string // By data hall.
+	coldShares *coldShares
+	// suspects gets the blocked requests that the nodes' table lists.
+	suspects     *suspects.Suspects
+	rateLimits   *ratelimit.Limits
+	members      *control.Members
+	probes       *peer.Probes
+	store        Store
+	siteState    *SiteState
+	cacheIndex   *route.CacheIndex
+	log          *slog.Logger
+	loadsDue     chan struct{} // Signals that the loads are to be sent soon; capacity 1.
+	incarnation  uint64        // Distinguishes this run of the node from earlier ones.
+	notesDropped atomic.Int64  // Datagrams that could not be decoded.
+	mergeMu      sync.Mutex    // Serializes updates of the pools; taken before mu.
 
-	mu        sync.Mutex
-	announced bool
-	met       time.Time
-	meetNext  time.Time        // Not looked for others before.
-	strangers []netip.AddrPort // Yet to be greeted, greetEach at a time.
-	greetEach int
-	missed    time.Time // Since when the store does not tell the nodes, zero if it does.
-	loads     loads
-	gathered  []news // To be told soon.
+	mu              sync.Mutex
+	announced       bool
+	membersReadAt   time.Time
+	nextMembersRead time.Time        // The list of nodes is not read before.
+	unprobed        []netip.AddrPort // Known by address only, probed probeBatch at a time.
+	probeBatch      int
+	readFailedSince time.Time // Since when the list of nodes can't be read, zero if it can.
+	loads           loadState
+	pendingUpdates  []replicaUpdate // To be sent together.
 }
 
-// nodeRow is what a node writes of itself for those that start later.
+// nodeRow is the row that a node writes so that nodes that start later find it.
 type nodeRow struct {
 	Peer netip.AddrPort `json:"peer"`
 }
@@ -80,51 +83,52 @@
 	n.probes.Send(n.members.Tick(time.Now(), 0))
 }
 
-func (n *nodes) probeLate(context.Context) {
+// probeIndirectly asks other nodes to probe members that have not answered.
+func (n *nodes) probeIndirectly(context.Context) {
 	n.probes.Send(n.members.IndirectProbes(time.Now(), 0))
 }
 
-// meet writes this node's address to the store and learns those of others, as
-// long as it has not, or knows nobody.
-func (n *nodes) meet(ctx context.Context) {
+// discover writes this node's address to the store and reads those of the others, until it
+// has done so and knows other nodes, and then again from time to time.
+func (n *nodes) discover(ctx context.Context) {
 	now := boottime.Now()
 	known := len(n.members.Working())
 	n.mu.Lock()
-	again := meetAgain * time.Duration(max(1, known/meetNodes))
-	due := !n.announced || known <= 1 || now.Sub(n.met) >= again
-	due = due && !now.Before(n.meetNext)
+	interval := rediscoverInterval * time.Duration(max(1, known/rediscoverNodes))
+	due := !n.announced || known <= 1 || now.Sub(n.membersReadAt) >= interval
+	due = due && !now.Before(n.nextMembersRead)
 	n.mu.Unlock()
 	if !due {
 		return
 	}
 	rows, err := n.readNodes(ctx)
 	n.mu.Lock()
-	first := n.missed.IsZero()
-	missed := now.Sub(n.missed)
+	wasReadable := n.readFailedSince.IsZero()
+	failedFor := now.Sub(n.readFailedSince)
 	if err != nil {
-		if first {
-			n.missed = now
+		if wasReadable {
+			n.readFailedSince = now
 		}
 		if known > 1 {
-			n.meetNext = now.Add(meetRetry)
+			n.nextMembersRead = now.Add(discoverRetryDelay)
 		}
 	} else {
-		n.met, n.missed = now, time.Time{}
+		n.membersReadAt, n.readFailedSince = now, time.Time{}
 	}
 	n.mu.Unlock()
 	switch {
 	case err == nil:
-		if !first {
-			n.log.Info("nodes read again", "away", missed)
+		if !wasReadable {
+			n.log.Info("nodes read again", "away", failedFor)
 		}
-		n.greet(rows)
-		n.shares.haveMet(now)
-	case first:
+		n.addSeeds(rows)
+		n.coldShares.markMembersRead(now)
+	case wasReadable:
 		n.log.Warn("nodes not read", "err", err)
 	}
 }
 
-// readNodes writes this node's address and reads those of others.
+// readNodes writes this node's address and reads the others' rows.
 func (n *nodes) readNodes(ctx context.Context) (rows []site.Row, err error) {
 	if err := n.announce(ctx); err != nil {
 		return nil, eris.Wrap(err, "write the own address")
@@ -133,6 +137,7 @@
 	return l.Rows, eris.Wrap(err, "read the nodes' addresses")
 }
 
+// announce writes this node's address unless that is done.
 func (n *nodes) announce(ctx context.Context) error {
 	n.mu.Lock()
 	done := n.announced
@@ -153,8 +158,9 @@
 	return nil
 }
 
-func (n *nodes) greet(rows []site.Row) {
-	var strangers []netip.AddrPort
+// addSeeds takes in the rows of the nodes' table and begins to probe the nodes in it.
+func (n *nodes) addSeeds(rows []site.Row) {
+	var unprobed []netip.AddrPort
 	for _, r := range rows {
 		if r.Key == suspects.BlockedRowKey {
 			n.suspects.LoadRow(r, boottime.Now())
@@ -167,62 +173,62 @@
 		}
 		if r.Key != n.self.Name && row.Peer.IsValid() {
 			n.members.AddSeed(row.Peer)
-			strangers = append(strangers, row.Peer)
+			unprobed = append(unprobed, row.Peer)
 		}
 	}
 	n.suspects.MarkLearned()
-	rand.Shuffle(len(strangers), func(i, j int) { strangers[i], strangers[j] = strangers[j], strangers[i] })
+	rand.Shuffle(len(unprobed), func(i, j int) { unprobed[i], unprobed[j] = unprobed[j], unprobed[i] })
 	n.mu.Lock()
-	n.strangers, n.greetEach = strangers, (len(strangers)+greetParts-1)/greetParts
+	n.unprobed, n.probeBatch = unprobed, (len(unprobed)+seedProbeBatches-1)/seedProbeBatches
 	n.mu.Unlock()
-	n.greetSome(context.Background())
+	n.probeSeeds(context.Background())
 }
 
-// greetSome greets the next ones of the nodes of which only the address is known; the timer
-// service calls it. Who has been heard of meanwhile is left out: where all nodes start
-// together, each pair greets once instead of both ways.
-func (n *nodes) greetSome(context.Context) {
+// probeSeeds probes the next batch of nodes of which only the address is known; the timer
+// service calls it. Nodes that have been heard from meanwhile are left out: if all nodes
+// start together, each pair exchanges one probe instead of two.
+func (n *nodes) probeSeeds(context.Context) {
 	n.mu.Lock()
-	some := n.strangers[:min(len(n.strangers), n.greetEach)]
-	n.strangers = n.strangers[len(some):]
+	batch := n.unprobed[:min(len(n.unprobed), n.probeBatch)]
+	n.unprobed = n.unprobed[len(batch):]
 	n.mu.Unlock()
-	if len(some) > 0 {
-		n.probes.Send(n.members.ProbeSeeds(some))
+	if len(batch) > 0 {
+		n.probes.Send(n.members.ProbeSeeds(batch))
 	}
 }
 
-// announceStop tells the others that this node is stopping.
+// announceStop tells the other nodes that this node is stopping.
 func (n *nodes) announceStop() { n.probes.Send(n.members.Leave(time.Now())) }
 
-// count is how many nodes there are, as far as is known.
+// count returns the number of nodes known to work, at least 1.
 func (n *nodes) count() int { return max(1, len(n.members.Working())) }
 
-// entries lists where callers of a data hall are to go: to its own nodes, to those of its
-// region if it has too few that are well, or else to all, where what they ask for has homes
-// to those of these regions.
-func (n *nodes) entries(hall, region string, homes []string) []netip.AddrPort {
+// entryAddrs lists the nodes that clients in a data hall may use: those of the hall; if
+// fewer than minEntries are alive there, those of its region; then those in the homes, the
+// regions in which the requested host may run; or else all nodes.
+func (n *nodes) entryAddrs(hall, region string, homes []string) []netip.AddrPort {
 	view := n.members.View()
-	list := view.Hall(hall).Alive
+	candidates := view.Hall(hall).Alive
 	if region == "" {
 		region = n.regions[hall]
 	}
-	if len(list) < leastNear {
-		list = larger(n.inRegions(view.Alive, []string{region}), list)
+	if len(candidates) < minEntries {
+		candidates = longer(n.inRegions(view.Alive, []string{region}), candidates)
 	}
-	if len(list) < leastNear {
-		list = larger(n.inRegions(view.Alive, homes), list)
+	if len(candidates) < minEntries {
+		candidates = longer(n.inRegions(view.Alive, homes), candidates)
 	}
-	if len(list) == 0 || len(list) < leastNear && len(homes) == 0 {
-		list = view.Alive
+	if len(candidates) == 0 || len(candidates) < minEntries && len(homes) == 0 {
+		candidates = view.Alive
 	}
-	addrs := make([]netip.AddrPort, len(list))
-	for i, m := range list {
+	addrs := make([]netip.AddrPort, len(candidates))
+	for i, m := range candidates {
 		addrs[i] = m.Entry
 	}
 	return addrs
 }
 
-// inRegions lists those of some nodes that stand in one of the regions.
+// inRegions filters the members in one of the regions.
 func (n *nodes) inRegions(list []control.Member, regions []string) (in []control.Member) {
 	for _, m := range list {
 		if region := n.regions[m.DataHall]; region != "" && slices.Contains(regions, region) {
@@ -232,30 +238,30 @@
 	return in
 }
 
-// larger is the larger one of two lists, the second if they are alike.
-func larger(more, list []control.Member) []control.Member {
-	if len(more) > len(list) {
-		return more
+// longer returns the longer list, b if both have the same length.
+func longer(a, b []control.Member) []control.Member {
+	if len(a) > len(b) {
+		return a
 	}
-	return list
+	return b
 }
 
-// leastNear is how many nodes of its own data hall a caller is to have at least:
-// with one alone it would have nowhere to go when that one fails.
-const leastNear = 2
+// minEntries is the least number of nodes to give a client: with only one it has no
+// alternative when that node fails.
+const minEntries = 2
 
-// suspectTeller tells other nodes of suspects.
-type suspectTeller struct{ n *nodes }
+// suspectNotifier sends the notes about suspected requests to other nodes.
+type suspectNotifier struct{ n *nodes }
 
 // SendNote implements suspects.Notifier.
-func (t suspectTeller) SendNote(to []netip.AddrPort, method string, params any) int {
-	return t.n.note(to, method, params)
+func (t suspectNotifier) SendNote(to []netip.AddrPort, method string, params any) int {
+	return t.n.sendNote(to, method, params)
 }
 
 // Recipients implements suspects.Notifier.
-func (t suspectTeller) Recipients(try int) (direct, relays []netip.AddrPort) {
-	return t.n.newsAudience(try)
+func (t suspectNotifier) Recipients(try int) (direct, relays []netip.AddrPort) {
+	return t.n.updateRecipients(try)
 }
 
 // HallPeers implements suspects.Notifier.
-func (t suspectTeller) HallPeers() []netip.AddrPort { return t.n.inHall(t.n.self.DataHall) }
+func (t suspectNotifier) HallPeers() []netip.AddrPort { return t.n.hallPeers(t.n.self.DataHall) }
--- a/service/gateway/queue.go
+++ b/service/gateway/queue.go
@@ -49,7 +49,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.queued:
+		case <-g.promptQueued:
 		}
 		for ctx.Err() == nil && g.stepQueues() {
 			sleep(ctx, queuePollInterval)
@@ -75,7 +75,7 @@
 
 // enqueue waits until the prompt is admitted; ok is false if it is refused.
 func (x *exchange) enqueue(ctx context.Context) (f refusal, ok bool) {
-	if x.service.Engine == nil || x.pickInput.Tokens == 0 || x.g.beliefs.without.PromptQueue {
+	if x.service.Engine == nil || x.pickInput.Tokens == 0 || x.g.siteState.disabled.PromptQueue {
 		return refusal{}, true
 	}
 	now := boottime.Now()
@@ -107,13 +107,13 @@
 // yields to those that can; when it can't be answered at all any more it is refused.
 func (x *exchange) waitInQueue(ctx context.Context, w *route.WaitingPrompt, now time.Time) (f refusal, ok bool) {
 	select {
-	case x.g.queued <- struct{}{}:
+	case x.g.promptQueued <- struct{}{}:
 	default:
 	}
 	lateTimer, limitTimer := time.NewTimer(x.lateAfter.Sub(now)), time.NewTimer(x.sendBy.Sub(now))
 	defer lateTimer.Stop()
 	defer limitTimer.Stop()
-	stopped := x.g.stopped
+	stopped := x.g.stopRequested
 	for {
 		select {
 		case <-w.Ready():
--- a/service/gateway/race_test.go
+++ b/service/gateway/race_test.go
@@ -2,5 +2,6 @@
 
 package gateway
 
-// grownScale is by how much links and configurations are smaller than at their size.
-const grownScale = 8
+// raceScale divides link rates and configuration sizes, since nodes are slower under the
+// race detector.
+const raceScale = 8
--- a/service/gateway/stores.go
+++ b/service/gateway/stores.go
@@ -261,7 +261,7 @@
 	if lost {
 		s.log.Info("store of kept state back", "store", name, "boot", c.Boot)
 	}
-	s.clock.hear(c.Clock, now)
+	s.clock.update(c.Clock, now)
 	s.cache.ApplyStoreChanges(name, c, now)
 	return true
 }
--- a/service/gateway/suspension_test.go
+++ b/service/gateway/suspension_test.go
@@ -21,13 +21,13 @@
 }
 
 func TestLoadsFromBeforeSuspensionExpire(t *testing.T) {
-	n := newsFleet(3)
-	n.loads.states["a-1"] = heardState{from: "a-1", at: boottime.Now()}
-	n.settle(boottime.Now())
-	assert.Equal(t, len(n.loads.states), 1)
+	n := newTestNodes(3)
+	n.loads.byNode["a-1"] = receivedLoads{from: "a-1", receivedAt: boottime.Now()}
+	n.refreshPeerLoads(boottime.Now())
+	assert.Equal(t, len(n.loads.byNode), 1)
 	simulateSuspension(2 * time.Second)
-	n.settle(boottime.Now())
-	assert.Equal(t, len(n.loads.states), 0)
+	n.refreshPeerLoads(boottime.Now())
+	assert.Equal(t, len(n.loads.byNode), 0)
 }
 
 // A connection that was idle during a suspension may have ended without notice, so the
@@ -60,7 +60,7 @@
 // The replicas' clock advances while the node's machine is suspended.
 func TestReplicaClockAdvancesDuringSuspension(t *testing.T) {
 	c := new(replicaClock)
-	c.hear(time.Minute, boottime.Now())
+	c.update(time.Minute, boottime.Now())
 	simulateSuspension(8 * time.Second)
 	clock, ok := c.read(boottime.Now())
 	assert.Assert(t, ok && clock >= time.Minute+8*time.Second)
--- a/service/gateway/wiring.go
+++ b/service/gateway/wiring.go
@@ -20,31 +20,31 @@
 	"github.com/drumpath/drumpath/service/suspects"
 )
 
-// parts are what a node is made of, as the container builds them.
-type parts struct {
+// components are the parts of a node that the dependency container builds.
+type components struct {
 	dig.In
 
-	Timer    *timer.Service
-	Beliefs  *SiteState
-	Kept     *route.CacheIndex
-	Nodes    *nodes
-	Peers    *peer.Server
-	Client   *peer.Client
-	Readers  *sharedReader
-	Watchers *storeEventRelay
-	Stores   *kvStoreFollower
-	Holdings *engineCacheFollower
-	Suspects *suspects.Suspects
-	Limits   *ratelimit.Limits
-	Rollout  *rollout.Rollout
-	Conns    *upstreamConns
-	Clients  *clientConns
-	Metrics  *metrics
-	Clock    *replicaClock
+	Timer      *timer.Service
+	SiteState  *SiteState
+	CacheIndex *route.CacheIndex
+	Nodes      *nodes
+	Peers      *peer.Server
+	Client     *peer.Client
+	Readers    *sharedReader
+	Watchers   *storeEventRelay
+	Stores     *kvStoreFollower
+	Holdings   *engineCacheFollower
+	Suspects   *suspects.Suspects
+	Limits     *ratelimit.Limits
+	Rollout    *rollout.Rollout
+	Conns      *upstreamConns
+	Clients    *clientConns
+	Metrics    *metrics
+	Clock      *replicaClock
 }
 
-// build has the container make the parts.
-func build(s config.GatewaySettings, p Platform, log *slog.Logger) (built parts, err error) {
+// build has the container construct the components.
+func build(s config.GatewaySettings, p Platform, log *slog.Logger) (built components, err error) {
 	defer func() { err = eris.Wrap(dig.RootCause(err), "build") }()
 	c := dig.New()
 	for _, constructor := range constructors(s, p, log) {
@@ -52,11 +52,11 @@
 			return built, err
 		}
 	}
-	err = c.Invoke(func(in parts) { built = in })
+	err = c.Invoke(func(in components) { built = in })
 	return built, err
 }
 
-// constructors are what the container builds a node from.
+// constructors lists the constructors that the container uses.
 func constructors(s config.GatewaySettings, p Platform, log *slog.Logger) []any {
 	self := control.Member{
 		Name:     s.Node.Name,
@@ -73,35 +73,35 @@
 		func() control.Member { return self },
 		func() *timer.Service { return timer.NewService(timerWorkers) },
 		func() *peer.Client { return peer.NewClient(s.Peer.Key) },
-		func() *clientConns { return newClientConns(mostClients(s.Limits.Descriptors)) },
+		func() *clientConns { return newClientConns(maxClients(s.Limits.Descriptors)) },
 		func() *replicaClock { return new(replicaClock) },
 		func() *control.Members {
 			return control.NewMembers(self, s.Peer.ProbeEvery.Std(), nil, newRand())
 		},
-		func(k *route.CacheIndex, o *coldShares, u *upstreamConns, x *suspects.Suspects, l *ratelimit.Limits) *SiteState {
-			b := NewSiteState(p.Codec, s.Node.DataHall, s.Platform.ReturnTime.Std(), k, log)
-			b.without, b.regions, b.cold, b.shares = s.Disabled, s.Regions, s.Cold, o
-			b.rates = l
-			b.leaveTime = time.Duration(leaveShare * float64(s.Evacuation.Within))
-			b.restarted = func(id string, planned bool, now time.Time) {
-				u.closeIdle(id)
+		func(cacheIndex *route.CacheIndex, shares *coldShares, conns *upstreamConns, sus *suspects.Suspects, limits *ratelimit.Limits) *SiteState {
+			st := NewSiteState(p.Codec, s.Node.DataHall, s.Platform.ReturnTime.Std(), cacheIndex, log)
+			st.disabled, st.regions, st.cold, st.coldShares = s.Disabled, s.Regions, s.Cold, shares
+			st.rateLimits = limits
+			st.evacuationTime = time.Duration(evacuationTimeShare * float64(s.Evacuation.Within))
+			st.onRestart = func(id string, planned bool, now time.Time) {
+				conns.closeIdle(id)
 				if !planned {
-					x.RecordRestart(id, now)
+					sus.RecordRestart(id, now)
 				}
 			}
-			b.ended = x.RecordDelisted
-			return b
+			st.onDelisted = sus.RecordDelisted
+			return st
 		},
 		newColdShares,
 		func(m *control.Members, c *peer.Client) *suspects.Suspects {
 			return suspects.New(self, m, p.Store, c, log)
 		},
-		func(m *control.Members, c *peer.Client, o *coldShares) *ratelimit.Limits {
-			return ratelimit.New(self, m, c, o.hasMet, log)
+		func(m *control.Members, c *peer.Client, shares *coldShares) *ratelimit.Limits {
+			return ratelimit.New(self, m, c, shares.membersKnown, log)
 		},
-		func(b *SiteState, n *nodes, l *ratelimit.Limits) *rollout.Rollout {
-			f := &swaps{beliefs: b, nodes: n, within: s.Orders.Within.Std()}
-			r := rollout.New(s.Node.Name, s.Orders.Pause.Std(), p.Store, orderCountingEngines{p.Engines, b, l}, f, log)
+		func(st *SiteState, n *nodes, limits *ratelimit.Limits) *rollout.Rollout {
+			f := &rolloutFleet{siteState: st, nodes: n, within: s.Orders.Within.Std()}
+			r := rollout.New(s.Node.Name, s.Orders.Pause.Std(), p.Store, orderCountingEngines{p.Engines, st, limits}, f, log)
 			if s.Disabled.SwapBound {
 				r.SetUnbounded()
 			}
@@ -133,81 +133,84 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-func mostClients(descriptors int) int {
+func maxClients(descriptors int) int {
 	if descriptors <= 0 {
-		return defaultMost
+		return defaultMaxClients
 	}
-	return int((1 - spareDescriptors) * float64(descriptors))
+	return int((1 - reservedDescriptorShare) * float64(descriptors))
 }
 
-// newNodes listens for what other nodes tell.
-func newNodes(s config.GatewaySettings, self control.Member, m *control.Members, o *coldShares, x *suspects.Suspects, l *ratelimit.Limits, st Store, b *SiteState, k *route.CacheIndex, log *slog.Logger) (*nodes, error) {
+// newNodes creates the exchange with other nodes and registers the handlers of its
+// datagrams.
+func newNodes(s config.GatewaySettings, self control.Member, members *control.Members, shares *coldShares, sus *suspects.Suspects, limits *ratelimit.Limits, store Store, siteState *SiteState, cacheIndex *route.CacheIndex, log *slog.Logger) (*nodes, error) {
 	n := &nodes{
-		self:       self,
-		regions:    s.Regions,
-		shares:     o,
-		suspects:   x,
-		rateLimits: l,
-		members:    m,
-		store:      st,
-		beliefs:    b,
-		kept:       k,
-		log:        log,
-		loads:      newLoads(),
-		due:        make(chan struct{}, 1),
-		boot:       m.Self().Incarnation,
+		self:        self,
+		regions:     s.Regions,
+		coldShares:  shares,
+		suspects:    sus,
+		rateLimits:  limits,
+		members:     members,
+		store:       store,
+		siteState:   siteState,
+		cacheIndex:  cacheIndex,
+		log:         log,
+		loads:       newLoadState(),
+		loadsDue:    make(chan struct{}, 1),
+		incarnation: members.Self().Incarnation,
+	}
+	handle := func(from netip.AddrPort, p control.Probe) []control.Packet {
+		return members.Handle(from, p, time.Now(), 0)
 	}
-	handle := func(from netip.AddrPort, p control.Probe) []control.Packet { return m.Handle(from, p, time.Now(), 0) }
 	var err error
 	if n.probes, err = peer.NewProbes(s.Peer.Listen, s.Peer.Key, handle, log); err != nil {
 		return nil, err
 	}
-	n.probes.OnNote(noteState, n.hearState)
-	n.probes.OnNote(noteHall, n.hearHall)
-	n.probes.OnNote(noteNews, n.hearNews)
-	n.probes.OnNote(suspects.NoteCases, x.HandleCases)
-	n.probes.OnNote(suspects.NoteDigest, x.HandleDigest)
-	x.SetNotifier(suspectTeller{n})
-	l.SetAnnouncer(n)
+	n.probes.OnNote(noteLoads, n.handleLoads)
+	n.probes.OnNote(noteHallLoads, n.handleHallLoads)
+	n.probes.OnNote(noteReplicaUpdates, n.handleReplicaUpdates)
+	n.probes.OnNote(suspects.NoteCases, sus.HandleCases)
+	n.probes.OnNote(suspects.NoteDigest, sus.HandleDigest)
+	sus.SetNotifier(suspectNotifier{n})
+	limits.SetAnnouncer(n)
 	return n, nil
 }
 
-// newPeers listens for nodes that ask this one.
-func newPeers(s config.GatewaySettings, r *sharedReader, w *storeEventRelay, h *engineCacheFollower, x *suspects.Suspects, l *ratelimit.Limits, log *slog.Logger) (*peer.Server, error) {
+// newPeers creates the server for calls from other nodes.
+func newPeers(s config.GatewaySettings, readers *sharedReader, watchers *storeEventRelay, holdings *engineCacheFollower, sus *suspects.Suspects, limits *ratelimit.Limits, log *slog.Logger) (*peer.Server, error) {
 	server, err := peer.NewServer(s.Peer.Listen, map[peer.Role]string{peer.RolePeer: s.Peer.Key}, log)
 	if err != nil {
 		return nil, err
 	}
-	server.Handle(peer.RolePeer, methodTableChanges, r.serve)
-	server.Handle(peer.RolePeer, methodStoreEvents, w.serve)
-	server.Handle(peer.RolePeer, methodEventsOfStores, w.serveSeveral)
-	server.Handle(peer.RolePeer, methodCacheUpdates, h.serve)
-	server.Handle(peer.RolePeer, suspects.MethodRun, x.ServeRun)
-	server.Handle(peer.RolePeer, suspects.MethodRunEnded, x.ServeRunEnded)
-	server.Handle(peer.RolePeer, ratelimit.MethodTake, peer.Handle(l.ServeTake))
-	server.Handle(peer.RolePeer, ratelimit.MethodRate, peer.Handle(l.ServeRate))
-	server.Handle(peer.RolePeer, ratelimit.MethodSpend, peer.Handle(l.ServeSpend))
+	server.Handle(peer.RolePeer, methodTableChanges, readers.serve)
+	server.Handle(peer.RolePeer, methodStoreEvents, watchers.serve)
+	server.Handle(peer.RolePeer, methodEventsOfStores, watchers.serveSeveral)
+	server.Handle(peer.RolePeer, methodCacheUpdates, holdings.serve)
+	server.Handle(peer.RolePeer, suspects.MethodRun, sus.ServeRun)
+	server.Handle(peer.RolePeer, suspects.MethodRunEnded, sus.ServeRunEnded)
+	server.Handle(peer.RolePeer, ratelimit.MethodTake, peer.Handle(limits.ServeTake))
+	server.Handle(peer.RolePeer, ratelimit.MethodRate, peer.Handle(limits.ServeRate))
+	server.Handle(peer.RolePeer, ratelimit.MethodSpend, peer.Handle(limits.ServeSpend))
 	return server, nil
 }
 
 func newStores(
 	self control.Member,
 	e Engines,
-	w *storeEventRelay,
-	b *SiteState,
-	k *route.CacheIndex,
-	m *control.Members,
-	c *replicaClock,
+	watchers *storeEventRelay,
+	siteState *SiteState,
+	cacheIndex *route.CacheIndex,
+	members *control.Members,
+	clock *replicaClock,
 	log *slog.Logger,
 ) *kvStoreFollower {
 	return &kvStoreFollower{
 		engines:  e,
-		relay:    w,
-		state:    b,
-		cache:    k,
-		members:  m,
+		relay:    watchers,
+		state:    siteState,
+		cache:    cacheIndex,
+		members:  members,
 		self:     self.Name,
-		clock:    c,
+		clock:    clock,
 		log:      log,
 		followed: map[string]*followedStore{},
 		relays:   map[netip.AddrPort]context.CancelFunc{},
