--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -40,7 +40,7 @@
 	},
 	{
 		"a gap in cache events is noticed", "service/node/engine_watch.go",
-		"!w.follows(ev.Events)", "!w.follows(ev.Events) && false",
+		"!w.contiguous(answer.Events)", "!w.contiguous(answer.Events) && false",
 		"./service/node", "TestWatchResynchronisesAfterAGap",
 	},
 	{
@@ -114,13 +114,13 @@
 		"./pkg/control", "TestTakeNeverStepsBack",
 	},
 	{
-		"configuration is pulled from peers, by those who start and those who hear of it", "service/node/spread.go",
+		"configuration is pulled from peers, by those who start and those who hear of it", "service/node/config_sync.go",
 		"	var d control.Delta\n	req", "	if true {\n		return nil\n	}\n	var d control.Delta\n	req",
 		scenarios, "TestScenarios/configuration",
 	},
 	{
 		"probes carry the configuration's version", "service/node/wiring.go",
-		"		spread.Heard(from, p.Version)\n", "",
+		"		configSync.HandleVersion(from, p.Version)\n", "",
 		scenarios, "TestScenarios/configuration",
 	},
 	{
@@ -180,13 +180,13 @@
 	},
 	{
 		"weights are swapped in waves", "service/node/reconcile.go",
-		"		if mine && differ[w] < max(1, r.count[w]/swapShare) {", "		if mine {",
-		"./service/node", "TestSwapGoesInWavesAndReadsFewEngines",
+		"		if leaseHeld && differing[group] < max(1, r.groupSizes[group]/swapDivisor) {", "		if leaseHeld {",
+		"./service/node", "TestWeightSwapLimitsEnginesInTransition",
 	},
 	{
 		"a block that comes and goes is not hot", "service/node/engine_watch.go",
 		"		if last[ev.Key] == i {", "		if true || last[ev.Key] == i {",
-		"./service/node", "TestBlocksThatComeAndGoInOneBatchAreNotHot",
+		"./service/node", "TestBlocksAddedAndRemovedInOneBatchAreNotHot",
 	},
 	{
 		"the first token comes within the patience", "pkg/route/estimator.go",
--- a/service/node/bench_test.go
+++ b/service/node/bench_test.go
@@ -19,8 +19,8 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// memory is the heap and the stacks in use.
-func memory() float64 {
+// memoryInUse returns the bytes of heap and stacks in use.
+func memoryInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -28,8 +28,8 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkUpstreams reports what a configured engine costs a node in memory,
-// and a change of configuration in time.
+// BenchmarkUpstreams measures a node's memory per configured engine, and the time
+// to apply a configuration.
 func BenchmarkUpstreams(b *testing.B) {
 	for _, n := range []int{20, 690, 6900} {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
@@ -39,51 +39,51 @@
 				addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 				s.Upstreams[name] = config.Upstream{Name: name, Kind: config.UpstreamEngine, Model: "m", Address: addr}
 			}
-			before := memory()
+			before := memoryInUse()
 			u := NewUpstreams(route.NewLinks())
 			f := route.NewFleet(rand.New(rand.NewPCG(1, 1)))
-			n2 := &Node{Upstreams: u, Fleet: f}
-			n2.configure(s)
-			each := (memory() - before) / float64(n)
+			node := &Node{Upstreams: u, Fleet: f}
+			node.applyConfig(s)
+			perEngine := (memoryInUse() - before) / float64(n)
 			for b.Loop() {
-				n2.configure(s)
+				node.applyConfig(s)
 			}
-			b.ReportMetric(each, "B/engine")
+			b.ReportMetric(perEngine, "B/engine")
 		})
 	}
 }
 
-// BenchmarkEngineWatch reports what one cache event costs, and what a watched
-// block costs in memory, against the number of nodes.
+// BenchmarkEngineWatch measures the time per cache event and the memory per watched
+// block, for small and large numbers of nodes.
 func BenchmarkEngineWatch(b *testing.B) {
 	for _, nodes := range []int{8, 900} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
-			d := NewDirectory("vm-0", prompt.NewDirectory(100_000, time.Now()), fleetOf(nodes), peer.NewClient("k"), slog.New(slog.DiscardHandler))
+			d := NewDirectory("vm-0", prompt.NewDirectory(100_000, time.Now()), newTestMembers(nodes), peer.NewClient("k"), slog.New(slog.DiscardHandler))
 			defer d.Close()
 			w := newEngineWatch("e", nil, d, slog.New(slog.DiscardHandler))
 			w.blocks = map[prompt.Key]indexedBlock{}
-			w.owners = map[prompt.Key]string{}
+			w.notifiedOwners = map[prompt.Key]string{}
 			events := chainEvents(prompt.Key{1}, strings.Repeat("x", 400*prompt.ChunkBytes), false)
-			before := memory()
+			before := memoryInUse()
 			const chains = 50
 			for i := range chains {
-				w.take(chainEvents(prompt.Key{2, byte(i)}, strings.Repeat("x", 400*prompt.ChunkBytes), false))
+				w.apply(chainEvents(prompt.Key{2, byte(i)}, strings.Repeat("x", 400*prompt.ChunkBytes), false))
 			}
-			each := (memory() - before) / chains / 400
+			perBlock := (memoryInUse() - before) / chains / 400
 			for b.Loop() {
-				w.take(events)
+				w.apply(events)
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(events)), "ns/event")
-			b.ReportMetric(each, "B/block")
+			b.ReportMetric(perBlock, "B/block")
 		})
 	}
 }
 
-func fleetOf(nodes int) *control.Members {
+func newTestMembers(nodes int) *control.Members {
 	m := control.NewMembers(control.Member{Name: "vm-0", Incarnation: 1}, time.Second, nil, rand.New(rand.NewPCG(1, 1)))
 	var list []control.Member
 	for i := 1; i < nodes; i++ {
-		// A port that nobody listens on: updates to others are dropped at once.
+		// Nobody listens on this port, so updates to other nodes fail at once.
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 1)
 		list = append(list, control.Member{Name: fmt.Sprint("vm-", i), Peer: addr, Incarnation: 1})
 	}
@@ -91,8 +91,8 @@
 	return m
 }
 
-// BenchmarkPeerConnection reports what one connection between nodes costs both
-// ends together in memory, and a look-up over it in time.
+// BenchmarkPeerConnection measures the memory per connection between nodes, both
+// ends together, and the time of a look-up over it.
 func BenchmarkPeerConnection(b *testing.B) {
 	secrets := map[peer.Role]string{peer.RolePeer: "k"}
 	server, err := peer.NewServer(netip.MustParseAddrPort("127.0.0.1:0"), secrets, slog.New(slog.DiscardHandler))
@@ -104,7 +104,7 @@
 	req := peer.ObserveRequest{Marks: prompt.Pack(prompt.NewChain(prompt.Scope{}, strings.Repeat("x", 64_000)).Marks)}
 	const conns = 200
 	var clients []*peer.Client
-	before := memory()
+	before := memoryInUse()
 	for range conns {
 		c := peer.NewClient("k")
 		defer c.Close()
@@ -112,17 +112,17 @@
 		assert.NilError(b, c.Call(b.Context(), server.Addr(), peer.MethodObserve, req, &m))
 		clients = append(clients, c)
 	}
-	each := (memory() - before) / conns
+	perConnection := (memoryInUse() - before) / conns
 	for b.Loop() {
 		var m prompt.Match
 		assert.NilError(b, clients[0].Call(b.Context(), server.Addr(), peer.MethodObserve, req, &m))
 	}
-	b.ReportMetric(each, "B/connection")
+	b.ReportMetric(perConnection, "B/connection")
 }
 
-// BenchmarkReconcileTurns reports what a round of the reconciler costs when all
-// engines are as they should be.
-func BenchmarkReconcileTurns(b *testing.B) {
+// BenchmarkReconcileRound measures a round of the reconciler when all engines serve
+// the configured weights.
+func BenchmarkReconcileRound(b *testing.B) {
 	for _, n := range []int{20, 690, 6900} {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
 			s := config.NewState()
@@ -139,9 +139,9 @@
 				f.Report(r.Name, route.Report{Taken: time.Now().Add(time.Hour), Weights: "w"})
 			}
 			leases := control.NewLeases("vm-0", time.Hour, nil, nil, slog.New(slog.DiscardHandler))
-			r := &Reconciler{fleet: f, leases: leases, read: map[string]string{}}
+			r := &Reconciler{fleet: f, leases: leases, readWeights: map[string]string{}}
 			for b.Loop() {
-				if len(r.turns(s)) > 0 {
+				if len(r.enginesToCheck(s)) > 0 {
 					b.Fatal("an engine differs")
 				}
 			}
--- a/service/node/blocks_test.go
+++ b/service/node/blocks_test.go
@@ -12,20 +12,19 @@
 	"github.com/drumpath/drumpath/internal/standin"
 )
 
-// Prompts return while the store fills up and frees, restarts, and loses blocks
-// on the way: every answer is right and no block is read that was freed or
-// half-written.
-func TestBlocksUnderEvictionAndRestart(t *testing.T) {
+// Guards against wrong answers, and reads of freed or half-written blocks, when
+// prompts repeat while the store evicts, restarts and loses blocks of a put.
+func TestNoBadReadsDuringStoreEvictionAndRestart(t *testing.T) {
 	cfg := smallSite(2, 1)
-	// Room for one prompt on each engine, and for seven of the ten in the
-	// store, so that prompts are imported and eviction never rests.
+	// Each engine has space for one prompt and the store for seven of the ten, so
+	// that prompts are imported and the store evicts all the time.
 	cfg.Engine.CacheTokens = 4500
 	cfg.Store.Capacity = 7 * 4096 * int64(cfg.Store.TokenBytes)
 	site := startSite(t, cfg)
 	defer site.Close()
 	n := startNode(t, site, "vm-1")
 	defer n.Close()
-	setUp(t, n, site)
+	configureNode(t, n, site)
 	store := site.Stores[0]
 	stop := make(chan struct{})
 	var faulty sync.WaitGroup
@@ -57,13 +56,13 @@
 	assert.Assert(t, n.Metrics.Imports.Value() > 0, "nothing was imported, so nothing was tested")
 }
 
-// A watch that misses events notices the gap and reads the whole cache.
+// An engine watch that misses events detects the gap and reads all blocks.
 func TestWatchResynchronisesAfterAGap(t *testing.T) {
 	site := startSite(t, smallSite(1, 0))
 	defer site.Close()
 	n := startNode(t, site, "vm-1")
 	defer n.Close()
-	setUp(t, n, site)
+	configureNode(t, n, site)
 	held := func() int {
 		for _, w := range n.Watches.Status() {
 			return w.Entries
@@ -80,25 +79,25 @@
 	assert.Assert(t, n.Watches.Status()[0].Resyncs > 1)
 }
 
-// Callers who go away have their runs broken off upstream.
-func TestCallerGoneCancelsTheRun(t *testing.T) {
+// When a client disconnects, its run is cancelled at the engine.
+func TestClientDisconnectCancelsUpstreamRun(t *testing.T) {
 	cfg := smallSite(1, 0)
 	cfg.Engine.PrefillRate = 100
 	site := startSite(t, cfg)
 	defer site.Close()
 	n := startNode(t, site, "vm-1")
 	defer n.Close()
-	setUp(t, n, site)
+	configureNode(t, n, site)
 	ctx, cancel := context.WithCancel(t.Context())
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
-		postUntil(ctx, n, strings.Repeat("a long prompt ", 1000))
+		postWithContext(ctx, n, strings.Repeat("a long prompt ", 1000))
 	}()
 	waitUntil(t, func() bool { return n.Entry.InFlight() == 1 })
 	waitUntil(t, func() bool { return n.Admission.Status().Admitted == 1 })
 	cancel()
 	<-gone
-	// Its prefill alone would take over half a minute.
+	// The prefill alone would take over 30 s, longer than waitUntil waits.
 	waitUntil(t, func() bool { return n.Entry.InFlight() == 0 && n.Admission.Status().Admitted == 0 })
 }
--- a/service/node/claim_table.go
+++ b/service/node/claim_table.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// collectorAvoid is how long a collector that did not answer is gone round.
-	collectorAvoid = 5 * time.Second
-	// collectorWait bounds a call to a collector, below how long a caller waits
-	// for a claim.
-	collectorWait = time.Second
+	// collectorAvoidDuration is how long a collector that did not answer is bypassed.
+	collectorAvoidDuration = 5 * time.Second
+	// collectorTimeout bounds a call to a collector. It is shorter than the time
+	// that a caller waits for a claim.
+	collectorTimeout = time.Second
 )
 
-// commitAnswer is a collector's answer.
+// commitAnswer is a collector's answer to a commit.
 type commitAnswer struct {
 	Committed bool             `json:"committed"`
 	Conflicts []tablestore.Row `json:"conflicts,omitempty"`
-	// NotApplied says that the transaction certainly had no effect.
+	// NotApplied is set if the transaction definitely had no effect.
 	NotApplied bool `json:"not_applied,omitempty"`
 }
 
-// claimTable writes claims through the fleet's collectors, which join those of
-// many nodes. A collector that does not answer leaves the outcome unknown, which
-// claims settle by writing again; then the table service is asked directly.
+// claimTable writes claims through the fleet's collectors, which batch the claims
+// of many nodes into one transaction. If a collector does not answer, the outcome
+// is unknown; control.Claims settles it by writing again, and that write goes
+// through this node's own collector.
 type claimTable struct {
 	self    string
 	members *control.Members
@@ -41,47 +42,48 @@
 	table   *tablestore.Table
 	log     *slog.Logger
 
-	mu    sync.Mutex
-	avoid map[string]time.Time
+	mu         sync.Mutex
+	avoidUntil map[string]time.Time
 }
 
-// Commit implements the table that claims are written to.
+// Commit implements control.Table.
 func (t *claimTable) Commit(ctx context.Context, txn tablestore.Txn) error {
 	owner, ok := t.collector(txn)
 	if !ok || owner.Name == t.self {
 		return t.local.Commit(ctx, txn)
 	}
-	ctx, cancel := context.WithTimeout(ctx, collectorWait)
+	ctx, cancel := context.WithTimeout(ctx, collectorTimeout)
 	defer cancel()
-	var a commitAnswer
-	if err := t.client.Call(ctx, owner.Peer, peer.MethodCommit, txn, &a); err != nil {
+	var answer commitAnswer
+	if err := t.client.Call(ctx, owner.Peer, peer.MethodCommit, txn, &answer); err != nil {
 		t.log.Debug("collector not reached", "node", owner.Name, "err", err)
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.avoid[owner.Name] = time.Now().Add(collectorAvoid)
+		t.avoidUntil[owner.Name] = time.Now().Add(collectorAvoidDuration)
 		return tablestore.ErrUnknown
 	}
 	switch {
-	case a.Committed:
+	case answer.Committed:
 		return nil
-	case len(a.Conflicts) > 0:
-		return &tablestore.ConflictError{Rows: a.Conflicts}
-	case a.NotApplied:
+	case len(answer.Conflicts) > 0:
+		return &tablestore.ConflictError{Rows: answer.Conflicts}
+	case answer.NotApplied:
 		return tablestore.ErrNotApplied
 	default:
 		return tablestore.ErrUnknown
 	}
 }
 
-// Read implements the table that claims are written to.
+// Read implements control.Table.
 func (t *claimTable) Read(ctx context.Context, keys ...string) ([]tablestore.Row, error) {
 	return t.table.Read(ctx, keys...)
 }
 
-// collector picks the collector of a transaction; ok is false to go without.
+// collector picks the collector of a transaction. ok is false if there is none or
+// it is being bypassed.
 func (t *claimTable) collector(txn tablestore.Txn) (owner control.Member, ok bool) {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(txn.Puts[0].Key)) // It never fails.
+	_, _ = h.Write([]byte(txn.Puts[0].Key)) // A hash's Write never returns an error.
 	duty := "collector/" + strconv.Itoa(int(h.Sum32()%control.Collectors))
 	owner, ok = control.Owner(t.members.Working(), duty)
 	if !ok {
@@ -89,20 +91,20 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return owner, !time.Now().Before(t.avoid[owner.Name])
+	return owner, !time.Now().Before(t.avoidUntil[owner.Name])
 }
 
-// commit serves a peer's transaction.
-func (n *Node) commit(ctx context.Context, txn tablestore.Txn) (a commitAnswer, err error) {
+// commit commits a peer's transaction as its collector.
+func (n *Node) commit(ctx context.Context, txn tablestore.Txn) (answer commitAnswer, err error) {
 	err = n.Collector.Commit(ctx, txn)
 	var conflict *tablestore.ConflictError
 	switch {
 	case err == nil:
-		a.Committed = true
+		answer.Committed = true
 	case errors.As(err, &conflict):
-		a.Conflicts = conflict.Rows
+		answer.Conflicts = conflict.Rows
 	case errors.Is(err, tablestore.ErrNotApplied):
-		a.NotApplied = true
+		answer.NotApplied = true
 	}
-	return a, nil
+	return answer, nil
 }
--- a/service/node/spread.go
+++ b/service/node/config_sync.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// pullTimeout is within what time a peer must begin to answer.
+	// pullTimeout bounds the time until a peer begins to answer.
 	pullTimeout = 2 * time.Second
-	// tableEvery is how often a node reads the head of the configuration log
-	// for itself; changes come much sooner from peers.
-	tableEvery = 15 * time.Second
+	// tableRefreshInterval is how often a node reads the head of the configuration
+	// log from the table service; changes usually arrive much sooner from peers.
+	tableRefreshInterval = 15 * time.Second
 )
 
-// Spread brings newer configurations from peers, as probes tell of them, and
-// now and then from the table service.
-type Spread struct {
+// ConfigSync fetches newer configurations from peers whose probes announce them,
+// and periodically from the table service.
+type ConfigSync struct {
 	log    *slog.Logger
 	config *control.Log
 	client *peer.Client
@@ -34,15 +34,16 @@
 	wg      sync.WaitGroup
 }
 
-// NewSpread returns a spreader.
-func NewSpread(c *control.Log, client *peer.Client, log *slog.Logger) *Spread {
-	s := &Spread{log: log, config: c, client: client}
+// NewConfigSync returns a ConfigSync that updates c.
+func NewConfigSync(c *control.Log, client *peer.Client, log *slog.Logger) *ConfigSync {
+	s := &ConfigSync{log: log, config: c, client: client}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
-// Heard is told of a peer's version; a newer one is fetched in the background.
-func (s *Spread) Heard(from netip.AddrPort, version uint64) {
+// HandleVersion takes in the configuration version that a peer has announced, and
+// fetches a newer one in the background.
+func (s *ConfigSync) HandleVersion(from netip.AddrPort, version uint64) {
 	if version <= s.config.State().Version {
 		return
 	}
@@ -62,8 +63,8 @@
 	})
 }
 
-// Pull fetches what a peer has newer.
-func (s *Spread) Pull(ctx context.Context, from netip.AddrPort) error {
+// Pull fetches the configuration changes that a peer has and this node lacks.
+func (s *ConfigSync) Pull(ctx context.Context, from netip.AddrPort) error {
 	var d control.Delta
 	req := peer.SinceRequest{Version: s.config.State().Version}
 	if err := s.client.CallWithin(ctx, pullTimeout, from, peer.MethodSince, req, &d); err != nil {
@@ -73,15 +74,15 @@
 	return nil
 }
 
-// Refresh reads the table service; the timer service calls it.
-func (s *Spread) Refresh(ctx context.Context) {
+// Refresh reads new changes from the table service; the timer service calls it.
+func (s *ConfigSync) Refresh(ctx context.Context) {
 	if err := s.config.Refresh(ctx); err != nil {
 		s.log.Debug("configuration not refreshed", "err", err)
 	}
 }
 
-// Close ends a pull under way and waits.
-func (s *Spread) Close() {
+// Close cancels a pull in progress and waits for it.
+func (s *ConfigSync) Close() {
 	s.cancel()
 	s.mu.Lock()
 	s.closed = true
--- a/service/node/directory.go
+++ b/service/node/directory.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// lookTimeout bounds what a look-up may add to a request.
-	lookTimeout = 100 * time.Millisecond
-	// avoidTerm is how long a shard that timed out is not asked.
-	avoidTerm = time.Second
-	// updateQueue bounds updates waiting to be sent; the oldest knowledge is
-	// lost beyond it and comes back with the next resynchronisation.
-	updateQueue   = 4096
-	updateTimeout = 2 * time.Second
+	// lookupTimeout bounds the delay that a look-up may add to a request.
+	lookupTimeout = 100 * time.Millisecond
+	// avoidDuration is how long a node that timed out is not asked again.
+	avoidDuration = time.Second
+	// updateQueueSize bounds the updates waiting to be sent. Further ones are
+	// dropped; the next resynchronisation makes up for them.
+	updateQueueSize = 4096
+	updateTimeout   = 2 * time.Second
 )
 
-// Directory is the directory of kept state over all nodes. A chain's shard is
-// held by the node that its anchor falls to.
+// Directory records which upstreams hold the KV cache of which prompts. It is
+// sharded over all nodes: a chain belongs to the node that owns its anchor by
+// rendezvous hashing.
 type Directory struct {
 	self    string
 	local   *prompt.Directory
@@ -33,12 +34,12 @@
 	client  *peer.Client
 	log     *slog.Logger
 
-	mu      sync.Mutex
-	avoid   map[netip.AddrPort]time.Time
-	updates chan directoryUpdate
-	wg      sync.WaitGroup
-	done    chan struct{}
-	dropped atomic.Int64
+	mu             sync.Mutex
+	avoidUntil     map[netip.AddrPort]time.Time
+	updates        chan directoryUpdate
+	wg             sync.WaitGroup
+	done           chan struct{}
+	droppedUpdates atomic.Int64
 }
 
 type directoryUpdate struct {
@@ -46,65 +47,66 @@
 	req   peer.UpdateRequest
 }
 
-// NewDirectory starts sending updates to the shards' holders.
+// NewDirectory returns a directory and starts sending updates to shard owners.
 func NewDirectory(self string, local *prompt.Directory, m *control.Members, c *peer.Client, log *slog.Logger) *Directory {
 	d := &Directory{
-		self:    self,
-		local:   local,
-		members: m,
-		client:  c,
-		log:     log,
-		avoid:   map[netip.AddrPort]time.Time{},
-		updates: make(chan directoryUpdate, updateQueue),
-		done:    make(chan struct{}),
-	}
-	d.wg.Go(d.send)
+		self:       self,
+		local:      local,
+		members:    m,
+		client:     c,
+		log:        log,
+		avoidUntil: map[netip.AddrPort]time.Time{},
+		updates:    make(chan directoryUpdate, updateQueueSize),
+		done:       make(chan struct{}),
+	}
+	d.wg.Go(d.sendUpdates)
 	return d
 }
 
-// Close stops sending and waits.
+// Close stops sending updates and waits for pending calls.
 func (d *Directory) Close() {
 	close(d.done)
 	d.wg.Wait()
 }
 
-// owner returns the node that holds an anchor's shard.
+// owner returns the node that owns an anchor's shard.
 func (d *Directory) owner(anchor prompt.Key) (control.Member, bool) {
 	return control.Owner(d.members.Working(), string(anchor[:]))
 }
 
-// Observe looks a chain up and records the sighting. A shard that does not
-// answer in time costs its knowledge, not the request.
+// Observe looks a chain up and records the occurrence. If the shard's owner does
+// not answer in time, the match is empty and the request goes on.
 func (d *Directory) Observe(ctx context.Context, chain prompt.Chain) prompt.Match {
-	return d.ask(ctx, chain.Marks, peer.MethodObserve, d.local.Observe)
+	return d.query(ctx, chain.Marks, peer.MethodObserve, d.local.Observe)
 }
 
-// Lookup looks a chain up and records nothing.
+// Lookup looks a chain up without recording an occurrence.
 func (d *Directory) Lookup(ctx context.Context, marks []prompt.Mark) prompt.Match {
-	return d.ask(ctx, marks, peer.MethodLookup, d.local.Lookup)
+	return d.query(ctx, marks, peer.MethodLookup, d.local.Lookup)
 }
 
-// ask asks the holder of a chain's shard, by method, or this node's own.
-func (d *Directory) ask(
+// query calls method at the owner of a chain's shard, or localQuery if that is this
+// node.
+func (d *Directory) query(
 	ctx context.Context,
 	marks []prompt.Mark,
 	method string,
-	local func([]prompt.Mark, time.Time) prompt.Match,
+	localQuery func([]prompt.Mark, time.Time) prompt.Match,
 ) prompt.Match {
 	if len(marks) == 0 {
 		return prompt.Match{}
 	}
 	owner, ok := d.owner(prompt.Chain{Marks: marks}.Anchor())
 	if !ok || owner.Name == d.self {
-		return local(marks, time.Now())
+		return localQuery(marks, time.Now())
 	}
 	if d.avoided(owner.Peer) {
 		return prompt.Match{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	answer := make(chan prompt.Match, 1)
-	// Writing to a frozen peer can block past the context, so it may not
-	// happen on the request's goroutine.
+	// A write to a frozen peer can block past the context's deadline, so it must
+	// not happen on the request's goroutine.
 	d.wg.Go(func() {
 		defer cancel()
 		var m prompt.Match
@@ -127,23 +129,23 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.avoid[owner.Peer] = time.Now().Add(avoidTerm)
+	d.avoidUntil[owner.Peer] = time.Now().Add(avoidDuration)
 	return prompt.Match{}
 }
 
 func (d *Directory) avoided(addr netip.AddrPort) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	until, ok := d.avoid[addr]
+	until, ok := d.avoidUntil[addr]
 	if ok && time.Now().After(until) {
-		delete(d.avoid, addr)
+		delete(d.avoidUntil, addr)
 		ok = false
 	}
 	return ok
 }
 
-// Placed records that an engine is about to hold a chain, so that others who
-// come before its cache events find it.
+// Placed records that an engine is about to cache a chain, so that requests
+// that arrive before the engine's cache events find it.
 func (d *Directory) Placed(chain prompt.Chain, engine string) {
 	if len(chain.Marks) == 0 {
 		return
@@ -172,14 +174,14 @@
 	})
 }
 
-// Update sends news to the holder of an anchor's shard, soon.
+// Update queues an update for the owner of an anchor's shard.
 func (d *Directory) Update(anchor prompt.Key, req peer.UpdateRequest) {
 	if owner, ok := d.owner(anchor); ok {
-		d.updateAt(owner, req)
+		d.enqueueUpdate(owner, req)
 	}
 }
 
-func (d *Directory) updateAt(owner control.Member, req peer.UpdateRequest) {
+func (d *Directory) enqueueUpdate(owner control.Member, req peer.UpdateRequest) {
 	if owner.Name == d.self {
 		if err := d.Apply(req); err != nil {
 			d.log.Error("own directory update failed", "err", err)
@@ -189,11 +191,11 @@
 	select {
 	case d.updates <- directoryUpdate{owner: owner, req: req}:
 	default:
-		d.dropped.Add(1)
+		d.droppedUpdates.Add(1)
 	}
 }
 
-// Apply takes news of one upstream into the local shard.
+// Apply applies an update about one upstream to the local shard.
 func (d *Directory) Apply(req peer.UpdateRequest) (err error) {
 	now := time.Now()
 	added, err := prompt.UnpackKeys(req.Added)
@@ -225,7 +227,7 @@
 	return nil
 }
 
-func (d *Directory) send() {
+func (d *Directory) sendUpdates() {
 	for {
 		select {
 		case u := <-d.updates:
--- a/service/node/doc.go
+++ b/service/node/doc.go
@@ -1,3 +1,3 @@
-// Package node puts the parts of one drumpath process together and watches the
-// upstreams that are this node's duty.
+// Package node assembles one drumpath process and polls the upstreams that are
+// assigned to it.
 package node
--- a/service/node/dump.go
+++ b/service/node/dump.go
@@ -11,7 +11,7 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// dumpAnswer is the state of a process.
+// dumpAnswer is the state of a process, as shown to operators.
 type dumpAnswer struct {
 	Node      string                `json:"node"`
 	Time      time.Time             `json:"time"`
@@ -39,7 +39,7 @@
 		Version:   n.Config.State().Version,
 		Members:   n.Members.All(),
 		Shard:     n.Shard.Stats(),
-		Dropped:   n.Directory.dropped.Load(),
+		Dropped:   n.Directory.droppedUpdates.Load(),
 		Watches:   n.Watches.Status(),
 		Links:     n.Links.Status(now),
 		Queues:    n.Admission.Status(),
@@ -53,7 +53,7 @@
 	}, nil
 }
 
-// metrics are the node's counters and the process's memory figures.
+// metrics returns the node's counters and the process's memory statistics.
 func (n *Node) metrics() *expvar.Map {
 	m := new(expvar.Map).Init()
 	m.Set("entry", n.Metrics.Map())
@@ -63,5 +63,5 @@
 	return m
 }
 
-// MetricsVar is the node's metrics for publishing under expvar.
+// MetricsVar returns the node's metrics for publication through expvar.
 func (n *Node) MetricsVar() expvar.Var { return n.metrics() }
--- a/service/node/duties.go
+++ b/service/node/duties.go
@@ -6,9 +6,10 @@
 	"github.com/drumpath/drumpath/pkg/control"
 )
 
-// duties remembers which duties are this node's, until the fleet or the
-// upstreams change: working that out costs a look at every pair of both.
-type duties struct {
+// dutyInputs detects changes of the members and the upstreams, from which a node's
+// duties are computed. Computing them costs members times upstreams, so callers do
+// it only after a change.
+type dutyInputs struct {
 	members   *control.Members
 	upstreams *Upstreams
 
@@ -18,9 +19,9 @@
 	known      bool
 }
 
-// stale says whether the fleet or the upstreams have changed since the last
-// call that said so.
-func (d *duties) stale() bool {
+// changed reports whether the members or the upstreams have changed since it last
+// returned true. The first call returns true.
+func (d *dutyInputs) changed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	generation, version := d.members.Generation(), d.upstreams.Version()
--- a/service/node/engine_watch.go
+++ b/service/node/engine_watch.go
@@ -9,49 +9,49 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// engineWatch follows the cache events of one engine and tells the directory
-// shards. Events come late and with gaps; a gap or a new boot is made up by
-// reading the whole cache.
+// engineWatch follows the cache events of one engine and updates the directory
+// shards. Events come late and with gaps; after a gap or a restart of the engine
+// it reads the list of all cached blocks.
 //
-// Events name a block by its key and its parent, not by the chain's anchor that
-// says which shard it belongs to, so the watch keeps an index of the blocks.
+// Events identify a block by its key and its parent, but the block's shard follows
+// from its chain's anchor, so the watch keeps an index from blocks to anchors.
 type engineWatch struct {
-	name   string
-	engine *upstream.Engine
-	dir    *Directory
-	log    *slog.Logger
+	name      string
+	engine    *upstream.Engine
+	directory *Directory
+	log       *slog.Logger
 
-	boot   uint64
-	seq    uint64
-	synced bool
-	blocks map[prompt.Key]indexedBlock
-	owners map[prompt.Key]string // Anchor to the holder that was told.
-	resync int                   // How often the whole cache was read.
+	boot           uint64
+	seq            uint64
+	synced         bool
+	blocks         map[prompt.Key]indexedBlock
+	notifiedOwners map[prompt.Key]string // By anchor: the name of the owner that was notified.
+	resyncs        int                   // How often all blocks were read.
 }
 
 func newEngineWatch(name string, e *upstream.Engine, d *Directory, log *slog.Logger) *engineWatch {
-	return &engineWatch{name: name, engine: e, dir: d, log: log}
+	return &engineWatch{name: name, engine: e, directory: d, log: log}
 }
 
-// poll reads the newest events.
+// poll reads and applies the newest events.
 func (w *engineWatch) poll(ctx context.Context) error {
 	if !w.synced {
-		return w.readAll(ctx)
+		return w.resynchronise(ctx)
 	}
-	ev, err := w.engine.Events(ctx, w.seq)
+	answer, err := w.engine.Events(ctx, w.seq)
 	if err != nil {
 		return err
 	}
-	if ev.Boot != w.boot || (len(ev.Events) > 0 && !w.follows(ev.Events)) {
+	if answer.Boot != w.boot || (len(answer.Events) > 0 && !w.contiguous(answer.Events)) {
 		w.log.Info("gap in cache events", "upstream", w.name, "after", w.seq)
-		return w.readAll(ctx)
+		return w.resynchronise(ctx)
 	}
-	w.take(ev.Events)
+	w.apply(answer.Events)
 	return nil
 }
 
-// follows says whether events go on without a gap.
-func (w *engineWatch) follows(events []upstream.CacheEvent) bool {
+// contiguous reports whether events continue from the last one without a gap.
+func (w *engineWatch) contiguous(events []upstream.CacheEvent) bool {
 	next := w.seq + 1
 	for _, ev := range events {
 		if ev.Seq != next {
@@ -62,30 +62,31 @@
 	return true
 }
 
-// readAll starts over from the engine's whole cache.
-func (w *engineWatch) readAll(ctx context.Context) error {
+// resynchronise rebuilds the index and the directory entries from the list of all
+// blocks in the engine's cache.
+func (w *engineWatch) resynchronise(ctx context.Context) error {
 	all, err := w.engine.Blocks(ctx)
 	if err != nil {
 		return err
 	}
-	w.resync++
+	w.resyncs++
 	w.boot, w.seq, w.synced = all.Boot, all.Seq, true
 	w.blocks = make(map[prompt.Key]indexedBlock, len(all.Blocks))
-	w.owners = map[prompt.Key]string{}
+	w.notifiedOwners = map[prompt.Key]string{}
 	parents := make(map[prompt.Key]upstream.CacheEvent, len(all.Blocks))
 	for _, b := range all.Blocks {
 		parents[b.Key] = b
 	}
-	u := newShardUpdates(w.name)
-	u.reset(w.dir.members.Working())
+	updates := newShardUpdates(w.name)
+	updates.reset(w.directory.members.Working())
 	for _, b := range all.Blocks {
-		w.add(u, b, anchorOf(b, parents))
+		w.add(updates, b, anchorOf(b, parents))
 	}
-	u.send(w.dir)
+	updates.sendAll(w.directory)
 	return nil
 }
 
-// anchorOf walks a block's parents back to its chain's anchor.
+// anchorOf follows a block's parents to its chain's anchor.
 func anchorOf(b upstream.CacheEvent, parents map[prompt.Key]upstream.CacheEvent) prompt.Key {
 	for b.Position > prompt.AnchorChunks {
 		parent, ok := parents[b.Parent]
@@ -97,49 +98,50 @@
 	return b.Key
 }
 
-// take applies events that follow. Of a block that comes and goes within them
-// only the last change is told, as a shard takes in removals before additions.
-func (w *engineWatch) take(events []upstream.CacheEvent) {
+// apply applies contiguous events. A shard applies an update's removals before its
+// additions, so for a block that is both added and removed in the batch only the
+// last change is sent.
+func (w *engineWatch) apply(events []upstream.CacheEvent) {
 	last := make(map[prompt.Key]int, len(events))
 	for i, ev := range events {
 		last[ev.Key] = i
 	}
-	u := newShardUpdates(w.name)
+	updates := newShardUpdates(w.name)
 	discard := newShardUpdates(w.name)
 	for i, ev := range events {
 		w.seq = ev.Seq
-		told := discard
+		target := discard
 		if last[ev.Key] == i {
-			told = u
+			target = updates
 		}
 		if ev.Removed {
-			w.remove(told, ev.Key)
+			w.remove(target, ev.Key)
 			continue
 		}
 		anchor := ev.Key
 		if parent, known := w.blocks[ev.Parent]; known && ev.Position > prompt.AnchorChunks {
 			anchor = parent.anchor
 		}
-		w.add(told, ev, anchor)
+		w.add(target, ev, anchor)
 	}
-	u.send(w.dir)
+	updates.sendAll(w.directory)
 }
 
-func (w *engineWatch) add(u *shardUpdates, b upstream.CacheEvent, anchor prompt.Key) {
+func (w *engineWatch) add(updates *shardUpdates, b upstream.CacheEvent, anchor prompt.Key) {
 	w.blocks[b.Key] = indexedBlock{anchor: anchor, position: int32(b.Position)}
 	if !prompt.IsMark(b.Position) {
 		return
 	}
-	owner, ok := u.owner(w.dir, anchor)
+	owner, ok := updates.owner(w.directory, anchor)
 	if !ok {
 		return
 	}
-	w.owners[anchor] = owner.Name
-	req := u.to(owner)
+	w.notifiedOwners[anchor] = owner.Name
+	req := updates.requestFor(owner)
 	req.Added = append(req.Added, b.Key[:]...)
 }
 
-func (w *engineWatch) remove(u *shardUpdates, key prompt.Key) {
+func (w *engineWatch) remove(updates *shardUpdates, key prompt.Key) {
 	b, known := w.blocks[key]
 	if !known {
 		return
@@ -148,32 +150,32 @@
 	if !prompt.IsMark(int(b.position)) {
 		return
 	}
-	if owner, ok := u.owner(w.dir, b.anchor); ok {
-		req := u.to(owner)
+	if owner, ok := updates.owner(w.directory, b.anchor); ok {
+		req := updates.requestFor(owner)
 		req.Removed = append(req.Removed, key[:]...)
 	}
 }
 
-// membersChanged tells new holders of shards what they should know.
+// membersChanged sends the blocks of shards that have moved to their new owners.
 func (w *engineWatch) membersChanged() {
 	moved := map[prompt.Key]control.Member{}
-	for anchor, told := range w.owners {
-		if owner, ok := w.dir.owner(anchor); ok && owner.Name != told {
+	for anchor, notified := range w.notifiedOwners {
+		if owner, ok := w.directory.owner(anchor); ok && owner.Name != notified {
 			moved[anchor] = owner
-			w.owners[anchor] = owner.Name
+			w.notifiedOwners[anchor] = owner.Name
 		}
 	}
 	if len(moved) == 0 {
 		return
 	}
-	u := newShardUpdates(w.name)
+	updates := newShardUpdates(w.name)
 	for key, b := range w.blocks {
 		owner, ok := moved[b.anchor]
 		if !ok || !prompt.IsMark(int(b.position)) {
 			continue
 		}
-		req := u.to(owner)
+		req := updates.requestFor(owner)
 		req.Added = append(req.Added, key[:]...)
 	}
-	u.send(w.dir)
+	updates.sendAll(w.directory)
 }
--- a/service/node/engine_watch_test.go
+++ b/service/node/engine_watch_test.go
@@ -23,8 +23,8 @@
 	return d
 }
 
-// chainEvents are the events of a prompt's blocks coming and, if removed, going
-// again, last block first.
+// chainEvents returns the events that add a prompt's blocks and, if removed is set,
+// remove them again, last block first.
 func chainEvents(root prompt.Key, text string, removed bool) []upstream.CacheEvent {
 	var list []upstream.CacheEvent
 	parent := root
@@ -43,18 +43,18 @@
 	return list
 }
 
-func TestBlocksThatComeAndGoInOneBatchAreNotHot(t *testing.T) {
+func TestBlocksAddedAndRemovedInOneBatchAreNotHot(t *testing.T) {
 	d := newTestDirectory(t)
 	w := newEngineWatch("e", nil, d, slog.New(slog.DiscardHandler))
 	w.blocks = map[prompt.Key]indexedBlock{}
-	w.owners = map[prompt.Key]string{}
+	w.notifiedOwners = map[prompt.Key]string{}
 	text := strings.Repeat("specification ", 500)
 	chain := prompt.NewChain(prompt.Scope{}, text)
-	// The node that placed the run has told the shard already.
+	// The node that placed the run has already updated the shard.
 	d.Placed(chain, "e")
 	assert.Equal(t, len(d.Lookup(t.Context(), chain.Marks).Locations), 1)
-	w.take(chainEvents(chain.Root, text, true))
+	w.apply(chainEvents(chain.Root, text, true))
 	assert.Equal(t, len(d.Lookup(t.Context(), chain.Marks).Locations), 0)
-	w.take(chainEvents(chain.Root, text, false))
+	w.apply(chainEvents(chain.Root, text, false))
 	assert.Equal(t, len(d.Lookup(t.Context(), chain.Marks).Locations), 1)
 }
--- a/service/node/handlers.go
+++ b/service/node/handlers.go
@@ -12,16 +12,16 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// handle sets what is served to peers and operators.
-func (n *Node) handle() {
+// registerHandlers registers the methods served to peers and operators.
+func (n *Node) registerHandlers() {
 	p := n.Peer
 	p.Handle(peer.RolePeer, peer.MethodObserve, peer.Handle(n.observe))
-	p.Handle(peer.RolePeer, peer.MethodLookup, peer.Handle(n.look))
+	p.Handle(peer.RolePeer, peer.MethodLookup, peer.Handle(n.lookup))
 	p.Handle(peer.RolePeer, peer.MethodUpdate, peer.Handle(n.update))
 	p.Handle(peer.RolePeer, peer.MethodCommit, peer.Handle(n.commit))
 	p.Handle(peer.RolePeer, peer.MethodSince, peer.Handle(n.since))
 	p.Handle(peer.RolePeer, peer.MethodMembers, peer.Handle(n.listMembers))
-	p.Handle(peer.RolePeer, peer.MethodLeaving, peer.Handle(n.leaving))
+	p.Handle(peer.RolePeer, peer.MethodLeaving, peer.Handle(n.setLeaving))
 	p.Handle(peer.RolePeer, methodRows, peer.Handle(n.rows))
 	p.Handle(peer.RolePeer, methodVersion, peer.Handle(n.version))
 	p.Handle(peer.RoleOperator, peer.MethodRun, peer.Handle(n.Operator.Run))
@@ -37,7 +37,7 @@
 	return n.Shard.Observe(marks, time.Now()), nil
 }
 
-func (n *Node) look(_ context.Context, req peer.ObserveRequest) (prompt.Match, error) {
+func (n *Node) lookup(_ context.Context, req peer.ObserveRequest) (prompt.Match, error) {
 	marks, err := req.Marks.Unpack()
 	if err != nil {
 		return prompt.Match{}, err
@@ -56,12 +56,12 @@
 func (n *Node) listMembers(context.Context, struct{}) (peer.MembersAnswer, error) {
 	return peer.MembersAnswer{
 		Members:     n.Members.All(),
-		LeavingNews: peer.LeavingNews{Leaving: n.Platform.list()},
+		LeavingNews: peer.LeavingNews{Leaving: n.Platform.leavingAddrs()},
 	}, nil
 }
 
-func (n *Node) leaving(_ context.Context, news peer.LeavingNews) (struct{}, error) {
-	n.Platform.take(news.Leaving)
+func (n *Node) setLeaving(_ context.Context, news peer.LeavingNews) (struct{}, error) {
+	n.Platform.setLeaving(news.Leaving)
 	return struct{}{}, nil
 }
 
--- a/service/node/loads.go
+++ b/service/node/loads.go
@@ -16,95 +16,96 @@
 )
 
 const (
-	// loadSubset is how many engines of a model a node asks for their load. A
-	// larger fleet is shared out by rendezvous hashing, so that each engine is
-	// asked by about as many nodes.
-	loadSubset = 32
-	// loadBytes is about how long a load report is on the wire, with its
-	// request and headers.
-	loadBytes = 600
-	// loadBudget is how many bytes a second a node spends on asking for load.
-	loadBudget = 1_000
-	// maxCredit is how much of it can be saved up, so that a node that starts
-	// can ask its whole subset at once.
-	maxCredit = loadSubset * loadBytes
-	// storeBudget is the same for stores.
-	storeBudget = 600
-	storesEvery = time.Second
-	loadFast    = 100 * time.Millisecond
-	// loadFresh is how old a report must be for its engine to be asked.
-	loadFresh = 300 * time.Millisecond
+	// maxPolledEngines is how many engines a node polls for their load. If there
+	// are more, they are assigned to nodes by rendezvous hashing, so that each
+	// engine is polled by the same number of nodes.
+	maxPolledEngines = 32
+	// loadReportBytes is the approximate size of a load report on the wire,
+	// including the request and headers.
+	loadReportBytes = 600
+	// loadPollBytesPerSecond is a node's traffic budget for polling engines' load.
+	loadPollBytesPerSecond = 1_000
+	// maxCredit is how much unused budget accumulates, in bytes. It lets a node
+	// that starts poll its whole subset at once.
+	maxCredit = maxPolledEngines * loadReportBytes
+	// storePollBytesPerSecond is a node's traffic budget for polling stores' load.
+	storePollBytesPerSecond = 600
+	storePollInterval       = time.Second
+	loadPollInterval        = 100 * time.Millisecond
+	// loadReportMaxAge is the age from which a report is stale and its engine is
+	// polled.
+	loadReportMaxAge = 300 * time.Millisecond
 )
 
-// LoadPoller asks engines for their load, as often as the budget allows.
+// LoadPoller polls engines and stores for their load, within a traffic budget.
 type LoadPoller struct {
-	self      string
-	members   *control.Members
-	upstreams *Upstreams
-	fleet     *route.Fleet
-	links     *route.Links
-	log       *slog.Logger
-	duties    duties
-
-	mu     sync.Mutex
-	chosen []engineClient
-	last   time.Time
-	credit float64 // Bytes.
+	self       string
+	members    *control.Members
+	upstreams  *Upstreams
+	fleet      *route.Fleet
+	links      *route.Links
+	log        *slog.Logger
+	dutyInputs dutyInputs
+
+	mu         sync.Mutex
+	polled     []engineClient
+	lastRefill time.Time
+	credit     float64 // Bytes.
 
 	nextStore int // Only used by PollStores.
 }
 
-// NewLoadPoller returns a poller that has asked nobody yet.
+// NewLoadPoller returns a poller with full credit.
 func NewLoadPoller(self string, m *control.Members, u *Upstreams, f *route.Fleet, l *route.Links, log *slog.Logger) *LoadPoller {
 	return &LoadPoller{
-		self:      self,
-		members:   m,
-		upstreams: u,
-		fleet:     f,
-		links:     l,
-		log:       log,
-		duties:    duties{members: m, upstreams: u},
-		last:      time.Now(),
-		credit:    maxCredit,
+		self:       self,
+		members:    m,
+		upstreams:  u,
+		fleet:      f,
+		links:      l,
+		log:        log,
+		dutyInputs: dutyInputs{members: m, upstreams: u},
+		lastRefill: time.Now(),
+		credit:     maxCredit,
 	}
 }
 
-// Poll asks those of the subset that have not reported for longest, as many as
-// the budget allows. Reports that come with answers count, so a busy fleet is
-// hardly ever asked.
+// Poll polls the engines of the subset whose reports are stale, oldest first, as
+// many as the budget allows. Answers to requests carry reports too, so busy
+// engines are hardly ever polled.
 func (l *LoadPoller) Poll(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.credit = min(maxCredit, l.credit+now.Sub(l.last).Seconds()*loadBudget)
-	l.last = now
-	due := l.due(now)
-	due = due[:min(len(due), int(l.credit/loadBytes))]
-	l.credit -= float64(len(due) * loadBytes)
+	l.credit = min(maxCredit, l.credit+now.Sub(l.lastRefill).Seconds()*loadPollBytesPerSecond)
+	l.lastRefill = now
+	stale := l.staleEngines(now)
+	stale = stale[:min(len(stale), int(l.credit/loadReportBytes))]
+	l.credit -= float64(len(stale) * loadReportBytes)
 	var g errgroup.Group
-	g.SetLimit(watchAtOnce)
-	for _, e := range due {
+	g.SetLimit(maxConcurrentPolls)
+	for _, e := range stale {
 		g.Go(func() error {
-			l.ask(ctx, e)
+			l.pollEngine(ctx, e)
 			return nil
 		})
 	}
-	_ = g.Wait() // Each asks for itself.
+	_ = g.Wait() // pollEngine logs its own error.
 }
 
-// PollStores asks stores for the load of their links: as many as the budget
-// allows, in turn.
+// PollStores polls stores for the load of their links: as many as the budget
+// allows, in rotation.
 func (l *LoadPoller) PollStores(ctx context.Context) {
 	stores := l.upstreams.Stores()
 	if len(stores) == 0 {
 		return
 	}
 	slices.SortFunc(stores, func(a, b storeClient) int { return cmp.Compare(a.Name, b.Name) })
-	const atOnce = storeBudget / loadBytes
-	for range min(atOnce, len(stores)) {
+	const storesPerPoll = storePollBytesPerSecond / loadReportBytes
+	for range min(storesPerPoll, len(stores)) {
 		l.nextStore++
 		st := stores[l.nextStore%len(stores)]
-		ctx, cancel := context.WithTimeout(ctx, watchTimeout)
+		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		r, err := st.Load(ctx)
 		cancel()
 		if err != nil {
@@ -115,30 +116,30 @@
 	}
 }
 
-// ReportStore takes in the load of a store's link, asked for or sent with an
-// answer.
+// ReportStore records the load of a store's link, from a poll or from an answer to
+// a request.
 func (l *LoadPoller) ReportStore(store string, r upstream.StoreLoad) {
 	now := time.Now()
 	l.links.Report(store, r.LinkRate, r.LinkQueue, now)
 	l.links.UpdateCounters(store, r.Moved, time.Duration(r.BusyMillis)*time.Millisecond, now)
 }
 
-// due lists the engines whose last report is old, oldest first.
-func (l *LoadPoller) due(now time.Time) []engineClient {
-	taken := map[string]time.Time{}
+// staleEngines lists the engines whose last report is stale, oldest first.
+func (l *LoadPoller) staleEngines(now time.Time) []engineClient {
+	takenAt := map[string]time.Time{}
 	var list []engineClient
 	for _, e := range l.subset() {
-		taken[e.Name] = l.fleet.ReportOf(e.Name).Taken
-		if now.Sub(taken[e.Name]) >= loadFresh {
+		takenAt[e.Name] = l.fleet.ReportOf(e.Name).Taken
+		if now.Sub(takenAt[e.Name]) >= loadReportMaxAge {
 			list = append(list, e)
 		}
 	}
-	slices.SortFunc(list, func(a, b engineClient) int { return taken[a.Name].Compare(taken[b.Name]) })
+	slices.SortFunc(list, func(a, b engineClient) int { return takenAt[a.Name].Compare(takenAt[b.Name]) })
 	return list
 }
 
-func (l *LoadPoller) ask(ctx context.Context, e engineClient) {
-	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
+func (l *LoadPoller) pollEngine(ctx context.Context, e engineClient) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	r, err := e.Load(ctx)
 	if err != nil {
@@ -148,7 +149,8 @@
 	l.Report(e.Name, r)
 }
 
-// Report takes in a load report, asked for or sent with an answer.
+// Report records an engine's load report, from a poll or from an answer to a
+// request.
 func (l *LoadPoller) Report(engine string, r upstream.LoadReport) {
 	now := time.Now()
 	l.fleet.Report(engine, loadReport(r, now))
@@ -170,30 +172,30 @@
 	}
 }
 
-// subset picks the engines that this node asks; the caller holds mu.
+// subset returns the engines that this node polls; the caller holds mu.
 func (l *LoadPoller) subset() []engineClient {
-	if !l.duties.stale() {
-		return l.chosen
+	if !l.dutyInputs.changed() {
+		return l.polled
 	}
-	l.chosen = l.choose()
-	names := make([]string, len(l.chosen))
-	for i, e := range l.chosen {
+	l.polled = l.chooseSubset()
+	names := make([]string, len(l.polled))
+	for i, e := range l.polled {
 		names[i] = e.Name
 	}
 	l.fleet.SetPolled(names)
-	return l.chosen
+	return l.polled
 }
 
-func (l *LoadPoller) choose() []engineClient {
+func (l *LoadPoller) chooseSubset() []engineClient {
 	all := l.upstreams.Engines()
-	if len(all) <= loadSubset {
+	if len(all) <= maxPolledEngines {
 		return all
 	}
 	members := l.members.Working()
-	copies := max(1, loadSubset*len(members)/len(all))
+	pollersPerEngine := max(1, maxPolledEngines*len(members)/len(all))
 	var list []engineClient
 	for _, e := range all {
-		for _, m := range control.Owners(members, "load/"+e.Name, copies) {
+		for _, m := range control.Owners(members, "load/"+e.Name, pollersPerEngine) {
 			if m.Name == l.self {
 				list = append(list, e)
 			}
--- a/service/node/local.go
+++ b/service/node/local.go
@@ -11,8 +11,8 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// local answers queries for what only this node knows.
-type local struct {
+// localTables answers operators' queries about the state of this node.
+type localTables struct {
 	log       *control.Log
 	admission *route.Admission
 	links     *route.Links
@@ -20,17 +20,17 @@
 	leases    *control.Leases
 }
 
-// Rows implements the operator service's local.
-func (l *local) Rows(table string) (lang.Table, bool) {
+// Rows returns this node's rows of a table, for the operator service.
+func (l *localTables) Rows(table string) (lang.Table, bool) {
 	switch table {
 	case "prompts":
-		return l.prompts(), true
+		return l.promptRows(), true
 	case "queues":
-		return l.queues(), true
+		return l.queueRows(), true
 	case "links":
 		return l.linkRows(), true
 	case "duties":
-		return l.duties(), true
+		return l.dutyRows(), true
 	case "leases":
 		return l.leaseRows(), true
 	case "versions":
@@ -41,7 +41,7 @@
 	}
 }
 
-func (l *local) prompts() lang.Table {
+func (l *localTables) promptRows() lang.Table {
 	t := lang.Table{Columns: []string{"store", "key", "tokens", "bytes", "generation"}}
 	for _, o := range l.watches.Objects() {
 		t.Rows = append(t.Rows, []string{
@@ -52,7 +52,7 @@
 	return t
 }
 
-func (l *local) queues() lang.Table {
+func (l *localTables) queueRows() lang.Table {
 	t := lang.Table{Columns: []string{"organisation", "inside", "waiting"}}
 	for name, q := range l.admission.Status().Tenants {
 		t.Rows = append(t.Rows, []string{name, strconv.Itoa(q.Admitted), strconv.Itoa(q.Waiting)})
@@ -61,7 +61,7 @@
 	return t
 }
 
-func (l *local) linkRows() lang.Table {
+func (l *localTables) linkRows() lang.Table {
 	t := lang.Table{Columns: []string{"link", "bytes_per_second", "booked_ms", "moved_bytes"}}
 	for _, s := range l.links.Status(time.Now()) {
 		t.Rows = append(t.Rows, []string{
@@ -73,7 +73,7 @@
 	return t
 }
 
-func (l *local) duties() lang.Table {
+func (l *localTables) dutyRows() lang.Table {
 	t := lang.Table{Columns: []string{"upstream", "kind", "held", "resyncs", "freed"}}
 	for _, w := range l.watches.Status() {
 		t.Rows = append(t.Rows, []string{
@@ -84,7 +84,7 @@
 	return t
 }
 
-func (l *local) leaseRows() lang.Table {
+func (l *localTables) leaseRows() lang.Table {
 	t := lang.Table{Columns: []string{"lease", "epoch", "valid_ms"}}
 	for _, s := range l.leases.Status(time.Now()) {
 		t.Rows = append(t.Rows, []string{
--- a/service/node/log.go
+++ b/service/node/log.go
@@ -7,11 +7,11 @@
 	"github.com/drumpath/drumpath/pkg/config"
 )
 
-// NewLogger returns a logger as the settings want it, and its level, which can
-// be changed while it is used.
+// NewLogger returns a logger configured by s, and its level, which can be changed
+// at run time.
 func NewLogger(s config.LogSettings, w io.Writer) (*slog.Logger, *slog.LevelVar) {
 	level := new(slog.LevelVar)
-	_ = level.UnmarshalText([]byte(s.Level)) // The settings were checked.
+	_ = level.UnmarshalText([]byte(s.Level)) // The settings are already validated.
 	opts := &slog.HandlerOptions{Level: level}
 	if s.Format == "json" {
 		return slog.New(slog.NewJSONHandler(w, opts)), level
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -23,14 +23,16 @@
 )
 
 const (
-	timerWorkers   = 8
-	lateShare      = 3
-	watchEvery     = 200 * time.Millisecond
-	capacityEvery  = 100 * time.Millisecond
-	reconcileEvery = time.Second
-	startTimeout   = 5 * time.Second
-	// overcommit is how many requests are let in for each slot of the engines,
-	// so that engines always have some to choose from.
+	timerWorkers = 8
+	// indirectProbesPerPeriod is how often within a probe interval nodes that
+	// have not answered yet are probed through others.
+	indirectProbesPerPeriod = 3
+	watchInterval           = 200 * time.Millisecond
+	capacityInterval        = 100 * time.Millisecond
+	reconcileInterval       = time.Second
+	startTimeout            = 5 * time.Second
+	// overcommit is how many requests are admitted per engine slot, so that an
+	// engine always has a queue to schedule from.
 	overcommit = 1.5
 )
 
@@ -58,7 +60,7 @@
 	ExportPolicy *route.ExportPolicy
 	Watches      *Watches
 	Loads        *LoadPoller
-	Spread       *Spread
+	ConfigSync   *ConfigSync
 	Reconciler   *Reconciler
 	Suspects     *suspects.Suspects
 	Client       *peer.Client
@@ -70,61 +72,61 @@
 	Platform     *PlatformList
 }
 
-// New builds a node; it listens but does not serve before Start.
+// New builds a node. It listens at once but serves only after Start.
 func New(s config.Settings, log *slog.Logger, level *slog.LevelVar) (n *Node, err error) {
 	defer func() { err = eris.Wrap(err, "new node") }()
-	c := dig.New()
+	container := dig.New()
 	for _, constructor := range constructors(s, log, level) {
-		if err := c.Provide(constructor); err != nil {
+		if err := container.Provide(constructor); err != nil {
 			return nil, err
 		}
 	}
-	err = c.Invoke(func(built Node) { n = &built })
+	err = container.Invoke(func(built Node) { n = &built })
 	if err != nil {
 		return nil, eris.Wrap(dig.RootCause(err), "build")
 	}
-	n.handle()
-	n.handleSuspects()
+	n.registerHandlers()
+	n.registerSuspectHandlers()
 	return n, nil
 }
 
-// Start joins the fleet and serves. A platform that does not answer does not
-// keep it from starting: the configuration then comes from peers.
+// Start joins the fleet and begins to serve. It does so even if the platform's
+// table service is unreachable: the configuration then comes from peers.
 func (n *Node) Start() {
 	n.Peer.Start()
 	n.Probes.Start()
-	n.Config.Watch(n.configure)
+	n.Config.Watch(n.applyConfig)
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := n.Config.Load(ctx); err != nil {
 		n.Log.Debug("configuration snapshot not loaded", "err", err)
 	}
 	n.join(ctx)
-	n.Spread.Refresh(ctx)
+	n.ConfigSync.Refresh(ctx)
 	n.Loads.Poll(ctx)
 	n.setCapacity(ctx)
-	every := n.Settings.Peer.ProbeEvery.Std()
-	n.Timer.Subscribe(every, n.probe)
-	n.Timer.Subscribe(every/lateShare, n.probeLate)
-	n.Timer.Subscribe(tableEvery, n.Spread.Refresh)
-	n.Timer.Subscribe(loadFast, n.Loads.Poll)
-	n.Timer.Subscribe(storesEvery, n.Loads.PollStores)
-	n.Timer.Subscribe(watchEvery, n.Watches.Poll)
-	n.Timer.Subscribe(capacityEvery, n.setCapacity)
-	n.Timer.Subscribe(reconcileEvery, n.Reconciler.Step)
-	n.Timer.Subscribe(vmsEvery, n.Platform.poll)
+	probeInterval := n.Settings.Peer.ProbeEvery.Std()
+	n.Timer.Subscribe(probeInterval, n.sendProbes)
+	n.Timer.Subscribe(probeInterval/indirectProbesPerPeriod, n.sendIndirectProbes)
+	n.Timer.Subscribe(tableRefreshInterval, n.ConfigSync.Refresh)
+	n.Timer.Subscribe(loadPollInterval, n.Loads.Poll)
+	n.Timer.Subscribe(storePollInterval, n.Loads.PollStores)
+	n.Timer.Subscribe(watchInterval, n.Watches.Poll)
+	n.Timer.Subscribe(capacityInterval, n.setCapacity)
+	n.Timer.Subscribe(reconcileInterval, n.Reconciler.Step)
+	n.Timer.Subscribe(vmListInterval, n.Platform.poll)
 	n.Timer.Subscribe(suspects.StepInterval, n.Suspects.Step)
 	n.Entry.Start()
 	n.Log.Info("node started", "node", n.Settings.Node.Name, "entry", n.Entry.Addr(), "peer", n.Peer.Addr(),
 		"version", n.Config.State().Version)
 }
 
-// joinSeeds is how many seeds a starting node asks; each answer has the whole
-// fleet.
+// joinSeeds is after how many answers a starting node asks no further seeds; each
+// answer lists the whole fleet.
 const joinSeeds = 2
 
-// join learns the fleet and the configuration from seeds in random order, so
-// that many nodes that start together don't all ask the same.
+// join fetches the member list and the configuration from seeds. It asks them in
+// random order, so that nodes that start together don't all ask the same ones.
 func (n *Node) join(ctx context.Context) {
 	seeds := slices.Clone(n.Settings.Peer.Seeds)
 	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
@@ -133,23 +135,24 @@
 		if seed == n.Peer.Addr() || answered == joinSeeds {
 			continue
 		}
-		var a peer.MembersAnswer
-		if err := n.Client.Call(ctx, seed, peer.MethodMembers, struct{}{}, &a); err != nil {
+		var answer peer.MembersAnswer
+		if err := n.Client.Call(ctx, seed, peer.MethodMembers, struct{}{}, &answer); err != nil {
 			n.Log.Debug("seed not reached", "seed", seed, "err", err)
 			continue
 		}
 		answered++
-		n.Members.Merge(a.Members, time.Now())
-		if err := n.Spread.Pull(ctx, seed); err != nil {
+		n.Members.Merge(answer.Members, time.Now())
+		if err := n.ConfigSync.Pull(ctx, seed); err != nil {
 			n.Log.Debug("configuration not pulled", "seed", seed, "err", err)
 		}
-		n.Platform.take(a.Leaving)
+		n.Platform.setLeaving(answer.Leaving)
 	}
-	n.probe(ctx)
+	n.sendProbes(ctx)
 }
 
-// configure takes a new configuration into use; it is called in order.
-func (n *Node) configure(s *config.State) {
+// applyConfig applies a new configuration to the upstreams and the fleet. It is
+// called with versions in ascending order.
+func (n *Node) applyConfig(s *config.State) {
 	if s.UpstreamsVersion == n.Upstreams.Version() && s.UpstreamsVersion > 0 {
 		return
 	}
@@ -161,24 +164,24 @@
 	n.Fleet.Configure(replicas, time.Now())
 }
 
-func (n *Node) probe(context.Context) {
+func (n *Node) sendProbes(context.Context) {
 	n.Probes.Send(n.Members.Tick(time.Now(), n.Config.State().Version))
 }
 
-func (n *Node) probeLate(context.Context) {
+func (n *Node) sendIndirectProbes(context.Context) {
 	n.Probes.Send(n.Members.IndirectProbes(time.Now(), n.Config.State().Version))
 }
 
-// setCapacity adapts how many requests are let in; at most this node's share of
-// the engines' slots.
+// setCapacity adapts the admission limit to the engines' queueing delay. The upper
+// bound is this node's share of the engines' slots, times overcommit.
 func (n *Node) setCapacity(context.Context) {
 	now := time.Now()
 	nodes := max(1, len(n.Members.Working()))
 	n.Admission.Adapt(n.Fleet.MedianWait(now), int(overcommit*float64(n.Fleet.Slots()))/nodes, now)
 }
 
-// Leave announces a planned stop, waits until no caller can still come by an
-// answer to /v1/entries, and until all requests are answered.
+// Leave announces a planned stop, keeps serving until the answers to /v1/entries
+// that list this node have expired, and then waits for requests in flight.
 func (n *Node) Leave(ctx context.Context) {
 	n.Log.Info("leaving", "node", n.Settings.Node.Name, "in_flight", n.Entry.InFlight())
 	n.Probes.Send(n.Members.Leave(time.Now()))
@@ -192,12 +195,12 @@
 	}
 }
 
-// Close stops serving and waits for everything that was started.
+// Close stops serving and waits for all goroutines that the node started.
 func (n *Node) Close() {
 	n.Entry.Close()
 	n.Timer.Close()
 	n.Suspects.Close()
-	n.Spread.Close()
+	n.ConfigSync.Close()
 	n.Claims.Close()
 	n.Collector.Close()
 	n.Probes.Close()
--- a/service/node/peers.go
+++ b/service/node/peers.go
@@ -9,7 +9,7 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// Methods between nodes that serve operators' queries.
+// Methods called between nodes to answer operators' queries.
 const (
 	methodRows    = "node.rows"
 	methodVersion = "node.version"
@@ -19,17 +19,17 @@
 	Version uint64 `json:"version"`
 }
 
-// peers asks other nodes for operators.
-type peers struct{ client *peer.Client }
+// peerTables queries other nodes on behalf of the operator service.
+type peerTables struct{ client *peer.Client }
 
-// Rows implements the operator service's peers.
-func (p peers) Rows(ctx context.Context, m control.Member, table string) (t lang.Table, err error) {
+// Rows returns a node's own rows of a table.
+func (p peerTables) Rows(ctx context.Context, m control.Member, table string) (t lang.Table, err error) {
 	err = p.client.Call(ctx, m.Peer, methodRows, operator.RowsRequest{Table: table}, &t)
 	return t, err
 }
 
-// Version implements the operator service's peers.
-func (p peers) Version(ctx context.Context, m control.Member) (uint64, error) {
+// Version returns a node's configuration version.
+func (p peerTables) Version(ctx context.Context, m control.Member) (uint64, error) {
 	var a versionAnswer
 	err := p.client.Call(ctx, m.Peer, methodVersion, struct{}{}, &a)
 	return a.Version, err
--- a/service/node/platform_list.go
+++ b/service/node/platform_list.go
@@ -19,33 +19,33 @@
 )
 
 const (
-	vmsEvery = 2 * time.Second
-	// listReaders is how many nodes read the list; they tell the others.
+	vmListInterval = 2 * time.Second
+	// listReaders is how many nodes read the list; they announce it to the others.
 	listReaders = 3
-	// tellEvery is how often they tell an unchanged list again, for nodes that
-	// missed it.
-	tellEvery   = 5 * time.Minute
-	tellTimeout = 2 * time.Second
-	tellAtOnce  = 16
+	// announceInterval is how often an unchanged list is announced again, for
+	// nodes that missed it.
+	announceInterval           = 5 * time.Minute
+	announceTimeout            = 2 * time.Second
+	maxConcurrentAnnouncements = 16
 )
 
-// PlatformList follows the platform's list of VMs: who is leaving, and which
-// nodes there are that nobody has told of.
+// PlatformList follows the platform's list of VMs. From it a node learns which VMs
+// are leaving, and the addresses of nodes that no member has reported yet.
 //
-// The list has every VM, so a few nodes read it, by rendezvous hashing, and tell
-// the others only which VMs are leaving, when that changes.
+// The list has every VM, so only a few nodes, chosen by rendezvous hashing, read
+// it. They announce just the leaving VMs to the others, when these change.
 type PlatformList struct {
 	name    string
-	client  *tablestore.VMs // Nil if the settings name none.
+	client  *tablestore.VMs // Nil if the settings have no VM service.
 	members *control.Members
 	config  *control.Log
 	fleet   *route.Fleet
 	peers   *peer.Client
 	log     *slog.Logger
 
-	mu      sync.Mutex
-	leaving map[netip.AddrPort]bool // By address of callers, upstreams or peers.
-	told    time.Time
+	mu          sync.Mutex
+	leaving     map[netip.AddrPort]bool // By address of the VM, and by peer address if it runs a node.
+	announcedAt time.Time
 }
 
 func newPlatformList(
@@ -63,12 +63,12 @@
 	return l
 }
 
-// poll reads the list if that is this node's duty.
+// poll reads the list if this node is one of its readers.
 func (p *PlatformList) poll(ctx context.Context) {
 	readers := control.Owners(p.members.Working(), "platform-list", listReaders)
-	duty := slices.ContainsFunc(readers, func(m control.Member) bool { return m.Name == p.name })
-	// A node that no longer works among the others reads for itself.
-	if p.client == nil || (len(readers) > 0 && !duty) {
+	isReader := slices.ContainsFunc(readers, func(m control.Member) bool { return m.Name == p.name })
+	// If no member is working, not even this node, it reads for itself.
+	if p.client == nil || (len(readers) > 0 && !isReader) {
 		return
 	}
 	list, err := p.client.List(ctx)
@@ -88,19 +88,19 @@
 			leaving = append(leaving, vm.Peer)
 		}
 	}
-	if p.take(leaving) || p.due() {
-		p.tell(ctx, leaving)
+	if p.setLeaving(leaving) || p.announceDue() {
+		p.announce(ctx, leaving)
 	}
 }
 
-// take notes which VMs are leaving and says whether that is news.
-func (p *PlatformList) take(leaving []netip.AddrPort) (news bool) {
+// setLeaving records which VMs are leaving and reports whether that has changed.
+func (p *PlatformList) setLeaving(leaving []netip.AddrPort) (changed bool) {
 	set := make(map[netip.AddrPort]bool, len(leaving))
 	for _, addr := range leaving {
 		set[addr] = true
 	}
 	p.mu.Lock()
-	news = !maps.Equal(set, p.leaving)
+	changed = !maps.Equal(set, p.leaving)
 	p.leaving = set
 	p.mu.Unlock()
 	var names []string
@@ -110,25 +110,25 @@
 		}
 	}
 	p.fleet.SetLeaving(names)
-	return news
+	return changed
 }
 
-// due says whether the others should be told again, and notes that they are.
-func (p *PlatformList) due() bool {
+// announceDue reports whether an unchanged list should be announced again.
+func (p *PlatformList) announceDue() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.told) >= tellEvery
+	return time.Since(p.announcedAt) >= announceInterval
 }
 
-// tell tells every other node which VMs are leaving.
-func (p *PlatformList) tell(ctx context.Context, leaving []netip.AddrPort) {
+// announce notifies every other node which VMs are leaving.
+func (p *PlatformList) announce(ctx context.Context, leaving []netip.AddrPort) {
 	p.mu.Lock()
-	p.told = time.Now()
+	p.announcedAt = time.Now()
 	p.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	var g errgroup.Group
-	g.SetLimit(tellAtOnce)
+	g.SetLimit(maxConcurrentAnnouncements)
 	for _, m := range p.members.All() {
 		if m.Name == p.name || m.State == control.MemberDead {
 			continue
@@ -140,17 +140,17 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // Each logs its own; they are told again.
+	_ = g.Wait() // Each call logs its own error; the list is announced again later.
 }
 
-// list returns the addresses that are known to be leaving.
-func (p *PlatformList) list() []netip.AddrPort {
+// leavingAddrs returns the addresses of VMs that are leaving.
+func (p *PlatformList) leavingAddrs() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Collect(maps.Keys(p.leaving))
 }
 
-// SelfLeaving says whether the list has this VM as leaving.
+// SelfLeaving reports whether this node's own VM is leaving.
 func (p *PlatformList) SelfLeaving() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/service/node/reconcile.go
+++ b/service/node/reconcile.go
@@ -16,14 +16,15 @@
 
 const (
 	orderTimeout = 2 * time.Second
-	// swapShare is one over the share of a model's engines that may be between
-	// two weight versions at once.
-	swapShare = 3
+	// swapDivisor limits how many engines swap weights at once: at most one in
+	// swapDivisor of a swapGroup.
+	swapDivisor = 3
 )
 
-// Reconciler brings engines to the weight versions that the configuration
-// names, under leases. It is level-triggered: each round reads what an engine
-// serves and orders only what differs, so a lost order is simply made up.
+// Reconciler brings engines to the weight versions that the configuration names.
+// It gives orders only to engines whose leases this node holds. It is
+// level-triggered: each round reads what an engine serves and orders a load only
+// if that differs, so a lost order is given again.
 type Reconciler struct {
 	log       *slog.Logger
 	config    *control.Log
@@ -31,32 +32,32 @@
 	upstreams *Upstreams
 	fleet     *route.Fleet
 
-	mu      sync.Mutex // Held over a round.
-	version uint64     // Of the upstreams that engines was made from.
-	engines []leasedEngine
-	count   map[wave]int
-	next    int // In rotation.
+	mu         sync.Mutex // Held during a round.
+	version    uint64     // UpstreamsVersion that engines was built from.
+	engines    []leasedEngine
+	groupSizes map[swapGroup]int
+	rotation   int // Counts rounds, to pick one held engine after another.
 
-	readMu sync.Mutex
-	read   map[string]string // Weights by engine, as last read.
+	readWeightsMu sync.Mutex
+	readWeights   map[string]string // By engine: the weights last read from it.
 }
 
-// NewReconciler returns a reconciler.
+// NewReconciler returns a Reconciler; Step runs its rounds.
 func NewReconciler(c *control.Log, l *control.Leases, u *Upstreams, f *route.Fleet, log *slog.Logger) *Reconciler {
-	return &Reconciler{log: log, config: c, leases: l, upstreams: u, fleet: f, read: map[string]string{}}
+	return &Reconciler{log: log, config: c, leases: l, upstreams: u, fleet: f, readWeights: map[string]string{}}
 }
 
-// Step goes over the engines of held leases once; the timer service calls it.
+// Step runs one round over the engines of held leases; the timer service calls it.
 func (r *Reconciler) Step(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leases.Step(ctx)
 	state := r.config.State()
-	turns := r.turns(state)
+	check := r.enginesToCheck(state)
 	var g errgroup.Group
-	g.SetLimit(watchAtOnce)
+	g.SetLimit(maxConcurrentPolls)
 	for _, e := range r.upstreams.Engines() {
-		if !turns[e.Name] {
+		if !check[e.Name] {
 			continue
 		}
 		g.Go(func() error {
@@ -66,88 +67,90 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // Each logs its own.
+	_ = g.Wait() // reconcile logs its own errors.
 }
 
-// turns names the engines to look at now: those that are not known to serve what
-// the configuration names, in waves by name, so that most go on serving, and one
-// more in rotation.
+// enginesToCheck returns the engines to reconcile in this round: engines of held
+// leases that are not known to serve the configured weights, limited to a share of
+// each swapGroup so that most engines go on serving, and one more in rotation.
 //
-// In a small fleet this node hears of every engine's load, and a wave is a share
-// of all. In a large one it hears of few; then each lease's engines have waves of
-// their own, which is the same share of all.
-func (r *Reconciler) turns(state *config.State) map[string]bool {
-	r.index(state)
-	turns := map[string]bool{}
-	differ := map[wave]int{}
+// In a small fleet this node has every engine's load report, and the share is taken
+// of all engines of a model. In a large one it has only some, so the share is taken
+// of each lease's engines, which comes to the same share of all.
+func (r *Reconciler) enginesToCheck(state *config.State) map[string]bool {
+	r.indexEngines(state)
+	check := map[string]bool{}
+	differing := map[swapGroup]int{}
 	var held []string
 	for _, u := range r.engines {
-		mine := r.leases.Held(u.lease)
-		if mine {
+		leaseHeld := r.leases.Held(u.lease)
+		if leaseHeld {
 			held = append(held, u.Name)
 		}
-		if !mine && r.large() {
+		if !leaseHeld && r.pollsSubset() {
 			continue
 		}
-		if r.weightsOf(u.Name) == state.Models[u.Model].Weights {
+		if r.knownWeights(u.Name) == state.Models[u.Model].Weights {
 			continue
 		}
-		w := r.waveOf(u)
-		if mine && differ[w] < max(1, r.count[w]/swapShare) {
-			turns[u.Name] = true
+		group := r.swapGroupOf(u)
+		if leaseHeld && differing[group] < max(1, r.groupSizes[group]/swapDivisor) {
+			check[u.Name] = true
 		}
-		differ[w]++
+		differing[group]++
 	}
 	if len(held) > 0 {
-		r.next++
-		turns[held[r.next%len(held)]] = true
+		r.rotation++
+		check[held[r.rotation%len(held)]] = true
 	}
-	return turns
+	return check
 }
 
-// wave is a set of engines of which only a share may be between two versions.
-type wave struct{ model, group string }
+// swapGroup identifies the engines of a model, or of a model and a lease, of which
+// only a share may swap weights at once.
+type swapGroup struct{ model, lease string }
 
-func (r *Reconciler) waveOf(u leasedEngine) wave {
-	if r.large() {
-		return wave{model: u.Model, group: u.lease}
+func (r *Reconciler) swapGroupOf(u leasedEngine) swapGroup {
+	if r.pollsSubset() {
+		return swapGroup{model: u.Model, lease: u.lease}
 	}
-	return wave{model: u.Model}
+	return swapGroup{model: u.Model}
 }
 
-// leasedEngine is an engine and the lease under which orders go to it.
+// leasedEngine is an engine and the lease needed to give it orders.
 type leasedEngine struct {
 	config.Upstream
 	lease string
 }
 
-// large says whether this node does not hear of every engine's load.
-func (r *Reconciler) large() bool { return len(r.engines) > loadSubset }
+// pollsSubset reports whether the LoadPoller polls only some of the engines.
+func (r *Reconciler) pollsSubset() bool { return len(r.engines) > maxPolledEngines }
 
-// weightsOf is what an engine serves, as far as is known: by its last load
-// report, else as it was last read.
-func (r *Reconciler) weightsOf(name string) string {
+// knownWeights returns the weights that an engine serves: by its last load report,
+// else as last read from the engine.
+func (r *Reconciler) knownWeights(name string) string {
 	if weights := r.fleet.ReportOf(name).Weights; weights != "" {
 		return weights
 	}
-	r.readMu.Lock()
-	defer r.readMu.Unlock()
-	return r.read[name]
+	r.readWeightsMu.Lock()
+	defer r.readWeightsMu.Unlock()
+	return r.readWeights[name]
 }
 
-// note keeps what was read; an engine that is loading serves nothing yet.
-func (r *Reconciler) note(name string, have upstream.EngineState) {
-	r.readMu.Lock()
-	defer r.readMu.Unlock()
+// recordWeights records the weights read from an engine; one that is still loading
+// serves none.
+func (r *Reconciler) recordWeights(name string, have upstream.EngineState) {
+	r.readWeightsMu.Lock()
+	defer r.readWeightsMu.Unlock()
 	if have.Loading {
 		have.Weights = ""
 	}
-	r.read[name] = have.Weights
+	r.readWeights[name] = have.Weights
 }
 
-// index sorts the engines again only after a change of upstreams.
-func (r *Reconciler) index(state *config.State) {
-	if r.count != nil && r.version == state.UpstreamsVersion {
+// indexEngines rebuilds the engine list and group sizes after a change of upstreams.
+func (r *Reconciler) indexEngines(state *config.State) {
+	if r.groupSizes != nil && r.version == state.UpstreamsVersion {
 		return
 	}
 	r.version = state.UpstreamsVersion
@@ -155,30 +158,31 @@
 	for _, u := range state.UpstreamsOf(config.UpstreamEngine) {
 		r.engines = append(r.engines, leasedEngine{Upstream: u, lease: control.LeaseFor(u.Name)})
 	}
-	r.count = map[wave]int{}
+	r.groupSizes = map[swapGroup]int{}
 	for _, u := range r.engines {
-		r.count[r.waveOf(u)]++
+		r.groupSizes[r.swapGroupOf(u)]++
 	}
 }
 
-// reconcile reads what an engine serves and orders what differs.
+// reconcile reads what an engine serves and orders a load if that differs from the
+// configuration.
 func (r *Reconciler) reconcile(ctx context.Context, state *config.State, e engineClient) {
 	have, err := e.State(ctx)
 	if err != nil {
 		r.log.Debug("engine state not read", "upstream", e.Name, "err", err)
 		return
 	}
-	r.note(e.Name, have)
+	r.recordWeights(e.Name, have)
 	want := state.Models[e.Model].Weights
 	if have.Loading || (have.Model == e.Model && have.Weights == want) {
 		return
 	}
-	group := control.LeaseFor(e.Name)
-	if !e.Fenced && !r.leases.Settled(group) {
+	lease := control.LeaseFor(e.Name)
+	if !e.Fenced && !r.leases.Settled(lease) {
 		return
 	}
-	// The last thing before the order: a lease that lapsed gives no fence.
-	fence, ok := r.leases.Fence(group)
+	// Taken last before the order: a lease that has expired gives no fence.
+	fence, ok := r.leases.Fence(lease)
 	if !ok {
 		return
 	}
--- a/service/node/reconcile_test.go
+++ b/service/node/reconcile_test.go
@@ -17,8 +17,8 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// A node alone holds every lease; its waves are then those of the whole fleet.
-func TestSwapGoesInWavesAndReadsFewEngines(t *testing.T) {
+// A single node holds every lease, so its limit applies to the whole fleet.
+func TestWeightSwapLimitsEnginesInTransition(t *testing.T) {
 	table, err := standin.StartTable(standin.Loopback)
 	assert.NilError(t, err)
 	defer table.Close()
@@ -32,16 +32,16 @@
 		name := fmt.Sprint("e", i)
 		s.Upstreams[name] = config.Upstream{Name: name, Kind: config.UpstreamEngine, Model: "m"}
 	}
-	r := &Reconciler{fleet: route.NewFleet(rand.New(rand.NewPCG(1, 1))), leases: leases, read: map[string]string{}}
+	r := &Reconciler{fleet: route.NewFleet(rand.New(rand.NewPCG(1, 1))), leases: leases, readWeights: map[string]string{}}
 	rounds := 0
-	for len(r.turns(s)) > 1 {
-		turns := r.turns(s)
-		assert.Assert(t, len(turns) <= engines/swapShare+control.LeaseGroups+1, "%d engines at once", len(turns))
-		for name := range turns {
-			r.note(name, upstream.EngineState{Weights: "w2"})
+	for len(r.enginesToCheck(s)) > 1 {
+		check := r.enginesToCheck(s)
+		assert.Assert(t, len(check) <= engines/swapDivisor+control.LeaseGroups+1, "%d engines at once", len(check))
+		for name := range check {
+			r.recordWeights(name, upstream.EngineState{Weights: "w2"})
 		}
 		rounds++
 	}
-	assert.Assert(t, rounds >= swapShare)
-	assert.Equal(t, len(r.turns(s)), 1, "once all are right, one engine a round is read")
+	assert.Assert(t, rounds >= swapDivisor)
+	assert.Equal(t, len(r.enginesToCheck(s)), 1, "once all are right, one engine a round is read")
 }
--- a/service/node/relay_test.go
+++ b/service/node/relay_test.go
@@ -21,7 +21,7 @@
 	"github.com/drumpath/drumpath/service/operator"
 )
 
-// startNode starts a node before a site, told of it, with one organisation.
+// startNode starts a node whose settings name the site's platform services.
 func startNode(t testing.TB, site *standin.Site, name string) *Node {
 	t.Helper()
 	s, err := site.NodeSettings(name)
@@ -32,7 +32,9 @@
 	return n
 }
 
-func setUp(t testing.TB, n *Node, site *standin.Site) {
+// configureNode creates the site's upstreams, a model and an organisation, and waits
+// until every engine has reported its load.
+func configureNode(t testing.TB, n *Node, site *standin.Site) {
 	t.Helper()
 	a, err := n.Operator.Run(context.Background(), operator.RunRequest{Text: site.Setup("m", "w1", "o")})
 	assert.NilError(t, err)
@@ -80,13 +82,13 @@
 	before := goleak.IgnoreCurrent()
 	site := startSite(t, smallSite(2, 1))
 	n := startNode(t, site, "vm-1")
-	setUp(t, n, site)
+	configureNode(t, n, site)
 	post(t, n, strings.Repeat("a prompt ", 1000), 4)
 	n.Close()
 	site.Close()
 	http.DefaultClient.CloseIdleConnections()
 	goleak.VerifyNone(t, before,
-		// The HTTP library's own cleaners sleep for seconds before they end.
+		// fasthttp's clean-up goroutines sleep for seconds before they end.
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*HostClient).connsCleaner"),
@@ -94,7 +96,7 @@
 	)
 }
 
-// post sends a streamed completion and returns how many events came.
+// post requests a streamed completion and returns the number of events received.
 func post(t testing.TB, n *Node, text string, tokens int) int {
 	t.Helper()
 	body, err := json.Marshal(map[string]any{"model": "m", "prompt": text, "max_tokens": tokens, "stream": true})
@@ -103,10 +105,10 @@
 	req, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(body))
 	assert.NilError(t, err)
 	req.Header.Set("Authorization", "Bearer key-o")
-	return events(t, req)
+	return countEvents(t, req)
 }
 
-func events(t testing.TB, req *http.Request) int {
+func countEvents(t testing.TB, req *http.Request) int {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
@@ -123,8 +125,8 @@
 	return events
 }
 
-// direct sends the same run to the engine itself.
-func direct(t testing.TB, e *standin.Engine, text string, tokens int) int {
+// postToEngine sends the same run directly to an engine.
+func postToEngine(t testing.TB, e *standin.Engine, text string, tokens int) int {
 	t.Helper()
 	body, err := json.Marshal(upstream.RunRequest{
 		RequestID: "direct", Model: "m", Weights: "w1", Prompt: text, MaxTokens: tokens, CacheSalt: prompt.Scope{}.Root(),
@@ -132,11 +134,11 @@
 	assert.NilError(t, err)
 	req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s%s", e.Addr(), upstream.PathRun), bytes.NewReader(body))
 	assert.NilError(t, err)
-	return events(t, req)
+	return countEvents(t, req)
 }
 
-// BenchmarkRelay shows what a node adds: compare node with direct at the same
-// number of tokens. Allocations are those of caller, node and engine together.
+// BenchmarkRelay measures the overhead of a node: compare node with direct at the
+// same number of tokens. Allocations are those of client, node and engine together.
 func BenchmarkRelay(b *testing.B) {
 	cfg := smallSite(1, 0)
 	cfg.Engine.DecodeMS = 0
@@ -145,13 +147,13 @@
 	defer site.Close()
 	n := startNode(b, site, "vm-1")
 	defer n.Close()
-	setUp(b, n, site)
+	configureNode(b, n, site)
 	text := strings.Repeat("a prompt ", 500)
 	for _, tokens := range []int{1, 401} {
 		b.Run(fmt.Sprint("direct/tokens=", tokens), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				direct(b, site.Engines[0], text, tokens)
+				postToEngine(b, site.Engines[0], text, tokens)
 			}
 		})
 		b.Run(fmt.Sprint("node/tokens=", tokens), func(b *testing.B) {
@@ -163,8 +165,8 @@
 	}
 }
 
-// postUntil sends a completion and waits until it is answered or ctx ends.
-func postUntil(ctx context.Context, n *Node, text string) {
+// postWithContext requests a completion and waits until it is answered or ctx ends.
+func postWithContext(ctx context.Context, n *Node, text string) {
 	body, _ := json.Marshal(map[string]any{"model": "m", "prompt": text, "max_tokens": 2})
 	url := fmt.Sprintf("http://%s/v1/completions", n.Entry.Addr())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
--- a/service/node/shard_index.go
+++ b/service/node/shard_index.go
@@ -6,39 +6,39 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// shardUpdates collects news of one upstream by the holder of its shard, so
-// that each holder gets one message.
+// shardUpdates collects directory updates about one upstream by shard owner, so
+// that each owner gets a single message.
 type shardUpdates struct {
-	upstream string
-	owners   map[string]control.Member
-	requests map[string]*peer.UpdateRequest
-	byAnchor map[prompt.Key]control.Member
+	upstream      string
+	owners        map[string]control.Member
+	requests      map[string]*peer.UpdateRequest
+	ownerByAnchor map[prompt.Key]control.Member
 }
 
 func newShardUpdates(upstream string) *shardUpdates {
 	return &shardUpdates{
-		upstream: upstream,
-		owners:   map[string]control.Member{},
-		requests: map[string]*peer.UpdateRequest{},
-		byAnchor: map[prompt.Key]control.Member{},
+		upstream:      upstream,
+		owners:        map[string]control.Member{},
+		requests:      map[string]*peer.UpdateRequest{},
+		ownerByAnchor: map[prompt.Key]control.Member{},
 	}
 }
 
-// owner returns the holder of an anchor's shard. A batch names the same anchors
-// many times, and finding a holder takes as long as the fleet is large.
+// owner returns the owner of an anchor's shard. It caches the result, as a batch
+// names the same anchors many times and the search is linear in the members.
 func (u *shardUpdates) owner(d *Directory, anchor prompt.Key) (control.Member, bool) {
-	if m, known := u.byAnchor[anchor]; known {
+	if m, known := u.ownerByAnchor[anchor]; known {
 		return m, true
 	}
 	m, ok := d.owner(anchor)
 	if ok {
-		u.byAnchor[anchor] = m
+		u.ownerByAnchor[anchor] = m
 	}
 	return m, ok
 }
 
-// to returns the message to a holder.
-func (u *shardUpdates) to(owner control.Member) *peer.UpdateRequest {
+// requestFor returns the message that collects updates for an owner.
+func (u *shardUpdates) requestFor(owner control.Member) *peer.UpdateRequest {
 	req, ok := u.requests[owner.Name]
 	if !ok {
 		req = &peer.UpdateRequest{Upstream: u.upstream}
@@ -48,21 +48,21 @@
 	return req
 }
 
-// send passes all messages on.
-func (u *shardUpdates) send(d *Directory) {
+// sendAll queues all messages for sending.
+func (u *shardUpdates) sendAll(d *Directory) {
 	for name, req := range u.requests {
-		d.updateAt(u.owners[name], *req)
+		d.enqueueUpdate(u.owners[name], *req)
 	}
 }
 
-// reset tells every member to drop what it knows of the upstream.
+// reset tells every member to drop its entries for the upstream.
 func (u *shardUpdates) reset(members []control.Member) {
 	for _, m := range members {
-		u.to(m).Reset = true
+		u.requestFor(m).Reset = true
 	}
 }
 
-// indexedBlock is what a watcher keeps of one block of an engine's cache.
+// indexedBlock is what an engineWatch remembers of one block of a KV cache.
 type indexedBlock struct {
 	anchor   prompt.Key
 	position int32
--- a/service/node/store_watch.go
+++ b/service/node/store_watch.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// storeHigh and storeLow are the shares of a store's capacity between which
-	// eviction works: it starts above the first and ends below the second.
-	storeHigh = 0.9
-	storeLow  = 0.8
-	// evictSample is how many objects are compared to find one to free; the
-	// cost of an eviction does not grow with the store.
-	evictSample = 8
-	// unknownOverdue ranks an object whose shard knows nothing of it like one
-	// that is due just now.
-	unknownOverdue = 1
-	// unseenGap is the return gap assumed of a prompt that never returned.
-	unseenGap = 5 * time.Minute
+	// Eviction starts when a store is filled above evictionStartShare of its
+	// capacity, and frees objects down to evictionStopShare.
+	evictionStartShare = 0.9
+	evictionStopShare  = 0.8
+	// evictionSampleSize is how many objects are compared to pick one to free, so
+	// that the cost of an eviction does not grow with the store.
+	evictionSampleSize = 8
+	// unknownPriority is the eviction priority of an object without known
+	// occurrences, the same as of one whose next use is due right now.
+	unknownPriority = 1
+	// assumedReturnGap is the gap between uses assumed for a prompt that was used
+	// only once.
+	assumedReturnGap = 5 * time.Minute
 )
 
-// storeWatch follows what one store keeps, tells the directory shards, and
-// frees what is least worth keeping when the store fills up.
+// storeWatch follows the objects of one store, updates the directory shards, and
+// evicts the least valuable objects when the store fills up.
 type storeWatch struct {
-	name  string
-	store *upstream.Store
-	dir   *Directory
-	log   *slog.Logger
+	name      string
+	store     *upstream.Store
+	directory *Directory
+	log       *slog.Logger
 
 	epoch   uint64
 	seq     uint64
@@ -42,46 +43,46 @@
 }
 
 type storedEntry struct {
-	object prompt.Object
-	marks  []prompt.Mark
-	packed prompt.PackedMarks
-	told   string // The shard's holder that was told.
+	object        prompt.Object
+	marks         []prompt.Mark
+	packed        prompt.PackedMarks
+	notifiedOwner string // The shard owner that was notified.
 }
 
 // anchor is the shard key of the object's chain.
 func (e storedEntry) anchor() prompt.Key { return prompt.Chain{Marks: e.marks}.Anchor() }
 
 func newStoreWatch(name string, s *upstream.Store, d *Directory, log *slog.Logger) *storeWatch {
-	return &storeWatch{name: name, store: s, dir: d, log: log, objects: map[prompt.Key]storedEntry{}}
+	return &storeWatch{name: name, store: s, directory: d, log: log, objects: map[prompt.Key]storedEntry{}}
 }
 
-// poll reads what has changed and evicts if the store is nearly full.
+// poll reads the changes since the last poll and evicts if the store is nearly full.
 func (w *storeWatch) poll(ctx context.Context) error {
-	l, err := w.store.List(ctx, w.epoch, w.seq)
+	list, err := w.store.List(ctx, w.epoch, w.seq)
 	if err != nil {
 		return err
 	}
-	if l.Epoch != w.epoch && w.epoch != 0 {
-		w.log.Info("store has restarted", "upstream", w.name, "epoch", l.Epoch)
+	if list.Epoch != w.epoch && w.epoch != 0 {
+		w.log.Info("store has restarted", "upstream", w.name, "epoch", list.Epoch)
 	}
-	w.epoch, w.seq = l.Epoch, l.Seq
-	u := newShardUpdates(w.name)
-	if l.Full {
-		u.reset(w.dir.members.Working())
+	w.epoch, w.seq = list.Epoch, list.Seq
+	updates := newShardUpdates(w.name)
+	if list.Full {
+		updates.reset(w.directory.members.Working())
 		w.objects = map[prompt.Key]storedEntry{}
 	}
-	for _, c := range lastChanges(l.Changes) {
-		w.take(u, c)
+	for _, c := range lastChanges(list.Changes) {
+		w.applyChange(updates, c)
 	}
-	u.send(w.dir)
-	if float64(l.Used) > storeHigh*float64(l.Capacity) {
-		w.evict(ctx, l.Used-int64(storeLow*float64(l.Capacity)))
+	updates.sendAll(w.directory)
+	if float64(list.Used) > evictionStartShare*float64(list.Capacity) {
+		w.evict(ctx, list.Used-int64(evictionStopShare*float64(list.Capacity)))
 	}
 	return nil
 }
 
-// lastChanges keeps only the last change of each object's key, as a shard takes
-// in what was freed before what was stored.
+// lastChanges keeps only the last change of each key, because a shard applies an
+// update's freed keys before its stored objects.
 func lastChanges(changes []upstream.StoreChange) []upstream.StoreChange {
 	last := map[prompt.Key]int{}
 	for i, c := range changes {
@@ -96,12 +97,12 @@
 	return list
 }
 
-func (w *storeWatch) take(u *shardUpdates, c upstream.StoreChange) {
+func (w *storeWatch) applyChange(updates *shardUpdates, c upstream.StoreChange) {
 	old, known := w.objects[c.Object.Key]
 	if c.Freed {
 		if known {
 			delete(w.objects, c.Object.Key)
-			w.tellFreed(u, old)
+			w.addFreed(updates, old)
 		}
 		return
 	}
@@ -110,82 +111,82 @@
 		w.log.Warn("object without usable marks", "upstream", w.name, "key", c.Object.Key, "err", err)
 		return
 	}
-	w.tellStored(u, storedEntry{object: c.Object, marks: marks, packed: c.Marks})
+	w.addStored(updates, storedEntry{object: c.Object, marks: marks, packed: c.Marks})
 }
 
-func (w *storeWatch) tellStored(u *shardUpdates, e storedEntry) {
-	if owner, ok := w.dir.owner(e.anchor()); ok {
-		e.told = owner.Name
-		req := u.to(owner)
+func (w *storeWatch) addStored(updates *shardUpdates, e storedEntry) {
+	if owner, ok := w.directory.owner(e.anchor()); ok {
+		e.notifiedOwner = owner.Name
+		req := updates.requestFor(owner)
 		req.Stored = append(req.Stored, peer.StoredUpdate{Object: e.object, Marks: e.packed})
 	}
 	w.objects[e.object.Key] = e
 }
 
-func (w *storeWatch) tellFreed(u *shardUpdates, e storedEntry) {
-	if owner, ok := w.dir.owner(e.anchor()); ok {
-		req := u.to(owner)
+func (w *storeWatch) addFreed(updates *shardUpdates, e storedEntry) {
+	if owner, ok := w.directory.owner(e.anchor()); ok {
+		req := updates.requestFor(owner)
 		req.Freed = append(req.Freed, e.object.Key)
 	}
 }
 
-// membersChanged tells new holders of shards what they should know.
+// membersChanged sends the objects of shards that have moved to their new owners.
 func (w *storeWatch) membersChanged() {
-	u := newShardUpdates(w.name)
+	updates := newShardUpdates(w.name)
 	for _, e := range w.objects {
-		if owner, ok := w.dir.owner(e.anchor()); ok && owner.Name != e.told {
-			w.tellStored(u, e)
+		if owner, ok := w.directory.owner(e.anchor()); ok && owner.Name != e.notifiedOwner {
+			w.addStored(updates, e)
 		}
 	}
-	u.send(w.dir)
+	updates.sendAll(w.directory)
 }
 
-// evict frees objects until so many bytes are won. Of a few random objects the
-// one whose next return is the most overdue goes.
+// evict frees objects until the given number of bytes is reclaimed. Each time it
+// frees the object with the highest eviction priority among a few random ones.
 func (w *storeWatch) evict(ctx context.Context, bytes int64) {
 	for bytes > 0 && len(w.objects) > 0 && ctx.Err() == nil {
-		victim := w.leastWorth(ctx)
+		victim := w.evictionCandidate(ctx)
 		o := victim.object
 		if err := w.store.Free(ctx, upstream.FreeObject{Key: o.Key, Generation: o.Generation, Epoch: o.Epoch}); err != nil {
 			w.log.Warn("object not freed", "upstream", w.name, "err", err)
 			return
 		}
-		u := newShardUpdates(w.name)
+		updates := newShardUpdates(w.name)
 		delete(w.objects, o.Key)
-		w.tellFreed(u, victim)
-		u.send(w.dir)
+		w.addFreed(updates, victim)
+		updates.sendAll(w.directory)
 		bytes -= o.Bytes
 		w.freed++
 	}
 }
 
-func (w *storeWatch) leastWorth(ctx context.Context) storedEntry {
+func (w *storeWatch) evictionCandidate(ctx context.Context) storedEntry {
 	var victim storedEntry
-	worst := -1.0
+	highest := -1.0
 	n := 0
 	for _, e := range w.objects {
-		if overdue := w.overdue(ctx, e); overdue > worst {
-			victim, worst = e, overdue
+		if priority := w.evictionPriority(ctx, e); priority > highest {
+			victim, highest = e, priority
 		}
-		if n++; n == evictSample {
+		if n++; n == evictionSampleSize {
 			break
 		}
 	}
 	return victim
 }
 
-// overdue is how overdue an object's next return is, by its longest prefix that
-// was ever asked for.
-func (w *storeWatch) overdue(ctx context.Context, e storedEntry) float64 {
-	m := w.dir.Lookup(ctx, e.marks)
+// evictionPriority returns how overdue an object's next use is, judged by the
+// occurrences of its longest prefix that was ever requested.
+func (w *storeWatch) evictionPriority(ctx context.Context, e storedEntry) float64 {
+	m := w.directory.Lookup(ctx, e.marks)
 	if len(m.Occurrences) == 0 {
-		return unknownOverdue
+		return unknownPriority
 	}
-	return route.EvictionPriority(m.Occurrences[0], unseenGap)
+	return route.EvictionPriority(m.Occurrences[0], assumedReturnGap)
 }
 
-// ownerOf says whether this node has the duty to watch an upstream.
-func ownerOf(members []control.Member, self, upstream string) bool {
+// isOwner reports whether watching an upstream is assigned to this node.
+func isOwner(members []control.Member, self, upstream string) bool {
 	owner, ok := control.Owner(members, "watch/"+upstream)
 	return ok && owner.Name == self
 }
--- a/service/node/suspects.go
+++ b/service/node/suspects.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// directMost is up to how many nodes of a data hall are told directly; in larger ones
-	// one tells the others, so that bytes between halls don't grow with the nodes.
-	directMost = 16
-	// suspectsDuty names the duty of telling that on in a hall.
-	suspectsDuty = "suspects/"
+	// maxDirectRecipients is how many nodes of a data hall are notified directly. In
+	// a hall that has more, a single node relays to the others, so that traffic
+	// between halls doesn't grow with the number of nodes.
+	maxDirectRecipients = 16
+	// relayDuty is the prefix of the duty to relay notifications within a hall.
+	relayDuty = "suspects/"
 )
 
-// suspectTeller tells other nodes of prompts under which engines ended.
-type suspectTeller struct {
+// suspectNotifier notifies other nodes of prompts suspected of crashing engines.
+type suspectNotifier struct {
 	self    string
 	hall    string
 	members *control.Members
@@ -27,7 +28,7 @@
 }
 
 // SendNote implements suspects.Notifier.
-func (t *suspectTeller) SendNote(to []netip.AddrPort, method string, params any) int {
+func (t *suspectNotifier) SendNote(to []netip.AddrPort, method string, params any) int {
 	sent, err := t.probes.SendNote(to, method, params)
 	if err != nil {
 		t.log.Error("notification not sent", "method", method, "err", err)
@@ -36,17 +37,19 @@
 }
 
 // Recipients implements suspects.Notifier.
-func (t *suspectTeller) Recipients(try int) (direct, relays []netip.AddrPort) {
-	return t.members.View().Recipients(t.self, directMost, suspectsDuty, try)
+func (t *suspectNotifier) Recipients(try int) (direct, relays []netip.AddrPort) {
+	return t.members.View().Recipients(t.self, maxDirectRecipients, relayDuty, try)
 }
 
 // HallPeers implements suspects.Notifier.
-func (t *suspectTeller) HallPeers() []netip.AddrPort { return t.members.View().Others(t.self, t.hall) }
+func (t *suspectNotifier) HallPeers() []netip.AddrPort {
+	return t.members.View().Others(t.self, t.hall)
+}
 
-// handleSuspects sets what other nodes tell and ask of such prompts.
-func (n *Node) handleSuspects() {
+// registerSuspectHandlers registers the notes and methods about suspect prompts.
+func (n *Node) registerSuspectHandlers() {
 	s := n.Suspects
-	s.SetNotifier(&suspectTeller{
+	s.SetNotifier(&suspectNotifier{
 		self:    n.Settings.Node.Name,
 		hall:    n.Settings.Node.DataHall,
 		members: n.Members,
--- a/service/node/upstreams.go
+++ b/service/node/upstreams.go
@@ -11,12 +11,12 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// Upstreams has a client for each configured upstream.
+// Upstreams holds a client for each configured upstream.
 type Upstreams struct {
 	links *route.Links
 
 	mu       sync.RWMutex
-	version  uint64 // Of the upstreams in use.
+	version  uint64 // UpstreamsVersion of the configuration in use.
 	engines  map[string]engineClient
 	stores   map[string]storeClient
 	services map[string]serviceClient
@@ -37,7 +37,7 @@
 	*upstream.Service
 }
 
-// NewUpstreams returns an empty table.
+// NewUpstreams returns an Upstreams without clients.
 func NewUpstreams(l *route.Links) *Upstreams {
 	return &Upstreams{
 		links:    l,
@@ -47,8 +47,8 @@
 	}
 }
 
-// Configure makes clients for new or changed upstreams. Clients of dropped ones
-// still serve whoever holds them.
+// Configure creates clients for new or changed upstreams. Clients of removed ones
+// stay usable for requests that already hold them.
 func (u *Upstreams) Configure(s *config.State) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -61,30 +61,31 @@
 		switch c.Kind {
 		case config.UpstreamEngine:
 			old := engines[name]
-			u.engines[name] = engineClient{c, kept(old.Engine, old.Upstream, c, upstream.NewEngine)}
+			u.engines[name] = engineClient{c, reuseClient(old.Engine, old.Upstream, c, upstream.NewEngine)}
 		case config.UpstreamStore:
 			old := stores[name]
-			u.stores[name] = storeClient{c, kept(old.Store, old.Upstream, c, upstream.NewStore)}
+			u.stores[name] = storeClient{c, reuseClient(old.Store, old.Upstream, c, upstream.NewStore)}
 		case config.UpstreamService:
 			old := services[name]
-			u.services[name] = serviceClient{c, kept(old.Service, old.Upstream, c, upstream.NewService)}
+			u.services[name] = serviceClient{c, reuseClient(old.Service, old.Upstream, c, upstream.NewService)}
 		}
 	}
 }
 
-// kept returns the client there is, or a new one if the address has changed.
-func kept[C any](
+// reuseClient returns the existing client, or a new one if there is none or the
+// address has changed.
+func reuseClient[C any](
 	client *C,
 	old, now config.Upstream,
-	fresh func(name string, addr netip.AddrPort) *C,
+	newClient func(name string, addr netip.AddrPort) *C,
 ) *C {
 	if client != nil && old.Address == now.Address {
 		return client
 	}
-	return fresh(now.Name, now.Address)
+	return newClient(now.Name, now.Address)
 }
 
-// Version is the configuration's UpstreamsVersion that is in use.
+// Version returns the UpstreamsVersion of the configuration in use.
 func (u *Upstreams) Version() uint64 {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
@@ -107,8 +108,8 @@
 	return s.Upstream, ok
 }
 
-// ServiceAt returns a plain service of a path that takes new work, for each
-// choice of pick among their number.
+// ServiceAt returns the client of a plain service with the given path that is not
+// drained. pick chooses one of n such services by its index.
 func (u *Upstreams) ServiceAt(path string, pick func(n int) int) (*upstream.Service, bool) {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
@@ -146,7 +147,7 @@
 	return list
 }
 
-// Close drops the clients' idle connections.
+// Close closes the clients' idle connections.
 func (u *Upstreams) Close() {
 	for _, e := range u.Engines() {
 		e.Close()
@@ -161,8 +162,8 @@
 	}
 }
 
-// ExportTarget picks the store for an export: of two drawn at random, the one
-// whose link is free sooner. ok is false if there is no store.
+// ExportTarget picks the store for an export: of two chosen at random, the one
+// whose link is free sooner. It returns false if every store is drained.
 func (u *Upstreams) ExportTarget() (config.Upstream, bool) {
 	u.mu.RLock()
 	defer u.mu.RUnlock()
--- a/service/node/watches.go
+++ b/service/node/watches.go
@@ -13,81 +13,80 @@
 )
 
 const (
-	watchTimeout = 2 * time.Second
-	// watchAtOnce bounds the upstreams polled at once.
-	watchAtOnce = 16
+	pollTimeout = 2 * time.Second
+	// maxConcurrentPolls bounds the upstreams polled concurrently.
+	maxConcurrentPolls = 16
 )
 
 // watch follows one upstream.
 type watch interface {
-	// poll reads what is new.
+	// poll reads and applies the upstream's changes.
 	poll(ctx context.Context) error
-	// membersChanged tells shards' new holders what they should know.
+	// membersChanged sends the entries of shards that have moved to their new owners.
 	membersChanged()
 }
 
-// Watches follows the upstreams that are this node's duty, and tells the
-// directory shards what they keep.
+// Watches polls the upstreams that are assigned to this node, and updates the
+// directory shards with what they hold.
 //
-// Two nodes that both hold a duty for a while only send the same news twice, so
-// no lease is needed.
+// While member lists differ, two nodes may watch the same upstream. They then only
+// send the same updates twice, so no lease is needed.
 type Watches struct {
-	self      string
-	members   *control.Members
-	upstreams *Upstreams
-	dir       *Directory
-	log       *slog.Logger
-	duties    duties
-
-	mu      sync.Mutex // Held over a round of polls.
+	self       string
+	members    *control.Members
+	upstreams  *Upstreams
+	directory  *Directory
+	log        *slog.Logger
+	dutyInputs dutyInputs
+
+	mu      sync.Mutex // Held during a round of polls.
 	engines map[string]*engineWatch
 	stores  map[string]*storeWatch
 
-	movedMu sync.Mutex
-	moved   bool
+	shardsMovedMu sync.Mutex
+	shardsMoved   bool
 }
 
-// NewWatches returns watches that poll nothing yet.
+// NewWatches returns a Watches that has no upstreams until the first Poll.
 func NewWatches(self string, m *control.Members, u *Upstreams, d *Directory, log *slog.Logger) *Watches {
 	w := &Watches{
-		self:      self,
-		members:   m,
-		upstreams: u,
-		dir:       d,
-		log:       log,
-		duties:    duties{members: m, upstreams: u},
-		engines:   map[string]*engineWatch{},
-		stores:    map[string]*storeWatch{},
+		self:       self,
+		members:    m,
+		upstreams:  u,
+		directory:  d,
+		log:        log,
+		dutyInputs: dutyInputs{members: m, upstreams: u},
+		engines:    map[string]*engineWatch{},
+		stores:     map[string]*storeWatch{},
 	}
 	m.Watch(w.membersChanged)
 	return w
 }
 
-// membersChanged notes that shards may have moved; the next poll acts on it.
+// membersChanged records that shards may have moved; the next Poll handles it.
 func (w *Watches) membersChanged() {
-	w.movedMu.Lock()
-	defer w.movedMu.Unlock()
-	w.moved = true
+	w.shardsMovedMu.Lock()
+	defer w.shardsMovedMu.Unlock()
+	w.shardsMoved = true
 }
 
-func (w *Watches) takeMoved() bool {
-	w.movedMu.Lock()
-	defer w.movedMu.Unlock()
-	moved := w.moved
-	w.moved = false
+func (w *Watches) takeShardsMoved() bool {
+	w.shardsMovedMu.Lock()
+	defer w.shardsMovedMu.Unlock()
+	moved := w.shardsMoved
+	w.shardsMoved = false
 	return moved
 }
 
-// Poll follows each upstream of this node's duty once; the timer service calls
-// it.
+// Poll polls each upstream assigned to this node once; the timer service calls it.
 func (w *Watches) Poll(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	moved := w.takeMoved()
+	moved := w.takeShardsMoved()
 	w.assign()
 	var g errgroup.Group
-	g.SetLimit(watchAtOnce)
-	follow := func(name string, watch watch) {
+	g.SetLimit(maxConcurrentPolls)
+	startPoll := func(name string, watch watch) {
 		g.Go(func() error {
 			if moved {
 				watch.membersChanged()
@@ -97,54 +96,54 @@
 		})
 	}
 	for name, e := range w.engines {
-		follow(name, e)
+		startPoll(name, e)
 	}
 	for name, s := range w.stores {
-		follow(name, s)
+		startPoll(name, s)
 	}
-	_ = g.Wait() // Each poll logs its own.
+	_ = g.Wait() // Each poll logs its own error.
 }
 
 func (w *Watches) poll(ctx context.Context, name string, fn func(context.Context) error) {
-	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	if err := fn(ctx); err != nil && ctx.Err() == nil {
 		w.log.Debug("watch failed", "upstream", name, "err", err)
 	}
 }
 
-// assign starts and ends watches as duties come and go.
+// assign starts and ends watches when the assignment of upstreams changes.
 func (w *Watches) assign() {
-	if !w.duties.stale() {
+	if !w.dutyInputs.changed() {
 		return
 	}
 	members := w.members.Working()
 	engines := map[string]*engineWatch{}
 	for _, e := range w.upstreams.Engines() {
-		if !ownerOf(members, w.self, e.Name) {
+		if !isOwner(members, w.self, e.Name) {
 			continue
 		}
 		watch, ok := w.engines[e.Name]
 		if !ok || watch.engine != e.Engine {
-			watch = newEngineWatch(e.Name, e.Engine, w.dir, w.log)
+			watch = newEngineWatch(e.Name, e.Engine, w.directory, w.log)
 		}
 		engines[e.Name] = watch
 	}
 	stores := map[string]*storeWatch{}
 	for _, s := range w.upstreams.Stores() {
-		if !ownerOf(members, w.self, s.Name) {
+		if !isOwner(members, w.self, s.Name) {
 			continue
 		}
 		watch, ok := w.stores[s.Name]
 		if !ok || watch.store != s.Store {
-			watch = newStoreWatch(s.Name, s.Store, w.dir, w.log)
+			watch = newStoreWatch(s.Name, s.Store, w.directory, w.log)
 		}
 		stores[s.Name] = watch
 	}
 	w.engines, w.stores = engines, stores
 }
 
-// WatchStatus is what a dump shows of one watch.
+// WatchStatus is the state of one watch, as shown in a dump.
 type WatchStatus struct {
 	Upstream string `json:"upstream"`
 	Kind     string `json:"kind"`
@@ -160,7 +159,7 @@
 	defer w.mu.Unlock()
 	var list []WatchStatus
 	for name, e := range w.engines {
-		list = append(list, WatchStatus{Upstream: name, Kind: "engine", Seq: e.seq, Entries: len(e.blocks), Resyncs: e.resync})
+		list = append(list, WatchStatus{Upstream: name, Kind: "engine", Seq: e.seq, Entries: len(e.blocks), Resyncs: e.resyncs})
 	}
 	for name, s := range w.stores {
 		list = append(list, WatchStatus{Upstream: name, Kind: "store", Seq: s.seq, Entries: len(s.objects), Freed: s.freed})
@@ -168,20 +167,20 @@
 	return list
 }
 
-// KeptObject is an object of a store that this node watches.
-type KeptObject struct {
+// StoredObject is an object of a store that this node watches.
+type StoredObject struct {
 	Store string
 	prompt.Object
 }
 
-// Objects lists what the stores of this node's duty keep.
-func (w *Watches) Objects() []KeptObject {
+// Objects lists the objects of the stores that this node watches.
+func (w *Watches) Objects() []StoredObject {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var list []KeptObject
+	var list []StoredObject
 	for name, s := range w.stores {
 		for _, e := range s.objects {
-			list = append(list, KeptObject{Store: name, Object: e.object})
+			list = append(list, StoredObject{Store: name, Object: e.object})
 		}
 	}
 	return list
--- a/service/node/wiring.go
+++ b/service/node/wiring.go
@@ -20,7 +20,7 @@
 	"github.com/drumpath/drumpath/service/suspects"
 )
 
-// constructors are what the container builds a node from.
+// constructors returns the providers from which dig builds a Node.
 func constructors(s config.Settings, log *slog.Logger, level *slog.LevelVar) []any {
 	weights := route.CostWeights{
 		Latency:   s.Policy.LatencyWeight,
@@ -50,13 +50,13 @@
 		control.NewCollector,
 		func(t *tablestore.Table, c *control.Collector, m *control.Members, p *peer.Client) *control.Claims {
 			return control.NewClaims(s.Node.Name, &claimTable{
-				self:    s.Node.Name,
-				members: m,
-				client:  p,
-				local:   c,
-				table:   t,
-				log:     log,
-				avoid:   map[string]time.Time{},
+				self:       s.Node.Name,
+				members:    m,
+				client:     p,
+				local:      c,
+				table:      t,
+				log:        log,
+				avoidUntil: map[string]time.Time{},
 			}, log)
 		},
 		func(t *tablestore.Table, m *control.Members) *control.Leases {
@@ -77,13 +77,13 @@
 		route.NewLinks,
 		route.NewAdmission,
 		NewUpstreams,
-		NewSpread,
+		NewConfigSync,
 		NewReconciler,
 		newPlatformList,
 		newPeerServer,
 		newMembers,
 		newProbes,
-		newParts,
+		newDependencies,
 		entry.NewServer,
 		newOperator,
 	}
@@ -96,7 +96,8 @@
 	return peer.NewServer(s.Peer.Listen, secrets, log)
 }
 
-// newMembers needs the listening server, whose port may have been chosen late.
+// newMembers takes the listening server because its port may be 0 in the settings,
+// to be chosen when it listens.
 func newMembers(s config.Settings, server *peer.Server) *control.Members {
 	self := control.Member{
 		Name:     s.Node.Name,
@@ -112,39 +113,39 @@
 	server *peer.Server,
 	m *control.Members,
 	c *control.Log,
-	spread *Spread,
+	configSync *ConfigSync,
 	log *slog.Logger,
 ) (*peer.Probes, error) {
 	handle := func(from netip.AddrPort, p control.Probe) []control.Packet {
-		spread.Heard(from, p.Version)
+		configSync.HandleVersion(from, p.Version)
 		return m.Handle(from, p, time.Now(), c.State().Version)
 	}
 	return peer.NewProbes(server.Addr(), s.Peer.Key, handle, log)
 }
 
-// partsIn are what requests are run with, as the container gives them.
-type partsIn struct {
+// dependenciesIn are the parameters of newDependencies, filled in by dig.
+type dependenciesIn struct {
 	dig.In
 
-	Settings  config.Settings
-	Log       *slog.Logger
-	Config    *control.Log
-	Members   *control.Members
-	Claims    *control.Claims
-	Directory *Directory
-	Upstreams *Upstreams
-	Fleet     *route.Fleet
-	Links     *route.Links
-	Policy    route.Policy
-	Admission *route.Admission
-	Retries   *route.RetryBudget
-	Keep      *route.ExportPolicy
-	Loads     *LoadPoller
-	Metrics   *entry.Metrics
-	Suspects  *suspects.Suspects
+	Settings     config.Settings
+	Log          *slog.Logger
+	Config       *control.Log
+	Members      *control.Members
+	Claims       *control.Claims
+	Directory    *Directory
+	Upstreams    *Upstreams
+	Fleet        *route.Fleet
+	Links        *route.Links
+	Policy       route.Policy
+	Admission    *route.Admission
+	Retries      *route.RetryBudget
+	ExportPolicy *route.ExportPolicy
+	Loads        *LoadPoller
+	Metrics      *entry.Metrics
+	Suspects     *suspects.Suspects
 }
 
-func newParts(in partsIn) *entry.Dependencies {
+func newDependencies(in dependenciesIn) *entry.Dependencies {
 	return &entry.Dependencies{
 		Settings:     in.Settings,
 		Log:          in.Log,
@@ -158,14 +159,14 @@
 		Policy:       in.Policy,
 		Admission:    in.Admission,
 		Retries:      in.Retries,
-		ExportPolicy: in.Keep,
+		ExportPolicy: in.ExportPolicy,
 		Loads:        in.Loads,
 		Metrics:      in.Metrics,
 		Suspects:     in.Suspects,
 	}
 }
 
-// operatorIn are what operators' scripts are run with.
+// operatorIn are the parameters of newOperator, filled in by dig.
 type operatorIn struct {
 	dig.In
 
@@ -190,8 +191,8 @@
 		Directory: in.Directory,
 		Policy:    in.Policy,
 		Fleet:     in.Fleet,
-		Peers:     peers{client: in.Client},
-		Local: &local{
+		Peers:     peerTables{client: in.Client},
+		Local: &localTables{
 			log:       in.Config,
 			admission: in.Admission,
 			links:     in.Links,
