--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -200,33 +200,33 @@
 	},
 	{
 		"suspects: the third end blocks", "pkg/suspect/case.go",
-		"	barEnds = 3\n", "	barEnds = 30\n",
+		"	blockThreshold = 3\n", "	blockThreshold = 30\n",
 		"./internal/standin/onplatform", "TestRequestThatEndsReplicasIsStoppedByAllNodes",
 	},
 	{
 		"suspects: ends of one moment are one round", "pkg/suspect/case.go",
-		"		if n == 0 || e.StartedAt.After(first) {", "		if n == 0 || true || e.StartedAt.After(first) {",
-		"./pkg/suspect", "TestEndsOfOneMomentDoNotBlock",
+		"		if n == 0 || e.StartedAt.After(roundEnd) {", "		if n == 0 || true || e.StartedAt.After(roundEnd) {",
+		"./pkg/suspect", "TestSimultaneousEndsDoNotBlock",
 	},
 	{
 		"suspects: a finish speaks for runs near it", "pkg/suspect/case.go",
 		"	return !c.Finished.IsZero() && e.StartedAt", "	return false && e.StartedAt",
-		"./pkg/suspect", "TestFinishSpeaksForRunsNearIt",
+		"./pkg/suspect", "TestFinishClearsEarlierAndFollowingRuns",
 	},
 	{
 		"suspects: a watched request runs once at a time", "pkg/suspect/register.go",
-		"	case now.Before(e.running) && (node == \"\" || e.lent != node):", "	case false:",
+		"	case now.Before(e.runningUntil) && (node == \"\" || e.grantedTo != node):", "	case false:",
 		"./pkg/suspect", "TestWatchedRequestRunsOnceAtATime",
 	},
 	{
 		"suspects: a grant is given back to each owner", "service/suspects/grants.go",
-		"	s.tellOver(f, s.owners(f))", "	s.tellOver(f, s.owners(f)[:1])",
-		"./service/suspects", "TestGrantThatWasAnsweredLateHoldsNobodyUp",
+		"	s.returnGrants(f, s.owners(f))", "	s.returnGrants(f, s.owners(f)[:1])",
+		"./service/suspects", "TestLateGrantDoesNotBlockLaterRuns",
 	},
 	{
 		"suspects: only who has a grant gives it back", "pkg/suspect/register.go",
-		"e != nil && e.lent == node {", "e != nil {",
-		"./service/suspects", "TestGrantThatWasAnsweredLateHoldsNobodyUp",
+		"e != nil && e.grantedTo == node {", "e != nil {",
+		"./service/suspects", "TestLateGrantDoesNotBlockLaterRuns",
 	},
 	{
 		"suspects: a node that starts waits for what is blocked", "service/gateway/exchange_suspects.go",
@@ -234,9 +234,9 @@
 		"./internal/standin/onplatform", "TestNodeThatStartsWaitsForWhatIsBlocked",
 	},
 	{
-		"suspects: only who knows tells a node that starts", "service/suspects/news.go",
-		"	if own == w.Digest && w.Knows {", "	if own == w.Digest {",
-		"./service/suspects", "TestNodeThatStartsHearsFromOthersWhatIsBlocked",
+		"suspects: only who knows tells a node that starts", "service/suspects/notes.go",
+		"	if own == received.Digest && received.Learned {", "	if own == received.Digest {",
+		"./service/suspects", "TestStartingNodeLearnsBlockedRequestsFromOthers",
 	},
 	{
 		"a call is not sent on a connection closed at rest", "pkg/httpjson/patience.go",
@@ -264,17 +264,17 @@
 		"./pkg/control", "TestProbesCostFewBytesBetweenHalls",
 	},
 	{
-		"suspects: owners tell all nodes", "service/suspects/news.go",
-		"	case collect && change.New && change.After != suspect.Allowed:\n		s.spread(c)\n", "",
-		"./service/suspects", "TestRepeatsAreStoppedAtAllSizes",
+		"suspects: owners tell all nodes", "service/suspects/notes.go",
+		"	case collect && change.New && change.After != suspect.Allowed:\n		s.broadcast(c)\n", "",
+		"./service/suspects", "TestRepeatedDeadlyRequestIsBlockedAtAllSizes",
 	},
 	{
-		"suspects: nodes compare what they hold", "service/suspects/news.go",
-		"	if own == w.Digest {", "	if true || own == w.Digest {",
-		"./service/suspects", "TestNodesThatWereCutOffHearOfABlock",
+		"suspects: nodes compare what they hold", "service/suspects/notes.go",
+		"	if own == received.Digest {", "	if true || own == received.Digest {",
+		"./service/suspects", "TestReconnectedNodesLearnOfABlock",
 	},
 	{
-		"suspects: a block is kept", "service/suspects/kept.go",
+		"suspects: a block is kept", "service/suspects/blocked_row.go",
 		"	if s.store == nil || s.register.Empty()", "	if true || s.register.Empty()",
 		"./internal/standin/onplatform", "TestNodeThatStartsKnowsWhatReplicasEndedUnder",
 	},
@@ -296,7 +296,7 @@
 	{
 		"suspended: leases", "pkg/rollout/lease.go",
 		"now: boottime.RefreshNow}\n}", "now: func() time.Time { _ = boottime.Now; return time.Now() }}\n}",
-		"./pkg/rollout", "TestLeaseIsOverAfterASuspension",
+		"./pkg/rollout", "TestLeaseExpiresDuringASuspension",
 	},
 	{
 		"limits: a grant is needed", "service/gateway/exchange_limits.go",
--- a/pkg/rollout/lease.go
+++ b/pkg/rollout/lease.go
@@ -24,9 +24,9 @@
 	leaseTerm = 2 * time.Second
 	// renewAfter leaves a second for a slow store.
 	renewAfter = leaseTerm / 2
-	// turnSlack is added to the pause between two holders for the way of an
+	// takeoverMargin is added to the pause between two holders for the way of an
 	// order.
-	turnSlack = 300 * time.Millisecond
+	takeoverMargin = 300 * time.Millisecond
 )
 
 // Lease says whether this node may give orders.
@@ -36,22 +36,22 @@
 // clock from before the write was sent; so it ends by its own count first. A
 // taker waits until the store's clock is past that end and a pause more.
 type Lease struct {
-	key   string
-	node  string
-	pause time.Duration
-	store Store
-	log   *slog.Logger
-	now   func() time.Time
-
-	mu      sync.Mutex
-	row     leaseRow
-	version int64
-	until   time.Time // Of this node's validity.
-	sent    time.Time // When the last renewal was sent.
-	clock   time.Duration
-	clockAt time.Time // When, at the latest, the store's clock was that.
-	again   time.Time // When it is worth asking for again.
-	left    bool      // It is not to be taken again.
+	key           string
+	node          string
+	takeoverPause time.Duration
+	store         Store
+	log           *slog.Logger
+	now           func() time.Time
+
+	mu               sync.Mutex
+	row              leaseRow
+	version          int64
+	validUntil       time.Time // Of this node's validity.
+	renewalSentAt    time.Time // When the last renewal was sent.
+	storeClock       time.Duration
+	storeClockReadAt time.Time // When, at the latest, the store's clock was that.
+	nextTry          time.Time // When it is worth asking for again.
+	closed           bool      // It is not to be taken again.
 }
 
 type leaseRow struct {
@@ -62,15 +62,15 @@
 
 // NewLease returns a lease of a name that is not held; pause is the least time
 // between the orders of two holders.
-func NewLease(key, node string, pause time.Duration, s Store, log *slog.Logger) *Lease {
-	return &Lease{key: key, node: node, pause: pause, store: s, log: log, now: boottime.RefreshNow}
+func NewLease(key, node string, pause time.Duration, store Store, log *slog.Logger) *Lease {
+	return &Lease{key: key, node: node, takeoverPause: pause, store: store, log: log, now: boottime.RefreshNow}
 }
 
 // Held says whether an order may be given now; it is asked just before each.
 func (l *Lease) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now().Before(l.until)
+	return l.now().Before(l.validUntil)
 }
 
 // Fence is the number under which orders are given; it rises with each holder.
@@ -80,15 +80,15 @@
 	return l.row.Fence
 }
 
-// Keep takes the lease if it is free, or renews it when that is due, and says
+// AcquireOrRenew takes the lease if it is free, or renews it when that is due, and says
 // whether it is held.
-func (l *Lease) Keep(ctx context.Context) bool {
+func (l *Lease) AcquireOrRenew(ctx context.Context) bool {
 	l.mu.Lock()
-	left := l.left
-	held := l.now().Before(l.until)
-	due := !held || l.now().Sub(l.sent) >= renewAfter
+	closed := l.closed
+	held := l.now().Before(l.validUntil)
+	due := !held || l.now().Sub(l.renewalSentAt) >= renewAfter
 	l.mu.Unlock()
-	if left {
+	if closed {
 		return false
 	}
 	if !due {
@@ -97,29 +97,29 @@
 	if held {
 		return l.write(ctx, leaseTerm) || l.Held()
 	}
-	return l.try(ctx)
+	return l.tryAcquire(ctx)
 }
 
-// askAgain is the least pause between two looks at a lease that another holds,
+// acquireRetryPause is the least pause between two looks at a lease that another holds,
 // or that could not be looked at.
-const askAgain = 400 * time.Millisecond
+const acquireRetryPause = 400 * time.Millisecond
 
-// try takes the lease if it is free. One that is not is asked for again when it
+// tryAcquire takes the lease if it is free. One that is not is asked for again when it
 // could run out; if its holder renews it, that is moved on.
-func (l *Lease) try(ctx context.Context) bool {
+func (l *Lease) tryAcquire(ctx context.Context) bool {
 	l.mu.Lock()
-	wait := l.now().Before(l.again)
+	tooEarly := l.now().Before(l.nextTry)
 	l.mu.Unlock()
-	if wait {
+	if tooEarly {
 		return false
 	}
-	free, after := l.read(ctx)
+	free, freeIn := l.read(ctx)
 	if free && l.write(ctx, leaseTerm) {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.again = l.now().Add(max(askAgain, after))
+	l.nextTry = l.now().Add(max(acquireRetryPause, freeIn))
 	return false
 }
 
@@ -129,22 +129,22 @@
 		return
 	}
 	l.mu.Lock()
-	l.until = time.Time{}
+	l.validUntil = time.Time{}
 	l.mu.Unlock()
 	l.write(ctx, 0)
 }
 
-// Leave gives the lease up for good.
-func (l *Lease) Leave(ctx context.Context) {
+// Close gives the lease up for good.
+func (l *Lease) Close(ctx context.Context) {
 	l.mu.Lock()
-	l.left = true
+	l.closed = true
 	l.mu.Unlock()
 	l.Release(ctx)
 }
 
 // read looks at the row and says whether it may be taken, or when it could be.
-func (l *Lease) read(ctx context.Context) (free bool, after time.Duration) {
-	asked := l.now()
+func (l *Lease) read(ctx context.Context) (free bool, freeIn time.Duration) {
+	askedAt := l.now()
 	listing, err := l.store.List(ctx, site.TableLeases)
 	if err != nil {
 		l.log.Warn("lease not read", "err", err)
@@ -163,35 +163,35 @@
 		}
 		l.version = r.Version
 	}
-	l.clock, l.clockAt = listing.Now, asked
+	l.storeClock, l.storeClockReadAt = listing.Now, askedAt
 	if l.row.Holder == "" || l.row.Holder == l.node {
 		return true, 0
 	}
-	after = l.row.Until + l.pause + turnSlack - listing.Now
-	return after <= 0, after
+	freeIn = l.row.Until + l.takeoverPause + takeoverMargin - listing.Now
+	return freeIn <= 0, freeIn
 }
 
 // write holds the lease for a term from now, or ends it with a term of 0.
 func (l *Lease) write(ctx context.Context, term time.Duration) bool {
 	l.mu.Lock()
-	if l.left && term > 0 {
+	if l.closed && term > 0 {
 		l.mu.Unlock()
 		return false // The node has begun to stop since it looked.
 	}
-	sent := l.now()
+	sentAt := l.now()
 	next := l.row
 	if next.Holder != l.node {
 		next.Holder = l.node
 		next.Fence++
 	}
-	next.Until = l.clock + sent.Sub(l.clockAt) + term
-	base := l.version
+	next.Until = l.storeClock + sentAt.Sub(l.storeClockReadAt) + term
+	baseVersion := l.version
 	l.mu.Unlock()
 	body, err := json.Marshal(next)
 	if err != nil {
 		return false
 	}
-	listing, err := l.store.Put(ctx, site.TableLeases, l.key, body, base)
+	listing, err := l.store.Put(ctx, site.TableLeases, l.key, body, baseVersion)
 	if err != nil {
 		if !errors.Is(err, site.ErrConflict) {
 			l.log.Warn("lease not written", "err", err)
@@ -204,9 +204,9 @@
 		l.log.Info("lease acquired", "lease", l.key, "fence", next.Fence, "version", listing.Version)
 	}
 	l.row, l.version = next, listing.Version
-	l.sent = sent
-	if term > 0 && !l.left {
-		l.until = sent.Add(term)
+	l.renewalSentAt = sentAt
+	if term > 0 && !l.closed {
+		l.validUntil = sentAt.Add(term)
 	}
-	return term > 0 && !l.left
+	return term > 0 && !l.closed
 }
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -17,8 +17,8 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Engines are the replicas, as far as orders go.
-type Engines interface {
+// EngineClient are the replicas, as far as orders go.
+type EngineClient interface {
 	Report(ctx context.Context, addr netip.AddrPort) (site.EngineReport, error)
 	Order(ctx context.Context, addr netip.AddrPort, o site.Order) (site.OrderOutcome, error)
 }
@@ -47,52 +47,52 @@
 	Version int64
 }
 
-// behind says whether the replica is yet to be swapped.
-func (t *Target) behind() bool { return t.Weights[t.Model] < t.Version }
+// outdated says whether the replica is yet to be swapped.
+func (t *Target) outdated() bool { return t.Weights[t.Model] < t.Version }
 
 const (
 	// StepInterval is the period of Step.
 	StepInterval = 100 * time.Millisecond
-	// groups is into how many parts the replicas are divided. Each has a lease,
+	// groupCount is into how many parts the replicas are divided. Each has a lease,
 	// so that a holder that is lost holds up its part only, and each swaps its
 	// replicas one after the other or a few at once.
-	groups = 6
-	// swapShare is the part of the replicas that is swapped at once: fewer take
+	groupCount = 6
+	// maxSwapShare is the part of the replicas that is swapped at once: fewer take
 	// long, more leave too few to serve. Measured, docs/POLICY.md.
-	swapShare = 0.3
-	// groupPause is by how much each group begins later than the one before it, so
+	maxSwapShare = 0.3
+	// groupStagger is by how much each group begins later than the one before it, so
 	// that its holder has heard what the others have begun.
-	groupPause = 60 * time.Millisecond
-	// rankPause is for how long each node leaves a lease to those that come
+	groupStagger = 60 * time.Millisecond
+	// rankDelay is for how long each node leaves a lease to those that come
 	// before it: in a large fleet few nodes ask for it at all.
-	rankPause = time.Second
-	// steerTime is for how long requests are sent elsewhere before an order, so
+	rankDelay = time.Second
+	// avoidLead is for how long requests are sent elsewhere before an order, so
 	// that most runs have ended.
-	steerTime = 250 * time.Millisecond
-	// steerTerm is for how long nodes pass a replica over at each word of it.
-	steerTerm = 600 * time.Millisecond
-	// askEvery is how often a swapping replica is asked how far it is.
-	askEvery = 150 * time.Millisecond
-	// orderTerm is after how long an order of which nothing is seen is given
+	avoidLead = 250 * time.Millisecond
+	// avoidTerm is for how long nodes pass a replica over at each word of it.
+	avoidTerm = 600 * time.Millisecond
+	// reportInterval is how often a swapping replica is asked how far it is.
+	reportInterval = 150 * time.Millisecond
+	// orderTimeout is after how long an order of which nothing is seen is given
 	// again, and a replica that does not answer is left to the next round.
-	orderTerm = 1500 * time.Millisecond
-	// backoffTerm is for how long a replica that would not be swapped is left
+	orderTimeout = 1500 * time.Millisecond
+	// swapBackoff is for how long a replica that would not be swapped is left
 	// alone.
-	backoffTerm = time.Second
+	swapBackoff = time.Second
 )
 
 // Rollout gives the orders.
 type Rollout struct {
-	engines Engines
+	engines EngineClient
 	fleet   Fleet
 	node    string
 	log     *slog.Logger
 	now     func() time.Time
 	// unbounded lets all replicas be swapped at once.
 	unbounded bool
-	groups    [groups]*group
-	// beginMu guards mayBegin; it is taken behind a group's mu.
-	beginMu sync.Mutex
+	groups    [groupCount]*group
+	// reserveMu guards mayBegin; it is taken behind a group's mu.
+	reserveMu sync.Mutex
 
 	wg sync.WaitGroup
 }
@@ -102,50 +102,50 @@
 	name  string
 	lease *Lease
 
-	mu    sync.Mutex
-	swaps map[string]*swap
-	since time.Time // When work was first seen, zero if there is none.
-	// loading is the mean time from an order to its being seen done.
-	loading time.Duration
+	mu        sync.Mutex
+	swaps     map[string]*swap
+	workSince time.Time // When work was first seen, zero if there is none.
+	// meanLoadTime is the mean time from an order to its being seen done.
+	meanLoadTime time.Duration
 }
 
-// noteOrdered lets another swap begin shortly before this one is done.
-func (g *group) noteOrdered(id string, now time.Time) {
+// recordOrder lets another swap begin shortly before this one is done.
+func (g *group) recordOrder(id string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.swaps[id].free = now.Add(max(0, g.loading-steerTime))
+	g.swaps[id].slotFreeAt = now.Add(max(0, g.meanLoadTime-avoidLead))
 }
 
-// noteDone learns how long a swap took since its order.
-func (g *group) noteDone(took time.Duration) {
+// recordLoadTime learns how long a swap took since its order.
+func (g *group) recordLoadTime(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.loading += (took - g.loading) / loadingParts
+	g.meanLoadTime += (took - g.meanLoadTime) / loadTimeSmoothing
 }
 
 const (
-	// startLoading is how long weights are assumed to take to load.
-	startLoading = 1500 * time.Millisecond
-	// loadingParts is one over the weight of the newest time.
-	loadingParts = 2
+	// initialLoadTime is how long weights are assumed to take to load.
+	initialLoadTime = 1500 * time.Millisecond
+	// loadTimeSmoothing is one over the weight of the newest time.
+	loadTimeSmoothing = 2
 )
 
 // swap is one replica that is being brought to other weights.
 type swap struct {
-	until time.Time // Left alone until, once it has ended.
-	ended bool
-	// free is from when on another may begin: the replica is expected to have
+	backoffUntil time.Time // Left alone until, once it has ended.
+	ended        bool
+	// slotFreeAt is from when on another may begin: the replica is expected to have
 	// its weights once the other's requests have been steered away.
-	free time.Time
+	slotFreeAt time.Time
 }
 
 // New returns a rollout that gives orders in a node's name; pause is the least
 // time between the orders of two nodes to a replica.
-func New(node string, pause time.Duration, st Store, e Engines, f Fleet, log *slog.Logger) *Rollout {
-	r := &Rollout{node: node, engines: e, fleet: f, log: log, now: boottime.RefreshNow}
+func New(node string, pause time.Duration, store Store, engines EngineClient, fleet Fleet, log *slog.Logger) *Rollout {
+	r := &Rollout{node: node, engines: engines, fleet: fleet, log: log, now: boottime.RefreshNow}
 	for i := range r.groups {
 		name := fmt.Sprintf("weights/%d", i)
-		r.groups[i] = &group{name: name, lease: NewLease(name, node, pause, st, log), swaps: map[string]*swap{}, loading: startLoading}
+		r.groups[i] = &group{name: name, lease: NewLease(name, node, pause, store, log), swaps: map[string]*swap{}, meanLoadTime: initialLoadTime}
 	}
 	return r
 }
@@ -154,89 +154,89 @@
 func (r *Rollout) SetUnbounded() { r.unbounded = true }
 
 // groupOf says to which group a replica belongs.
-func groupOf(id string) int { return int(xxhash.Sum64String(id) % groups) }
+func groupOf(id string) int { return int(xxhash.Sum64String(id) % groupCount) }
 
 // Step begins swaps that are due; the timer service calls it. It returns at
 // once when there is nothing to do.
 func (r *Rollout) Step(ctx context.Context) {
-	var parts [groups][]Target
-	var sizes [groups]int
-	all := 0
+	var outdated [groupCount][]Target
+	var sizes [groupCount]int
+	total := 0
 	for _, t := range r.fleet.Targets() {
 		i := groupOf(t.ID)
 		sizes[i]++
-		all++
-		if t.behind() {
-			parts[i] = append(parts[i], t)
+		total++
+		if t.outdated() {
+			outdated[i] = append(outdated[i], t)
 		}
 	}
 	var wg sync.WaitGroup
 	for i, g := range r.groups {
-		if r.work(g, parts[i]) {
+		if r.hasWork(g, outdated[i]) {
 			wg.Go(func() {
-				r.step(ctx, g, parts[i], r.atOnce(i, sizes[i], all))
+				r.stepGroup(ctx, g, outdated[i], r.limitsFor(i, sizes[i], total))
 			})
 		}
 	}
 	wg.Wait()
 }
 
-// atOnce bounds how many replicas are swapped at once: of a group, and of all. In a
+// swapLimits bounds how many replicas are swapped at once: of a group, and of all. In a
 // small fleet one of each group is too many: with five of nine engines loading, a load
 // took 2.5 s instead of 1.1; bounded, worth of a day with two versions rose from 0.743 to
 // 0.809 (four seeds). after is when the group begins.
-type atOnce struct {
-	group, all int
-	after      time.Duration
+type swapLimits struct {
+	group, total int
+	startDelay   time.Duration
 }
 
-func (r *Rollout) atOnce(i, size, all int) atOnce {
+func (r *Rollout) limitsFor(i, size, total int) swapLimits {
 	if r.unbounded {
-		return atOnce{group: size, all: all}
+		return swapLimits{group: size, total: total}
 	}
-	return atOnce{group: mostAtOnce(size), all: mostAtOnce(all), after: time.Duration(i) * groupPause}
+	return swapLimits{group: maxSwaps(size), total: maxSwaps(total), startDelay: time.Duration(i) * groupStagger}
 }
 
-// mostAtOnce is how many of some replicas are swapped at once.
-func mostAtOnce(size int) int { return max(1, int(math.Round(swapShare*float64(size)))) }
+// maxSwaps is how many of some replicas are swapped at once.
+func maxSwaps(size int) int { return max(1, int(math.Round(maxSwapShare*float64(size)))) }
 
-// work says whether a group has anything to be done.
-func (r *Rollout) work(g *group, behind []Target) bool {
+// hasWork says whether a group has anything to be done.
+func (r *Rollout) hasWork(g *group, outdated []Target) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(behind) == 0 && g.running(r.now()) == 0 {
-		g.since = time.Time{}
+	if len(outdated) == 0 && g.runningSwaps(r.now()) == 0 {
+		g.workSince = time.Time{}
 		return g.lease.Held()
 	}
-	if g.since.IsZero() {
-		g.since = r.now()
+	if g.workSince.IsZero() {
+		g.workSince = r.now()
 	}
 	return true
 }
 
-func (r *Rollout) step(ctx context.Context, g *group, behind []Target, most atOnce) {
+func (r *Rollout) stepGroup(ctx context.Context, g *group, outdated []Target, limits swapLimits) {
 	g.mu.Lock()
-	since, idle := g.since, g.since.IsZero()
+	since, idle := g.workSince, g.workSince.IsZero()
 	g.mu.Unlock()
 	if idle {
 		g.lease.Release(ctx)
 		return
 	}
-	if !g.lease.Held() && r.now().Sub(since) < time.Duration(r.fleet.Rank(g.name))*rankPause {
+	if !g.lease.Held() && r.now().Sub(since) < time.Duration(r.fleet.Rank(g.name))*rankDelay {
 		return
 	}
-	if !g.lease.Keep(ctx) {
+	if !g.lease.AcquireOrRenew(ctx) {
 		return
 	}
 	// Those with the oldest weights come first: they have least time left.
-	slices.SortStableFunc(behind, func(a, b Target) int {
+	slices.SortStableFunc(outdated, func(a, b Target) int {
 		return cmp.Compare(a.Weights[a.Model], b.Weights[b.Model])
 	})
-	if r.now().Sub(since) < most.after {
+	if r.now().Sub(since) < limits.startDelay {
 		return
 	}
-	for _, t := range behind {
-		r.begin(ctx, g, t, most)
+	for _, t := range outdated {
+		r.beginSwap(ctx, g, t, limits)
 	}
 }
 
@@ -244,64 +244,64 @@
 // ends: a lease that it took again would be missing to the others for its term.
 func (r *Rollout) Release(ctx context.Context) {
 	for _, g := range r.groups {
-		g.lease.Leave(ctx)
+		g.lease.Close(ctx)
 	}
 }
 
 // Close waits for swaps under way.
 func (r *Rollout) Close() { r.wg.Wait() }
 
-// running counts the swaps under way; the caller holds mu.
-func (g *group) running(now time.Time) int {
+// runningSwaps counts the swaps under way; the caller holds mu.
+func (g *group) runningSwaps(now time.Time) int {
 	n := 0
 	for id, s := range g.swaps {
 		switch {
-		case !s.ended && (s.free.IsZero() || now.Before(s.free)):
+		case !s.ended && (s.slotFreeAt.IsZero() || now.Before(s.slotFreeAt)):
 			n++
 		case !s.ended:
-		case now.After(s.until):
+		case now.After(s.backoffUntil):
 			delete(g.swaps, id)
 		}
 	}
 	return n
 }
 
-func (r *Rollout) begin(ctx context.Context, g *group, t Target, most atOnce) {
+func (r *Rollout) beginSwap(ctx context.Context, g *group, t Target, limits swapLimits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// Counting forgets those that were left alone for long enough.
-	running := g.running(r.now())
-	if _, known := g.swaps[t.ID]; known || running >= most.group || !r.mayBegin(t, most.all) {
+	running := g.runningSwaps(r.now())
+	if _, known := g.swaps[t.ID]; known || running >= limits.group || !r.reserveSwap(t, limits.total) {
 		return
 	}
 	s := &swap{}
 	g.swaps[t.ID] = s
 	r.wg.Go(func() {
-		pause := r.swap(context.WithoutCancel(ctx), g, t)
+		backoff := r.swapReplica(context.WithoutCancel(ctx), g, t)
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		s.ended = true
-		s.until = r.now().Add(pause)
+		s.backoffUntil = r.now().Add(backoff)
 	})
 }
 
 // mayBegin says whether another replica of all may be swapped, and has it steered away
 // from if so. Groups step side by side, so that both are done as one.
-func (r *Rollout) mayBegin(t Target, most int) bool {
-	r.beginMu.Lock()
-	defer r.beginMu.Unlock()
-	if r.fleet.CountSwapping() >= most {
+func (r *Rollout) reserveSwap(t Target, limit int) bool {
+	r.reserveMu.Lock()
+	defer r.reserveMu.Unlock()
+	if r.fleet.CountSwapping() >= limit {
 		return false
 	}
-	r.fleet.AvoidForSwap(t, steerTime+steerTerm)
+	r.fleet.AvoidForSwap(t, avoidLead+avoidTerm)
 	return true
 }
 
-// swap brings one replica to its weights and returns for how long it is to be
+// swapReplica brings one replica to its weights and returns for how long it is to be
 // left alone.
-func (r *Rollout) swap(ctx context.Context, g *group, t Target) time.Duration {
-	r.sleep(steerTime)
-	end := r.now().Add(orderTerm)
+func (r *Rollout) swapReplica(ctx context.Context, g *group, t Target) time.Duration {
+	r.sleep(avoidLead)
+	end := r.now().Add(orderTimeout)
 	var ordered time.Time
 	for r.now().Before(end) {
 		report, err := r.engines.Report(ctx, t.Addr)
@@ -310,37 +310,37 @@
 			r.log.Warn("replica state not read", "replica", t.ID, "err", err)
 		case !report.Started.IsZero() && !t.Started.IsZero() && !report.Started.Equal(t.Started):
 			// It has started anew: what it has and has taken is listed anew, too.
-			return backoffTerm
+			return swapBackoff
 		case report.Draining:
 			r.fleet.RecordDraining(t)
-			return backoffTerm
+			return swapBackoff
 		case report.Weights[t.Model] >= t.Version:
 			r.fleet.RecordWeights(t, report.Weights[t.Model])
 			if !ordered.IsZero() {
-				g.noteDone(r.now().Sub(ordered))
+				g.recordLoadTime(r.now().Sub(ordered))
 			}
 			r.log.Info("replica serves new weights", "replica", t.ID, "model", t.Model, "version", report.Weights[t.Model])
 			return 0
 		case report.Busy:
-			r.fleet.AvoidForSwap(t, steerTerm)
-			end = r.now().Add(orderTerm)
+			r.fleet.AvoidForSwap(t, avoidTerm)
+			end = r.now().Add(orderTimeout)
 		case ordered.IsZero():
-			if !r.order(ctx, g, t, report.Orders) {
-				return backoffTerm
+			if !r.sendOrder(ctx, g, t, report.Orders) {
+				return swapBackoff
 			}
 			ordered = r.now()
-			g.noteOrdered(t.ID, ordered)
-			r.fleet.AvoidForSwap(t, steerTerm)
-			end = r.now().Add(orderTerm)
+			g.recordOrder(t.ID, ordered)
+			r.fleet.AvoidForSwap(t, avoidTerm)
+			end = r.now().Add(orderTimeout)
 		}
-		r.sleep(askEvery)
+		r.sleep(reportInterval)
 	}
 	r.log.Warn("replica not swapped in time", "replica", t.ID, "model", t.Model, "version", t.Version)
-	return backoffTerm
+	return swapBackoff
 }
 
-// order gives the order and says whether it may have been taken.
-func (r *Rollout) order(ctx context.Context, g *group, t Target, orders int64) bool {
+// sendOrder gives the order and says whether it may have been taken.
+func (r *Rollout) sendOrder(ctx context.Context, g *group, t Target, ordersBefore int64) bool {
 	if !g.lease.Held() {
 		return false
 	}
@@ -349,11 +349,11 @@
 		Version:  t.Version,
 		Holder:   r.node,
 		Fence:    g.lease.Fence(),
-		Orders:   orders,
+		Orders:   ordersBefore,
 		Instance: t.ID,
 	})
 	r.log.Info("order given", "replica", t.ID, "model", t.Model, "version", t.Version,
-		"fence", g.lease.Fence(), "orders", orders, "outcome", int(outcome), "err", err)
+		"fence", g.lease.Fence(), "orders", ordersBefore, "outcome", int(outcome), "err", err)
 	return outcome == site.OrderAccepted || outcome == site.OrderUnknown
 }
 
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -20,58 +20,58 @@
 
 // memoryStore is the platform's store, in memory.
 type memoryStore struct {
-	mu    sync.Mutex
-	rows  map[string]site.Row
-	ver   int64
-	begun time.Time
-	down  map[string]bool // By node that calls.
+	mu          sync.Mutex
+	rows        map[string]site.Row
+	version     int64
+	createdAt   time.Time
+	unreachable map[string]bool // By node that calls.
 }
 
 func newMemoryStore() *memoryStore {
-	return &memoryStore{rows: map[string]site.Row{}, ver: 1, begun: time.Now(), down: map[string]bool{}}
+	return &memoryStore{rows: map[string]site.Row{}, version: 1, createdAt: time.Now(), unreachable: map[string]bool{}}
 }
 
-// view is the store as one node reaches it.
-type view struct {
+// nodeStore is the store as one node reaches it.
+type nodeStore struct {
 	*memoryStore
 	node string
 }
 
-func (v view) List(context.Context, site.Table) (site.Listing, error) {
+func (v nodeStore) List(context.Context, site.Table) (site.Listing, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.down[v.node] {
+	if v.unreachable[v.node] {
 		return site.Listing{}, fmt.Errorf("cut off")
 	}
-	l := site.Listing{Version: v.ver, Now: time.Since(v.begun)}
+	l := site.Listing{Version: v.version, Now: time.Since(v.createdAt)}
 	for _, r := range v.rows {
 		l.Rows = append(l.Rows, r)
 	}
 	return l, nil
 }
 
-func (v view) Put(_ context.Context, _ site.Table, key string, value []byte, expected int64) (site.Listing, error) {
+func (v nodeStore) Put(_ context.Context, _ site.Table, key string, value []byte, expected int64) (site.Listing, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.down[v.node] {
+	if v.unreachable[v.node] {
 		return site.Listing{}, fmt.Errorf("cut off")
 	}
 	if v.rows[key].Version != expected {
 		return site.Listing{}, site.ErrConflict
 	}
-	v.ver++
-	v.rows[key] = site.Row{Key: key, Value: value, Version: v.ver}
-	return site.Listing{Version: v.ver, Now: time.Since(v.begun)}, nil
+	v.version++
+	v.rows[key] = site.Row{Key: key, Value: value, Version: v.version}
+	return site.Listing{Version: v.version, Now: time.Since(v.createdAt)}, nil
 }
 
-func (s *memoryStore) cut(node string, down bool) {
+func (s *memoryStore) setUnreachable(node string, yes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down[node] = down
+	s.unreachable[node] = yes
 }
 
-// given is one order as a replica got it.
-type given struct {
+// receivedOrder is one order as a replica got it.
+type receivedOrder struct {
 	at      time.Time
 	replica string
 	order   site.Order
@@ -79,31 +79,31 @@
 
 // fakeFleet is replicas that take a while to load, and who hears of swaps.
 type fakeFleet struct {
-	mu       sync.Mutex
-	replicas map[string]*fakeReplica
-	version  int64
-	given    []given
-	steered  []string
-	until    map[string]time.Time // Steered away from, by replica.
-	ranks    map[string]int
-	drained  []string // Heard of as such.
-	silent   bool     // Orders are taken and not answered.
-	late     bool     // And carried out seconds later.
+	mu           sync.Mutex
+	replicas     map[string]*fakeReplica
+	version      int64
+	orders       []receivedOrder
+	avoided      []string
+	avoidedUntil map[string]time.Time // Steered away from, by replica.
+	ranks        map[string]int
+	drained      []string // Heard of as such.
+	dropAnswers  bool     // Orders are taken and not answered.
+	delayOrders  bool     // And carried out seconds later.
 }
 
 type fakeReplica struct {
-	id      string
-	addr    netip.AddrPort
-	version int64
-	orders  int64
-	busy    bool
-	drains  bool // As it reports.
+	id       string
+	addr     netip.AddrPort
+	version  int64
+	orders   int64
+	busy     bool
+	draining bool // As it reports.
 }
 
 const loadTime = 760 * time.Millisecond
 
 func newFakeFleet(n int) *fakeFleet {
-	f := &fakeFleet{replicas: map[string]*fakeReplica{}, version: 1, ranks: map[string]int{}, until: map[string]time.Time{}}
+	f := &fakeFleet{replicas: map[string]*fakeReplica{}, version: 1, ranks: map[string]int{}, avoidedUntil: map[string]time.Time{}}
 	for i := range n {
 		id := fmt.Sprintf("r%02d", i)
 		f.replicas[id] = &fakeReplica{id: id, version: 1, addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1)}
@@ -111,7 +111,7 @@
 	return f
 }
 
-func (f *fakeFleet) at(addr netip.AddrPort) *fakeReplica {
+func (f *fakeFleet) replicaAt(addr netip.AddrPort) *fakeReplica {
 	for _, r := range f.replicas {
 		if r.addr == addr {
 			return r
@@ -123,35 +123,35 @@
 func (f *fakeFleet) Report(_ context.Context, addr netip.AddrPort) (site.EngineReport, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := f.at(addr)
-	return site.EngineReport{Draining: r.drains, Busy: r.busy, Orders: r.orders, Weights: map[string]int64{"m": r.version}}, nil
+	r := f.replicaAt(addr)
+	return site.EngineReport{Draining: r.draining, Busy: r.busy, Orders: r.orders, Weights: map[string]int64{"m": r.version}}, nil
 }
 
 func (f *fakeFleet) Order(_ context.Context, addr netip.AddrPort, o site.Order) (site.OrderOutcome, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := f.at(addr)
-	f.given = append(f.given, given{at: time.Now(), replica: r.id, order: o})
-	if f.late {
+	r := f.replicaAt(addr)
+	f.orders = append(f.orders, receivedOrder{at: time.Now(), replica: r.id, order: o})
+	if f.delayOrders {
 		go func() {
 			time.Sleep(5 * time.Second)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.carryOut(r, o)
+			f.execute(r, o)
 		}()
 		return site.OrderUnknown, fmt.Errorf("no answer")
 	}
-	if !f.carryOut(r, o) {
+	if !f.execute(r, o) {
 		return site.OrderRefused, fmt.Errorf("refused")
 	}
-	if f.silent {
+	if f.dropAnswers {
 		return site.OrderUnknown, fmt.Errorf("no answer")
 	}
 	return site.OrderAccepted, nil
 }
 
-// carryOut begins to load, unless others have ordered since; the caller holds mu.
-func (f *fakeFleet) carryOut(r *fakeReplica, o site.Order) bool {
+// execute begins to load, unless others have ordered since; the caller holds mu.
+func (f *fakeFleet) execute(r *fakeReplica, o site.Order) bool {
 	if r.busy || r.orders != o.Orders {
 		return false
 	}
@@ -166,13 +166,13 @@
 	return true
 }
 
-// eyes is the fleet as one node sees it.
-type eyes struct {
+// fleetView is the fleet as one node sees it.
+type fleetView struct {
 	*fakeFleet
 	node string
 }
 
-func (e eyes) Targets() (list []Target) {
+func (e fleetView) Targets() (list []Target) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range e.replicas {
@@ -188,21 +188,21 @@
 	return list
 }
 
-func (e eyes) Rank(string) int { return e.ranks[e.node] }
+func (e fleetView) Rank(string) int { return e.ranks[e.node] }
 
-func (e eyes) AvoidForSwap(t Target, d time.Duration) {
+func (e fleetView) AvoidForSwap(t Target, d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.until[t.ID] = time.Now().Add(d)
-	e.steered = append(e.steered, t.ID)
+	e.avoidedUntil[t.ID] = time.Now().Add(d)
+	e.avoided = append(e.avoided, t.ID)
 }
 
 // CountSwapping counts those that load: nodes hear at once what others begin.
-func (e eyes) CountSwapping() int {
+func (e fleetView) CountSwapping() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
-	for _, until := range e.until {
+	for _, until := range e.avoidedUntil {
 		if time.Now().Before(until) {
 			n++
 		}
@@ -210,25 +210,25 @@
 	return n
 }
 
-func (e eyes) RecordWeights(t Target, _ int64) {
+func (e fleetView) RecordWeights(t Target, _ int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.until, t.ID)
+	delete(e.avoidedUntil, t.ID)
 }
 
-func (e eyes) RecordDraining(t Target) {
+func (e fleetView) RecordDraining(t Target) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.drained = append(e.drained, t.ID)
 }
 
-func (f *fakeFleet) name(version int64) {
+func (f *fakeFleet) setVersion(version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version = version
 }
 
-func (f *fakeFleet) behind() int {
+func (f *fakeFleet) outdated() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -242,13 +242,13 @@
 
 const testPause = 3 * time.Second
 
-// start steps the rollouts of some nodes until the returned function is called.
-func start(t *testing.T, s *memoryStore, f *fakeFleet, nodes ...string) (stop func()) {
+// startRollouts steps the rollouts of some nodes until the returned function is called.
+func startRollouts(t *testing.T, s *memoryStore, f *fakeFleet, nodes ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	for i, node := range nodes {
 		f.ranks[node] = i
-		r := New(node, testPause, view{s, node}, f, eyes{f, node}, slog.New(slog.DiscardHandler))
+		r := New(node, testPause, nodeStore{s, node}, f, fleetView{f, node}, slog.New(slog.DiscardHandler))
 		wg.Go(func() {
 			defer r.Close()
 			for ctx.Err() == nil {
@@ -265,9 +265,9 @@
 
 // checkOrders fails where orders of two nodes to one replica come closer than the
 // pause, or with a fence that does not rise.
-func checkOrders(t *testing.T, list []given) {
+func checkOrders(t *testing.T, list []receivedOrder) {
 	t.Helper()
-	last := map[string]given{}
+	last := map[string]receivedOrder{}
 	for _, g := range list {
 		l, known := last[g.replica]
 		if known && l.order.Holder != g.order.Holder {
@@ -282,31 +282,31 @@
 func TestAllReplicasGetNewWeightsInAFewSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(18)
-		stop := start(t, s, f, "n1", "n2", "n3")
+		stop := startRollouts(t, s, f, "n1", "n2", "n3")
 		time.Sleep(time.Second)
-		assert.Equal(t, len(f.given), 0, "nothing is ordered while nothing is named")
-		f.name(2)
+		assert.Equal(t, len(f.orders), 0, "nothing is ordered while nothing is named")
+		f.setVersion(2)
 		time.Sleep(8 * time.Second)
-		assert.Equal(t, f.behind(), 0)
-		assert.Equal(t, len(f.given), 18, "each replica is ordered once")
-		assert.Assert(t, len(f.steered) >= 18)
-		checkOrders(t, f.given)
+		assert.Equal(t, f.outdated(), 0)
+		assert.Equal(t, len(f.orders), 18, "each replica is ordered once")
+		assert.Assert(t, len(f.avoided) >= 18)
+		checkOrders(t, f.orders)
 		stop()
 	})
 }
 
 // In a small fleet one replica of each group would be more than may be away at once.
 // Weights were loaded into a replica that had said that it is about to end.
-func TestReplicaThatReportsThatItDrainsGetsNoOrder(t *testing.T) {
+func TestDrainingReplicaGetsNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(6)
-		f.replicas["r03"].drains = true
-		stop := start(t, s, f, "n1", "n2")
-		f.name(2)
+		f.replicas["r03"].draining = true
+		stop := startRollouts(t, s, f, "n1", "n2")
+		f.setVersion(2)
 		time.Sleep(8 * time.Second)
 		stop()
-		assert.Equal(t, f.behind(), 1)
-		for _, g := range f.given {
+		assert.Equal(t, f.outdated(), 1)
+		for _, g := range f.orders {
 			assert.Assert(t, g.replica != "r03")
 		}
 		assert.DeepEqual(t, f.drained, []string{"r03"})
@@ -317,8 +317,8 @@
 	for _, n := range []int{4, 9, 18, 60} {
 		synctest.Test(t, func(t *testing.T) {
 			s, f := newMemoryStore(), newFakeFleet(n)
-			stop := start(t, s, f, "n1", "n2", "n3")
-			f.name(2)
+			stop := startRollouts(t, s, f, "n1", "n2", "n3")
+			f.setVersion(2)
 			for range 400 {
 				time.Sleep(25 * time.Millisecond)
 				f.mu.Lock()
@@ -329,9 +329,9 @@
 					}
 				}
 				f.mu.Unlock()
-				assert.Assert(t, busy <= mostAtOnce(n), "%d of %d at once", busy, n)
+				assert.Assert(t, busy <= maxSwaps(n), "%d of %d at once", busy, n)
 			}
-			assert.Equal(t, f.behind(), 0, "all of %d are done", n)
+			assert.Equal(t, f.outdated(), 0, "all of %d are done", n)
 			stop()
 		})
 	}
@@ -339,39 +339,39 @@
 
 // A holder that is cut off from the store stops by itself, and another takes over
 // without ordering a replica within the pause.
-func TestHolderThatIsCutOffIsReplaced(t *testing.T) {
+func TestLeaseHolderWithoutStoreIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(18)
-		stop := start(t, s, f, "n1", "n2")
-		f.name(2)
+		stop := startRollouts(t, s, f, "n1", "n2")
+		f.setVersion(2)
 		time.Sleep(800 * time.Millisecond)
-		s.cut("n1", true)
-		f.name(3)
+		s.setUnreachable("n1", true)
+		f.setVersion(3)
 		time.Sleep(12 * time.Second)
-		assert.Equal(t, f.behind(), 0)
+		assert.Equal(t, f.outdated(), 0)
 		f.mu.Lock()
-		checkOrders(t, f.given)
+		checkOrders(t, f.orders)
 		f.mu.Unlock()
 		stop()
 	})
 }
 
 // Orders that are not answered and come late find that others have come between.
-func TestLateOrdersDoNoHarm(t *testing.T) {
+func TestLateOrderDoesNotRestoreOlderWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(6)
-		f.late = true
-		stop := start(t, s, f, "n1")
-		f.name(2)
+		f.delayOrders = true
+		stop := startRollouts(t, s, f, "n1")
+		f.setVersion(2)
 		time.Sleep(3 * time.Second)
 		f.mu.Lock()
-		f.late = false
+		f.delayOrders = false
 		f.mu.Unlock()
-		f.name(3)
+		f.setVersion(3)
 		time.Sleep(12 * time.Second)
-		assert.Equal(t, f.behind(), 0)
+		assert.Equal(t, f.outdated(), 0)
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, f.behind(), 0, "no late order has put an older version back")
+		assert.Equal(t, f.outdated(), 0, "no late order has put an older version back")
 		stop()
 	})
 }
@@ -379,12 +379,12 @@
 func TestUnansweredOrderIsNotGivenTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(6)
-		f.silent = true
-		stop := start(t, s, f, "n1")
-		f.name(2)
+		f.dropAnswers = true
+		stop := startRollouts(t, s, f, "n1")
+		f.setVersion(2)
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, f.behind(), 0)
-		assert.Equal(t, len(f.given), 6)
+		assert.Equal(t, f.outdated(), 0)
+		assert.Equal(t, len(f.orders), 6)
 		stop()
 	})
 }
@@ -395,11 +395,11 @@
 // later, found them free and its own, and took them.
 // Cause: giving back for good was the same as giving back what is not needed just now.
 // What settled it: the rows after a stop, with the node as their holder for 2 s more.
-func TestStoppingNodeTakesNoLeaseAgain(t *testing.T) {
+func TestStoppingNodeDoesNotReacquireLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(18)
-		f.name(2)
-		r := New("n1", testPause, view{s, "n1"}, f, eyes{f, "n1"}, slog.New(slog.DiscardHandler))
+		f.setVersion(2)
+		r := New("n1", testPause, nodeStore{s, "n1"}, f, fleetView{f, "n1"}, slog.New(slog.DiscardHandler))
 		defer r.Close()
 		r.Step(t.Context())
 		assert.Assert(t, len(s.rows) > 0)
@@ -409,20 +409,20 @@
 		for key, row := range s.rows {
 			var l leaseRow
 			assert.NilError(t, json.Unmarshal(row.Value, &l))
-			assert.Assert(t, l.Until <= time.Since(s.begun), key)
+			assert.Assert(t, l.Until <= time.Since(s.createdAt), key)
 		}
 	})
 }
 
-// slowView is the store as a node reaches it whose look-ups take a while to come back.
-type slowView struct {
-	view
-	by time.Duration
+// slowStore is the store as a node reaches it whose look-ups take a while to come back.
+type slowStore struct {
+	nodeStore
+	delay time.Duration
 }
 
-func (v slowView) List(ctx context.Context, t site.Table) (site.Listing, error) {
-	l, err := v.view.List(ctx, t)
-	time.Sleep(v.by)
+func (v slowStore) List(ctx context.Context, t site.Table) (site.Listing, error) {
+	l, err := v.nodeStore.List(ctx, t)
+	time.Sleep(v.delay)
 	return l, err
 }
 
@@ -433,20 +433,20 @@
 // Cause: whether the node was leaving was asked before the look and not before the write.
 // What settled it: the row after a stop that fell into a look, with the node as its holder
 // for 2 s from then on.
-func TestNodeThatBeginsToStopTakesNoLease(t *testing.T) {
+func TestLeaseReadDuringStopDoesNotAcquire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const looks = 20 * time.Millisecond
+		const listDelay = 20 * time.Millisecond
 		s := newMemoryStore()
-		l := NewLease("l", "n1", testPause, slowView{view{s, "n1"}, looks}, slog.New(slog.DiscardHandler))
+		l := NewLease("l", "n1", testPause, slowStore{nodeStore{s, "n1"}, listDelay}, slog.New(slog.DiscardHandler))
 		held := make(chan bool, 1)
-		go func() { held <- l.Keep(t.Context()) }()
-		time.Sleep(looks / 2)
-		l.Leave(t.Context())
+		go func() { held <- l.AcquireOrRenew(t.Context()) }()
+		time.Sleep(listDelay / 2)
+		l.Close(t.Context())
 		assert.Assert(t, !<-held)
 		for key, row := range s.rows {
 			var r leaseRow
 			assert.NilError(t, json.Unmarshal(row.Value, &r))
-			assert.Assert(t, r.Until <= time.Since(s.begun), "%s is held until %v", key, r.Until)
+			assert.Assert(t, r.Until <= time.Since(s.createdAt), "%s is held until %v", key, r.Until)
 		}
 	})
 }
@@ -455,14 +455,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newMemoryStore()
 		log := slog.New(slog.DiscardHandler)
-		a := NewLease("l", "a", testPause, view{s, "a"}, log)
-		b := NewLease("l", "b", testPause, view{s, "b"}, log)
-		assert.Assert(t, a.Keep(t.Context()))
+		a := NewLease("l", "a", testPause, nodeStore{s, "a"}, log)
+		b := NewLease("l", "b", testPause, nodeStore{s, "b"}, log)
+		assert.Assert(t, a.AcquireOrRenew(t.Context()))
 		fence := a.Fence()
-		s.cut("a", true)
+		s.setUnreachable("a", true)
 		last := time.Now()
-		for !b.Keep(t.Context()) {
-			if a.Keep(t.Context()) {
+		for !b.AcquireOrRenew(t.Context()) {
+			if a.AcquireOrRenew(t.Context()) {
 				last = time.Now()
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -470,21 +470,21 @@
 		assert.Assert(t, !a.Held())
 		assert.Assert(t, time.Since(last) >= testPause, "%s", time.Since(last))
 		assert.Assert(t, b.Fence() > fence)
-		s.cut("a", false)
-		assert.Assert(t, !a.Keep(t.Context()))
+		s.setUnreachable("a", false)
+		assert.Assert(t, !a.AcquireOrRenew(t.Context()))
 		b.Release(t.Context())
 		var row leaseRow
 		assert.NilError(t, json.Unmarshal(s.rows["l"].Value, &row))
-		assert.Assert(t, row.Until <= time.Since(s.begun))
+		assert.Assert(t, row.Until <= time.Since(s.createdAt))
 	})
 }
 
 // A holder's machine is suspended, and another node takes the lease meanwhile. The steady
 // clock of the first has not moved on.
-func TestLeaseIsOverAfterASuspension(t *testing.T) {
+func TestLeaseExpiresDuringASuspension(t *testing.T) {
 	s := newMemoryStore()
-	l := NewLease("l", "a", testPause, view{s, "a"}, slog.New(slog.DiscardHandler))
-	assert.Assert(t, l.Keep(t.Context()))
+	l := NewLease("l", "a", testPause, nodeStore{s, "a"}, slog.New(slog.DiscardHandler))
+	assert.Assert(t, l.AcquireOrRenew(t.Context()))
 	assert.Assert(t, l.Held())
 	boottime.SimulateSuspend(leaseTerm)
 	assert.Assert(t, !l.Held())
--- a/pkg/suspect/case.go
+++ b/pkg/suspect/case.go
@@ -34,22 +34,22 @@
 }
 
 const (
-	// watchEnds is from how many ends on a request runs once at a time. A good one may be
+	// watchThreshold is from how many ends on a request runs once at a time. A good one may be
 	// in flight where a replica ends, and so may its repeat: at two, a block would hit one
 	// of those in some hundred where replicas come and go.
-	watchEnds = 2
-	// barEnds is with how many ends a request is sent no more: operators allow three, and
+	watchThreshold = 2
+	// blockThreshold is with how many ends a request is sent no more: operators allow three, and
 	// a few that were under way.
-	barEnds = 3
-	// barRounds is in how many rounds they must have come: when many replicas end at one
+	blockThreshold = 3
+	// blockMinRounds is in how many rounds they must have come: when many replicas end at one
 	// moment for another reason, what is asked most often is in flight at several of them.
-	barRounds = 2
-	// mostEnds bounds what is kept of one case.
-	mostEnds = 6
-	// finishTerm is for how long after a finish runs that begin count for nothing: what is
+	blockMinRounds = 2
+	// maxEnds bounds what is kept of one case.
+	maxEnds = 6
+	// finishGrace is for how long after a finish runs that begin count for nothing: what is
 	// asked so often that it is in flight wherever a replica ends is finished many times
 	// meanwhile. It is short, as new weights may make of a good request another one.
-	finishTerm = 10 * time.Second
+	finishGrace = 10 * time.Second
 )
 
 // ReplicaEnd is the end of one replica while a request was in flight there.
@@ -86,9 +86,9 @@
 // Verdict judges the case.
 func (c *Case) Verdict() Verdict {
 	switch n := len(c.Ends); {
-	case n >= barEnds && c.rounds() >= barRounds:
+	case n >= blockThreshold && c.rounds() >= blockMinRounds:
 		return Blocked
-	case n >= watchEnds:
+	case n >= watchThreshold:
 		return Watched
 	default:
 		return Allowed
@@ -99,11 +99,11 @@
 // Runs that were in flight together are one round.
 func (c *Case) rounds() int {
 	n := 0
-	var first time.Time // End of the round.
+	var roundEnd time.Time // End of the round.
 	for _, e := range c.Ends {
-		if n == 0 || e.StartedAt.After(first) {
+		if n == 0 || e.StartedAt.After(roundEnd) {
 			n++
-			first = e.EndedAt
+			roundEnd = e.EndedAt
 		}
 	}
 	return n
@@ -118,47 +118,47 @@
 		c.Finished = other.Finished
 		changed = true
 	}
-	c.Ends = slices.DeleteFunc(c.Ends, c.outdated)
+	c.Ends = slices.DeleteFunc(c.Ends, c.clearedByFinish)
 	for _, e := range other.Ends {
-		if c.has(e.Replica) || c.outdated(e) {
+		if c.hasEnd(e.Replica) || c.clearedByFinish(e) {
 			continue
 		}
 		c.Ends = append(c.Ends, e)
-		c.keepSome()
-		changed = changed || c.has(e.Replica)
+		c.trimEnds()
+		changed = changed || c.hasEnd(e.Replica)
 	}
 	return changed
 }
 
-// has says whether the end of a replica is kept.
-func (c *Case) has(replica string) bool {
+// hasEnd says whether the end of a replica is kept.
+func (c *Case) hasEnd(replica string) bool {
 	return slices.ContainsFunc(c.Ends, func(e ReplicaEnd) bool { return e.Replica == replica })
 }
 
-// keepSome sorts ends by time and drops those beyond the most that are kept. The first one
+// trimEnds sorts ends by time and drops those beyond the most that are kept. The first one
 // stays, and those whose runs began last: were it the first six, all of which may be of one
 // round, no later round would ever count, and the request never be blocked. Which stay does
 // not depend on the order in which a node hears of them.
-func (c *Case) keepSome() {
+func (c *Case) trimEnds() {
 	byTime := func(a, b ReplicaEnd) int {
 		return cmp.Or(a.EndedAt.Compare(b.EndedAt), cmp.Compare(a.Replica, b.Replica))
 	}
 	slices.SortFunc(c.Ends, byTime)
-	if len(c.Ends) <= mostEnds {
+	if len(c.Ends) <= maxEnds {
 		return
 	}
 	first, rest := c.Ends[0], c.Ends[1:]
 	slices.SortFunc(rest, func(a, b ReplicaEnd) int {
 		return cmp.Or(b.StartedAt.Compare(a.StartedAt), cmp.Compare(a.Replica, b.Replica))
 	})
-	c.Ends = append([]ReplicaEnd{first}, rest[:mostEnds-1]...)
+	c.Ends = append([]ReplicaEnd{first}, rest[:maxEnds-1]...)
 	slices.SortFunc(c.Ends, byTime)
 }
 
-// outdated says whether an end does not count, as the request was finished about when that
+// clearedByFinish says whether an end does not count, as the request was finished about when that
 // run began, or later.
-func (c *Case) outdated(e ReplicaEnd) bool {
-	return !c.Finished.IsZero() && e.StartedAt.Before(c.Finished.Add(finishTerm))
+func (c *Case) clearedByFinish(e ReplicaEnd) bool {
+	return !c.Finished.IsZero() && e.StartedAt.Before(c.Finished.Add(finishGrace))
 }
 
 // Replicas names the replicas that ended.
--- a/pkg/suspect/finishes.go
+++ b/pkg/suspect/finishes.go
@@ -19,29 +19,29 @@
 	return max(1, h.Sum64())
 }
 
-// finishes remembers when requests were last finished at this node, for finishTerm at
+// recentFinishes remembers when requests were last finished at this node, for finishTerm at
 // least and for twice as long at most.
-type finishes struct {
-	newer, older map[uint64]time.Time
-	begun        time.Time // Of newer.
+type recentFinishes struct {
+	current, previous map[uint64]time.Time
+	currentSince      time.Time // Of newer.
 }
 
-// mostFinishes bounds each half of the memory, 40 bytes each: 400 requests a second, six
+// maxFinishes bounds each half of the memory, 40 bytes each: 400 requests a second, six
 // times the share of a node of 900 at the peak of 60,000.
-const mostFinishes = 4096
+const maxFinishes = 4096
 
-// note remembers a finish. Beyond the bound the oldest half goes early.
-func (m *finishes) note(sketch uint64, now time.Time) {
-	if m.newer == nil || now.Sub(m.begun) >= finishTerm || len(m.newer) >= mostFinishes {
-		m.older, m.newer, m.begun = m.newer, map[uint64]time.Time{}, now
+// record remembers a finish. Beyond the bound the oldest half goes early.
+func (m *recentFinishes) record(quickHash uint64, now time.Time) {
+	if m.current == nil || now.Sub(m.currentSince) >= finishGrace || len(m.current) >= maxFinishes {
+		m.previous, m.current, m.currentSince = m.current, map[uint64]time.Time{}, now
 	}
-	m.newer[sketch] = now
+	m.current[quickHash] = now
 }
 
 // at is when a request was last finished, zero if that is not remembered.
-func (m *finishes) at(sketch uint64) time.Time {
-	if t, ok := m.newer[sketch]; ok {
+func (m *recentFinishes) lastFinish(quickHash uint64) time.Time {
+	if t, ok := m.current[quickHash]; ok {
 		return t
 	}
-	return m.older[sketch]
+	return m.previous[quickHash]
 }
--- a/pkg/suspect/register_test.go
+++ b/pkg/suspect/register_test.go
@@ -19,13 +19,13 @@
 	return site.NewFingerprint("org-one", "POST", "boards.example", "/x", []byte(name))
 }
 
-func sketch(name string) uint64 {
+func quickHash(name string) uint64 {
 	return suspect.QuickHash("org-one", "POST", "boards.example", "/x", []byte(name))
 }
 
-// end is that a replica ended under a request, after a run of 0.1 s.
-func end(name, replica string, s float64) suspect.Case {
-	return suspect.Case{Content: content(name), QuickHash: sketch(name), Ends: []suspect.ReplicaEnd{{Replica: replica, StartedAt: at(s - 0.1), EndedAt: at(s)}}}
+// endCase is that a replica ended under a request, after a run of 0.1 s.
+func endCase(name, replica string, s float64) suspect.Case {
+	return suspect.Case{Content: content(name), QuickHash: quickHash(name), Ends: []suspect.ReplicaEnd{{Replica: replica, StartedAt: at(s - 0.1), EndedAt: at(s)}}}
 }
 
 func verdict(r *suspect.Register, name string) suspect.Verdict {
@@ -37,10 +37,10 @@
 	r := suspect.NewRegister()
 	assert.Assert(t, r.Empty())
 	for i, want := range []suspect.Verdict{suspect.Allowed, suspect.Watched, suspect.Blocked, suspect.Blocked} {
-		done := r.Merge(end("a", fmt.Sprint("r", i), float64(i)))
+		done := r.Merge(endCase("a", fmt.Sprint("r", i), float64(i)))
 		assert.Assert(t, done.New)
 		assert.Equal(t, done.After, want, "end %d", i)
-		assert.Assert(t, !r.Merge(end("a", fmt.Sprint("r", i), float64(i))).New, "told twice")
+		assert.Assert(t, !r.Merge(endCase("a", fmt.Sprint("r", i), float64(i))).New, "told twice")
 	}
 	assert.Equal(t, verdict(r, "b"), suspect.Allowed)
 	watched, blocked := r.Count()
@@ -50,31 +50,31 @@
 
 // Many replicas end at one moment for another reason: what is in flight at several of them
 // gets one more run.
-func TestEndsOfOneMomentDoNotBlock(t *testing.T) {
+func TestSimultaneousEndsDoNotBlock(t *testing.T) {
 	r := suspect.NewRegister()
 	for i := range 5 {
-		r.Merge(end("a", fmt.Sprint("r", i), 1+float64(i)*0.01))
+		r.Merge(endCase("a", fmt.Sprint("r", i), 1+float64(i)*0.01))
 	}
 	assert.Equal(t, verdict(r, "a"), suspect.Watched)
-	assert.Equal(t, r.Merge(end("a", "later", 2)).After, suspect.Blocked)
+	assert.Equal(t, r.Merge(endCase("a", "later", 2)).After, suspect.Blocked)
 }
 
-func TestFinishSpeaksForRunsNearIt(t *testing.T) {
+func TestFinishClearsEarlierAndFollowingRuns(t *testing.T) {
 	finished := func(s float64) suspect.Case {
-		return suspect.Case{Content: content("a"), QuickHash: sketch("a"), Finished: at(s)}
+		return suspect.Case{Content: content("a"), QuickHash: quickHash("a"), Finished: at(s)}
 	}
 	r := suspect.NewRegister()
-	r.Merge(end("a", "r1", 1))
-	r.Merge(end("a", "r2", 2))
+	r.Merge(endCase("a", "r1", 1))
+	r.Merge(endCase("a", "r2", 2))
 	assert.Equal(t, verdict(r, "a"), suspect.Watched)
 	done := r.Merge(finished(3))
 	assert.Equal(t, done.After, suspect.Allowed)
-	r.Merge(end("a", "r1", 1)) // Told late.
-	r.Merge(end("a", "r3", 9))
-	r.Merge(end("a", "r4", 10))
+	r.Merge(endCase("a", "r1", 1)) // Told late.
+	r.Merge(endCase("a", "r3", 9))
+	r.Merge(endCase("a", "r4", 10))
 	assert.Equal(t, verdict(r, "a"), suspect.Allowed, "runs that began soon after it")
 	for i, s := range []float64{14, 15, 16} {
-		r.Merge(end("a", fmt.Sprint("s", i), s))
+		r.Merge(endCase("a", fmt.Sprint("s", i), s))
 	}
 	assert.Equal(t, verdict(r, "a"), suspect.Blocked, "a request may turn bad")
 	assert.Equal(t, r.Merge(finished(17)).After, suspect.Allowed)
@@ -83,8 +83,8 @@
 // A finish that this node has seen counts though nobody spoke of ends then.
 func TestOwnFinishIsRemembered(t *testing.T) {
 	r := suspect.NewRegister()
-	r.Finished(sketch("a"), at(1))
-	told := end("a", "r1", 2)
+	r.Finished(quickHash("a"), at(1))
+	told := endCase("a", "r1", 2)
 	told.Ends = append(told.Ends, suspect.ReplicaEnd{Replica: "r2", StartedAt: at(2), EndedAt: at(3)})
 	done := r.Merge(told)
 	assert.Equal(t, done.After, suspect.Allowed)
@@ -104,22 +104,22 @@
 	for range 2 {
 		assert.Assert(t, r.StartRun(f, time.Second, at(0)), "not watched")
 	}
-	r.Merge(end("a", "r1", 1))
-	r.Merge(end("a", "r2", 2))
+	r.Merge(endCase("a", "r1", 1))
+	r.Merge(endCase("a", "r2", 2))
 	assert.Assert(t, r.StartRun(f, time.Second, at(3)))
 	assert.Assert(t, !r.StartRun(f, time.Second, at(3.5)))
 	assert.Assert(t, r.StartRun(f, time.Second, at(4.1)), "nothing was heard of it in its time")
 	r.EndRun(f)
 	assert.Assert(t, r.StartRun(f, time.Second, at(4.2)))
-	r.Merge(end("a", "r3", 4.3))
+	r.Merge(endCase("a", "r3", 4.3))
 	assert.Assert(t, !r.StartRun(f, time.Second, at(9)), "blocked")
 }
 
 func TestOldCasesAreForgotten(t *testing.T) {
 	r := suspect.NewRegister()
-	r.Merge(end("once", "r1", 0))
+	r.Merge(endCase("once", "r1", 0))
 	for i := range 3 {
-		r.Merge(end("blocked", fmt.Sprint("r", i), float64(i)))
+		r.Merge(endCase("blocked", fmt.Sprint("r", i), float64(i)))
 	}
 	r.Expire(at(59))
 	assert.Equal(t, len(r.Case(content("once")).Ends), 1)
@@ -131,13 +131,13 @@
 }
 
 // Somebody sends a great many requests: what is blocked stays so, and memory is bounded.
-func TestManyCasesDoNotDriveOutABlock(t *testing.T) {
+func TestManyCasesDoNotEvictABlockedOne(t *testing.T) {
 	r := suspect.NewRegister()
 	for i := range 3 {
-		r.Merge(end("blocked", fmt.Sprint("r", i), float64(i)))
+		r.Merge(endCase("blocked", fmt.Sprint("r", i), float64(i)))
 	}
 	for i := range 5000 {
-		r.Merge(end(fmt.Sprint("b", i), "r9", 4+float64(i)/1000))
+		r.Merge(endCase(fmt.Sprint("b", i), "r9", 4+float64(i)/1000))
 	}
 	assert.Equal(t, verdict(r, "blocked"), suspect.Blocked)
 	assert.Equal(t, len(r.Case(content("b0")).Ends), 0, "the oldest went")
@@ -145,21 +145,21 @@
 	assert.Equal(t, len(r.Flagged(10)), 1)
 }
 
-func TestDigestIsAlikeWhereTheSameIsHeld(t *testing.T) {
+func TestDigestIsEqualForTheSameFlaggedRequests(t *testing.T) {
 	a, b := suspect.NewRegister(), suspect.NewRegister()
 	assert.Equal(t, a.Digest(), uint64(0))
 	for i := range 3 {
-		a.Merge(end("x", fmt.Sprint("r", i), float64(i)))
-		b.Merge(end("x", fmt.Sprint("r", i+1), float64(i)))
+		a.Merge(endCase("x", fmt.Sprint("r", i), float64(i)))
+		b.Merge(endCase("x", fmt.Sprint("r", i+1), float64(i)))
 	}
 	assert.Equal(t, a.Digest(), b.Digest())
-	a.Merge(end("y", "r1", 5))
+	a.Merge(endCase("y", "r1", 5))
 	assert.Equal(t, a.Digest(), b.Digest(), "a first end is told to owners only")
-	a.Merge(end("y", "r2", 6))
+	a.Merge(endCase("y", "r2", 6))
 	assert.Assert(t, a.Digest() != b.Digest())
 }
 
-func BenchmarkSketch(b *testing.B) {
+func BenchmarkQuickHash(b *testing.B) {
 	body := make([]byte, 100_000)
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
@@ -173,21 +173,21 @@
 //
 // What settled it: of 1,920 plays of a fleet, the ten in which a run came later than 3 s after the third
 // end had all nodes know six ends, all begun before the first of them, and 20 to 31 replicas that ended.
-func TestRequestThatEndedManyReplicasAtOnceIsBlockedByTheNextEnd(t *testing.T) {
+func TestManySimultaneousEndsDoNotHideALaterEnd(t *testing.T) {
 	for n := 2; n <= 40; n++ {
 		r, other := suspect.NewRegister(), suspect.NewRegister()
 		var ends []suspect.Case
 		for i := range n {
-			ends = append(ends, end("a", fmt.Sprint("r", i), 1+float64(i)*0.002))
+			ends = append(ends, endCase("a", fmt.Sprint("r", i), 1+float64(i)*0.002))
 		}
 		for i := range ends {
 			r.Merge(ends[i])
 			other.Merge(ends[len(ends)-1-i])
 		}
 		assert.Equal(t, verdict(r, "a"), suspect.Watched)
-		assert.Equal(t, r.Merge(end("a", "later", 2)).After, suspect.Blocked, "behind %d ends", n)
+		assert.Equal(t, r.Merge(endCase("a", "later", 2)).After, suspect.Blocked, "behind %d ends", n)
 		// In whatever order nodes hear of them.
-		other.Merge(end("a", "later", 2))
+		other.Merge(endCase("a", "later", 2))
 		assert.DeepEqual(t, r.Case(content("a")).Ends, other.Case(content("a")).Ends)
 	}
 }
--- a/service/entry/run_suspects.go
+++ b/service/entry/run_suspects.go
@@ -86,7 +86,7 @@
 	run := suspects.LostRun{
 		Content:   r.content(),
 		QuickHash: r.sketch(),
-		Request:   r.call.RequestID,
+		RequestID: r.call.RequestID,
 		Replica:   replica,
 		StartKey:  suspects.StartKeyOf(replica, life),
 		StartedAt: r.sent,
--- a/service/gateway/exchange_suspects.go
+++ b/service/gateway/exchange_suspects.go
@@ -102,7 +102,7 @@
 	run := suspects.LostRun{
 		Content:   x.fingerprint(),
 		QuickHash: x.sketch(),
-		Request:   x.terms.ID,
+		RequestID: x.terms.ID,
 		Replica:   u.ID,
 		StartKey:  suspects.StartKeyOf(u.ID, u.Started),
 		Addr:      u.Addr,
--- a/service/suspects/kept.go
+++ b/service/suspects/blocked_row.go
@@ -18,18 +18,18 @@
 const (
 	// BlockedRowKey is the key of that row in the table of the nodes.
 	BlockedRowKey = "requests/barred"
-	// keepRetry is the pause after a failure: each call is paid for.
-	keepRetry = 5 * time.Second
-	// mostKept is how many are kept, the newest: some 400 bytes each of a row of 64 kB.
-	mostKept = 120
+	// saveRetryPause is the pause after a failure: each call is paid for.
+	saveRetryPause = 5 * time.Second
+	// maxStoredCases is how many are kept, the newest: some 400 bytes each of a row of 64 kB.
+	maxStoredCases = 120
 )
 
 // blockedRow is that row.
 type blockedRow struct {
 	// Written is when the ages were right, in Unix milliseconds of the writer: an error of
 	// some seconds changes nothing.
-	Written int64      `json:"written"`
-	Cases   []caseNews `json:"cases"`
+	Written int64         `json:"written"`
+	Cases   []caseMessage `json:"cases"`
 }
 
 // LoadRow takes in the row.
@@ -41,10 +41,10 @@
 	}
 	written := now.Add(-max(0, time.Duration(now.UnixMilli()-row.Written)*time.Millisecond))
 	for i := range row.Cases {
-		change := s.register.Merge(row.Cases[i].caseAt(written))
-		s.changed(s.register.Case(row.Cases[i].Content), change)
+		change := s.register.Merge(row.Cases[i].decode(written))
+		s.logChange(s.register.Case(row.Cases[i].Content), change)
 		s.mu.Lock()
-		s.kept[row.Cases[i].Content] = true
+		s.stored[row.Cases[i].Content] = true
 		s.mu.Unlock()
 	}
 }
@@ -53,26 +53,26 @@
 // node; the timer service calls it.
 func (s *Suspects) SaveRow(ctx context.Context) {
 	now := boottime.Now()
-	if s.store == nil || s.register.Empty() || !s.mustKeep(now) {
+	if s.store == nil || s.register.Empty() || !s.mustSave(now) {
 		return
 	}
-	if err := s.writeKept(ctx, now); err != nil {
+	if err := s.writeRow(ctx, now); err != nil {
 		s.mu.Lock()
-		s.keepNext = now.Add(keepRetry)
+		s.nextSave = now.Add(saveRetryPause)
 		s.mu.Unlock()
 		s.log.Warn("list of blocked requests not written", "err", err)
 	}
 }
 
-// mustKeep says whether this node has a blocked request to write.
-func (s *Suspects) mustKeep(now time.Time) bool {
+// mustSave says whether this node has a blocked request to write.
+func (s *Suspects) mustSave(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Before(s.keepNext) {
+	if now.Before(s.nextSave) {
 		return false
 	}
-	for _, c := range s.register.Flagged(mostKept) {
-		if c.Verdict() != suspect.Blocked || s.kept[c.Content] {
+	for _, c := range s.register.Flagged(maxStoredCases) {
+		if c.Verdict() != suspect.Blocked || s.stored[c.Content] {
 			continue
 		}
 		if owners := s.owners(c.Content); len(owners) == 0 || owners[0].Name == s.self.Name {
@@ -82,8 +82,8 @@
 	return false
 }
 
-// writeKept adds to the row what it lacks.
-func (s *Suspects) writeKept(ctx context.Context, now time.Time) error {
+// writeRow adds to the row what it lacks.
+func (s *Suspects) writeRow(ctx context.Context, now time.Time) error {
 	l, err := s.store.List(ctx, site.TableNodes)
 	if err != nil {
 		return eris.Wrap(err, "read the row")
@@ -96,9 +96,9 @@
 		}
 	}
 	row := blockedRow{Written: now.UnixMilli()}
-	for _, c := range s.register.Flagged(mostHeld) {
-		if c.Verdict() == suspect.Blocked && len(row.Cases) < mostKept {
-			row.Cases = append(row.Cases, newsOfCase(c, now))
+	for _, c := range s.register.Flagged(unlimited) {
+		if c.Verdict() == suspect.Blocked && len(row.Cases) < maxStoredCases {
+			row.Cases = append(row.Cases, newCaseMessage(c, now))
 		}
 	}
 	value, err := json.Marshal(row)
@@ -110,9 +110,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	clear(s.kept)
+	clear(s.stored)
 	for i := range row.Cases {
-		s.kept[row.Cases[i].Content] = true
+		s.stored[row.Cases[i].Content] = true
 	}
 	return nil
 }
--- a/service/suspects/grants.go
+++ b/service/suspects/grants.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// askTerm bounds a call for a grant to run a watched request: its Caller waits.
-	askTerm = 150 * time.Millisecond
+	// grantTimeout bounds a call for a grant to run a watched request: its Caller waits.
+	grantTimeout = 150 * time.Millisecond
 	// MethodRun asks an owner whether a watched request may be sent now, and MethodRunEnded
 	// tells it that nothing came of that.
 	MethodRun      = "suspects.run"
@@ -21,7 +21,7 @@
 // runRequest are the parameters of MethodRun and MethodRunEnded.
 type runRequest struct {
 	Content site.Fingerprint `json:"content"`
-	MostMS  int64            `json:"most_ms,omitempty"`
+	MaxMS   int64            `json:"most_ms,omitempty"`
 	// Node asks; older nodes don't tell.
 	Node string `json:"node,omitempty"`
 }
@@ -33,27 +33,27 @@
 // MayRun asks whether a watched request may be sent now: this node has one under way at a
 // time, and the first of the request's owners that answers lets one of all nodes, for at
 // most a time. Where none answers, this node lets one of its own.
-func (s *Suspects) MayRun(ctx context.Context, f site.Fingerprint, most time.Duration) bool {
-	if !s.register.StartRun(f, most, boottime.Now()) {
+func (s *Suspects) MayRun(ctx context.Context, f site.Fingerprint, maxRun time.Duration) bool {
+	if !s.register.StartRun(f, maxRun, boottime.Now()) {
 		return false
 	}
-	var silent []control.Member // They may have given a grant.
-	for _, o := range s.owners(f) {
-		if o.Name == s.self.Name {
+	var unanswered []control.Member // They may have given a grant.
+	for _, owner := range s.owners(f) {
+		if owner.Name == s.self.Name {
 			break
 		}
-		var a runAnswer
-		q := runRequest{Content: f, MostMS: most.Milliseconds(), Node: s.self.Name}
-		err := s.client.CallWithin(ctx, askTerm, o.Peer, MethodRun, q, &a)
+		var answer runAnswer
+		req := runRequest{Content: f, MaxMS: maxRun.Milliseconds(), Node: s.self.Name}
+		err := s.client.CallWithin(ctx, grantTimeout, owner.Peer, MethodRun, req, &answer)
 		switch {
 		case err != nil:
-			silent = append(silent, o)
+			unanswered = append(unanswered, owner)
 			continue
-		case !a.Run:
+		case !answer.Run:
 			s.register.EndRun(f)
-			s.tellOver(f, silent)
+			s.returnGrants(f, unanswered)
 		}
-		return a.Run
+		return answer.Run
 	}
 	return true
 }
@@ -63,17 +63,17 @@
 // request to all nodes, for up to 10 s.
 func (s *Suspects) EndRun(f site.Fingerprint) {
 	s.register.EndRun(f)
-	s.tellOver(f, s.owners(f))
+	s.returnGrants(f, s.owners(f))
 }
 
-// tellOver gives a grant back to those that may have given it, without waiting for them.
-func (s *Suspects) tellOver(f site.Fingerprint, owners []control.Member) {
+// returnGrants gives a grant back to those that may have given it, without waiting for them.
+func (s *Suspects) returnGrants(f site.Fingerprint, owners []control.Member) {
 	for _, o := range owners {
 		if o.Name == s.self.Name {
 			continue
 		}
 		s.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), askTerm)
+			ctx, cancel := context.WithTimeout(context.Background(), grantTimeout)
 			defer cancel()
 			if err := s.client.Notify(ctx, o.Peer, MethodRunEnded, runRequest{Content: f, Node: s.self.Name}); err != nil {
 				s.log.Debug("grant for watched request not returned", "err", err) // It lapses.
--- a/service/suspects/suspects.go
+++ b/service/suspects/suspects.go
@@ -38,20 +38,20 @@
 	client   Caller
 	register *suspect.Register
 	log      *slog.Logger
-	notes    Notifier
+	notifier Notifier
 	metrics  metrics
 	// dial says whether an address can't be reached.
 	dial func(addr netip.AddrPort) error
 	wg   sync.WaitGroup
 
-	mu       sync.Mutex
-	learning learning
-	lost     []LostRun
-	gone     map[string]time.Time // When replicas that had not said that they leave went, by ID.
-	told     int                  // Ends told since toldFrom.
-	toldFrom time.Time            // Begin of a second.
-	kept     map[site.Fingerprint]bool
-	keepNext time.Time // The store is not written before.
+	mu             sync.Mutex
+	learning       learning
+	lostRuns       []LostRun
+	delistedAt     map[string]time.Time // When replicas that had not said that they leave went, by ID.
+	announced      int                  // Ends told since toldFrom.
+	announceWindow time.Time            // Begin of a second.
+	stored         map[site.Fingerprint]bool
+	nextSave       time.Time // The store is not written before.
 }
 
 // Store is where blocked requests are kept.
@@ -80,15 +80,15 @@
 }
 
 type metrics struct {
-	ends   atomic.Int64 // Replicas that ended, counted for each request in flight there.
-	untold atomic.Int64 // Of these, not told to other nodes for want of time.
+	ends        atomic.Int64 // Replicas that ended, counted for each request in flight there.
+	unannounced atomic.Int64 // Of these, not told to other nodes for want of time.
 }
 
 // LostRun is a request whose replica gave no whole answer, and may have ended.
 type LostRun struct {
 	Content   site.Fingerprint
 	QuickHash uint64
-	Request   string // The caller's name of its attempt.
+	RequestID string // The caller's name of its attempt.
 	Replica   string // The replica's ID.
 	StartKey  string // Its start.
 	Addr      netip.AddrPort
@@ -99,41 +99,41 @@
 }
 
 const (
-	// endOwners is how many nodes a request's ends are told to: one may have ended with a
+	// ownerCount is how many nodes a request's ends are told to: one may have ended with a
 	// replica beside it, and one be cut off.
-	endOwners = 3
-	endsDuty  = "ends/"
-	// refusedTerm is how long before a refused connection an answer may have been lost for
+	ownerCount      = 3
+	ownerDutyPrefix = "ends/"
+	// refusedWindow is how long before a refused connection an answer may have been lost for
 	// the replica to have ended under that request: others try it many times a second.
-	refusedTerm = 2 * time.Second
-	// listedTerm is that before the platform's list drops the replica, which takes up to
+	refusedWindow = 2 * time.Second
+	// listedWindow is that before the platform's list drops the replica, which takes up to
 	// three of its heartbeats, or has a new start of it.
-	listedTerm = 10 * time.Second
-	// dialTime bounds a look whether a replica takes connections, which takes some
+	listedWindow = 10 * time.Second
+	// dialTimeout bounds a look whether a replica takes connections, which takes some
 	// milliseconds.
-	dialTime = 400 * time.Millisecond
-	// longestRun is over how long any request is held.
-	longestRun = time.Minute
-	// mostLost bounds the answers that are remembered as lost, some 100 bytes each.
-	mostLost = 2048
-	// mostToldEnds is how many first ends a node tells in a second, some 150 bytes six times.
-	mostToldEnds = 100
+	dialTimeout = 400 * time.Millisecond
+	// maxRunTime is over how long any request is held.
+	maxRunTime = time.Minute
+	// maxLostRuns bounds the answers that are remembered as lost, some 100 bytes each.
+	maxLostRuns = 2048
+	// maxFirstEndsPerSecond is how many first ends a node tells in a second, some 150 bytes six times.
+	maxFirstEndsPerSecond = 100
 )
 
 // New returns what a node knows, which is nothing yet. Without a store nothing outlasts all
 // nodes. SetNotifier is to be called before anything else.
-func New(self control.Member, m *control.Members, st Store, c Caller, log *slog.Logger) *Suspects {
+func New(self control.Member, members *control.Members, store Store, client Caller, log *slog.Logger) *Suspects {
 	return &Suspects{
-		self:     self,
-		members:  m,
-		store:    st,
-		client:   c,
-		register: suspect.NewRegister(),
-		learning: learning{done: make(chan struct{})},
-		log:      log,
-		kept:     map[site.Fingerprint]bool{},
-		gone:     map[string]time.Time{},
-		dial:     dial,
+		self:       self,
+		members:    members,
+		store:      store,
+		client:     client,
+		register:   suspect.NewRegister(),
+		learning:   learning{done: make(chan struct{})},
+		log:        log,
+		stored:     map[site.Fingerprint]bool{},
+		delistedAt: map[string]time.Time{},
+		dial:       dial,
 	}
 }
 
@@ -141,7 +141,7 @@
 func (s *Suspects) Close() { s.wg.Wait() }
 
 func dial(addr netip.AddrPort) error {
-	conn, err := http1.Dial(addr.String(), dialTime, dialTime)
+	conn, err := http1.Dial(addr.String(), dialTimeout, dialTimeout)
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 }
 
 // SetNotifier says by whom other nodes are told.
-func (s *Suspects) SetNotifier(t Notifier) { s.notes = t }
+func (s *Suspects) SetNotifier(n Notifier) { s.notifier = n }
 
 // Empty says whether nothing is known of any request.
 func (s *Suspects) Empty() bool { return s.register.Empty() }
@@ -173,99 +173,99 @@
 // while its answer was still waited for, that is found out.
 func (s *Suspects) RecordLostRun(run LostRun) {
 	s.mu.Lock()
-	if len(s.lost) >= mostLost {
-		s.lost = s.lost[1:]
+	if len(s.lostRuns) >= maxLostRuns {
+		s.lostRuns = s.lostRuns[1:]
 	}
-	s.lost = append(s.lost, run)
-	left := s.gone[run.Replica].After(run.StartedAt)
+	s.lostRuns = append(s.lostRuns, run)
+	delisted := s.delistedAt[run.Replica].After(run.StartedAt)
 	s.mu.Unlock()
-	if left {
-		s.lookAt(run.Replica, run.Addr)
+	if delisted {
+		s.checkReachable(run.Replica, run.Addr)
 	}
 }
 
-// lookAt finds out whether a replica whose entry has gone has ended: one that leaves without
+// checkReachable finds out whether a replica whose entry has gone has ended: one that leaves without
 // a word serves on for a while.
-func (s *Suspects) lookAt(id string, addr netip.AddrPort) {
+func (s *Suspects) checkReachable(id string, addr netip.AddrPort) {
 	s.wg.Go(func() {
 		if s.dial(addr) == nil {
-			s.alive(id)
+			s.markReachable(id)
 			return
 		}
-		s.confirm(boottime.Now(), func(r *LostRun) bool { return r.Replica == id && !r.Reachable })
+		s.confirmEnds(boottime.Now(), func(r *LostRun) bool { return r.Replica == id && !r.Reachable })
 	})
 }
 
-// alive notes that a replica takes connections.
-func (s *Suspects) alive(id string) {
+// markReachable notes that a replica takes connections.
+func (s *Suspects) markReachable(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.lost {
-		if s.lost[i].Replica == id {
-			s.lost[i].Reachable = true
+	for i := range s.lostRuns {
+		if s.lostRuns[i].Replica == id {
+			s.lostRuns[i].Reachable = true
 		}
 	}
 }
 
-// went notes that a replica has gone, or started anew.
-func (s *Suspects) went(id string, now time.Time) {
+// recordDelistedAt notes that a replica has gone, or started anew.
+func (s *Suspects) recordDelistedAt(id string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone[id] = now
+	s.delistedAt[id] = now
 }
 
-// forgetGone forgets replicas that went longer ago than any request is held.
-func (s *Suspects) forgetGone(now time.Time) {
+// forgetDelisted forgets replicas that went longer ago than any request is held.
+func (s *Suspects) forgetDelisted(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.gone, func(_ string, at time.Time) bool { return now.Sub(at) > longestRun })
+	maps.DeleteFunc(s.delistedAt, func(_ string, at time.Time) bool { return now.Sub(at) > maxRunTime })
 }
 
 // RecordNotListening notes that the address of a start of a replica takes no connections any more.
-func (s *Suspects) RecordNotListening(life string, now time.Time) {
-	s.confirm(now, func(r *LostRun) bool {
-		return r.StartKey == life && !r.Reachable && now.Sub(r.LostAt) < refusedTerm
+func (s *Suspects) RecordNotListening(startKey string, now time.Time) {
+	s.confirmEnds(now, func(r *LostRun) bool {
+		return r.StartKey == startKey && !r.Reachable && now.Sub(r.LostAt) < refusedWindow
 	})
 }
 
 // RecordDelisted notes that the platform's list has no longer a replica that did not say that it was
 // leaving. If answers were lost there, it is found out whether it has ended.
 func (s *Suspects) RecordDelisted(id string, now time.Time) {
-	s.went(id, now)
+	s.recordDelistedAt(id, now)
 	s.mu.Lock()
-	i := slices.IndexFunc(s.lost, func(r LostRun) bool { return r.Replica == id && !r.Reachable })
+	i := slices.IndexFunc(s.lostRuns, func(r LostRun) bool { return r.Replica == id && !r.Reachable })
 	addr := netip.AddrPort{}
 	if i >= 0 {
-		addr = s.lost[i].Addr
+		addr = s.lostRuns[i].Addr
 	}
 	s.mu.Unlock()
 	if i >= 0 {
-		s.lookAt(id, addr)
+		s.checkReachable(id, addr)
 	}
 }
 
 // RecordRestart notes that a replica that had not said that it was leaving has started anew
 // under its ID.
 func (s *Suspects) RecordRestart(id string, now time.Time) {
-	s.confirm(now, func(r *LostRun) bool { return r.Replica == id })
+	s.confirmEnds(now, func(r *LostRun) bool { return r.Replica == id })
 }
 
-// confirm takes those of the lost answers whose replica has ended as ends.
-func (s *Suspects) confirm(now time.Time, ended func(*LostRun) bool) {
+// confirmEnds takes those of the lost answers whose replica has ended as ends.
+func (s *Suspects) confirmEnds(now time.Time, ended func(*LostRun) bool) {
 	var list []LostRun
 	s.mu.Lock()
-	kept := s.lost[:0]
-	for _, r := range s.lost {
+	pending := s.lostRuns[:0]
+	for _, r := range s.lostRuns {
 		switch {
-		case now.Sub(r.LostAt) >= listedTerm: // What happens now has nothing to do with it.
+		case now.Sub(r.LostAt) >= listedWindow: // What happens now has nothing to do with it.
 		case ended(&r):
 			list = append(list, r)
 		default:
-			kept = append(kept, r)
+			pending = append(pending, r)
 		}
 	}
-	clear(s.lost[len(kept):])
-	s.lost = kept
+	clear(s.lostRuns[len(pending):])
+	s.lostRuns = pending
 	s.mu.Unlock()
 	for _, r := range list {
 		s.RecordEnd(r, now)
@@ -281,17 +281,17 @@
 	})
 	c := s.register.Case(r.Content)
 	s.metrics.ends.Add(1)
-	s.log.Warn("replica ended under a request", "request", r.Request, "content", r.Content, "replica", r.Replica,
+	s.log.Warn("replica ended under a request", "request", r.RequestID, "content", r.Content, "replica", r.Replica,
 		"ends", len(c.Ends), "verdict", change.After.String(), "finished_before", !c.Finished.IsZero())
-	s.changed(c, change)
+	s.logChange(c, change)
 	if change.New && len(c.Ends) > 0 {
-		s.tell(c, change, now)
+		s.announce(c, change, now)
 	}
 }
 
 // RecordFinish notes that a replica finished a request.
-func (s *Suspects) RecordFinish(sketch uint64, content func() site.Fingerprint, now time.Time) {
-	s.register.Finished(sketch, now)
+func (s *Suspects) RecordFinish(quickHash uint64, content func() site.Fingerprint, now time.Time) {
+	s.register.Finished(quickHash, now)
 	if s.register.Empty() {
 		return // Nothing has to be hashed.
 	}
@@ -299,16 +299,16 @@
 	if len(s.register.Case(f).Ends) == 0 {
 		return
 	}
-	change := s.register.Merge(suspect.Case{Content: f, QuickHash: sketch, Finished: now})
+	change := s.register.Merge(suspect.Case{Content: f, QuickHash: quickHash, Finished: now})
 	c := s.register.Case(f)
-	s.changed(c, change)
+	s.logChange(c, change)
 	if change.New && s.register.ShouldAnnounce(f) {
-		s.tell(c, change, now)
+		s.announce(c, change, now)
 	}
 }
 
-// changed logs a change of what is done with a request.
-func (s *Suspects) changed(c suspect.Case, change suspect.MergeResult) {
+// logChange logs a change of what is done with a request.
+func (s *Suspects) logChange(c suspect.Case, change suspect.MergeResult) {
 	if change.Before == change.After {
 		return
 	}
@@ -321,24 +321,24 @@
 
 // owners are the nodes that collect what is known of a request.
 func (s *Suspects) owners(f site.Fingerprint) []control.Member {
-	return control.Owners(s.members.View().Working, endsDuty+f.String(), endOwners)
+	return control.Owners(s.members.View().Working, ownerDutyPrefix+f.String(), ownerCount)
 }
 
 // Status is what is served of it.
 type Status struct {
-	Ends    int64 `json:"ends"`
-	Untold  int64 `json:"ends_untold"`
-	Watched int   `json:"watched"`
-	Blocked int   `json:"blocked"`
+	Ends        int64 `json:"ends"`
+	Unannounced int64 `json:"ends_untold"`
+	Watched     int   `json:"watched"`
+	Blocked     int   `json:"blocked"`
 }
 
 // Status counts what is known.
 func (s *Suspects) Status() Status {
 	watched, blocked := s.register.Count()
 	return Status{
-		Ends:    s.metrics.ends.Load(),
-		Untold:  s.metrics.untold.Load(),
-		Watched: watched,
-		Blocked: blocked,
+		Ends:        s.metrics.ends.Load(),
+		Unannounced: s.metrics.unannounced.Load(),
+		Watched:     watched,
+		Blocked:     blocked,
 	}
 }
--- a/service/suspects/suspects_test.go
+++ b/service/suspects/suspects_test.go
@@ -21,32 +21,32 @@
 	"github.com/drumpath/drumpath/pkg/suspect"
 )
 
-// suspectFleet is nodes that tell each other of suspects by notes that come late or not at
+// testCluster is nodes that tell each other of suspects by notes that come late or not at
 // all, in virtual time.
-type suspectFleet struct {
-	nodes  []*Suspects
-	byPeer map[netip.AddrPort]*Suspects
-	late   func() time.Duration
-	rnd    *rand.Rand
-
-	mu    sync.Mutex
-	cut   map[string]bool // Nodes that nobody hears and that hear nobody.
-	slow  map[string]bool // Nodes that do what they are asked and answer too late.
-	bytes map[string]int  // Received, by node.
-	ended []time.Time
-	sent  []time.Time
-}
-
-const lostNotes = 0.02
-
-func newSuspectFleet(n, halls int, late func() time.Duration) *suspectFleet {
-	f := &suspectFleet{
-		byPeer: map[netip.AddrPort]*Suspects{},
-		late:   late,
-		rnd:    rand.New(rand.NewPCG(uint64(n), 7)),
-		cut:    map[string]bool{},
-		slow:   map[string]bool{},
-		bytes:  map[string]int{},
+type testCluster struct {
+	nodes     []*Suspects
+	byAddr    map[netip.AddrPort]*Suspects
+	noteDelay func() time.Duration
+	rnd       *rand.Rand
+
+	mu            sync.Mutex
+	isolated      map[string]bool // Nodes that nobody hears and that hear nobody.
+	slowToAnswer  map[string]bool // Nodes that do what they are asked and answer too late.
+	bytesReceived map[string]int  // Received, by node.
+	endedAt       []time.Time
+	sentAt        []time.Time
+}
+
+const noteLossRate = 0.02
+
+func newTestCluster(n, halls int, noteDelay func() time.Duration) *testCluster {
+	f := &testCluster{
+		byAddr:        map[netip.AddrPort]*Suspects{},
+		noteDelay:     noteDelay,
+		rnd:           rand.New(rand.NewPCG(uint64(n), 7)),
+		isolated:      map[string]bool{},
+		slowToAnswer:  map[string]bool{},
+		bytesReceived: map[string]int{},
 	}
 	var list []control.Member
 	for i := range n {
@@ -63,74 +63,74 @@
 	return f
 }
 
-func (f *suspectFleet) add(m control.Member, members *control.Members) *Suspects {
-	s := New(m, members, nil, &lateCalls{f: f, from: m.Name}, slog.New(slog.DiscardHandler))
-	s.SetNotifier(&lateNotes{self: m, members: members, f: f})
+func (f *testCluster) add(m control.Member, members *control.Members) *Suspects {
+	s := New(m, members, nil, &delayedCaller{cluster: f, from: m.Name}, slog.New(slog.DiscardHandler))
+	s.SetNotifier(&delayedNotifier{self: m, members: members, cluster: f})
 	s.MarkLearned()
 	f.nodes = append(f.nodes, s)
-	f.byPeer[m.Peer] = s
+	f.byAddr[m.Peer] = s
 	return s
 }
 
-// apart says whether two nodes don't hear each other.
-func (f *suspectFleet) apart(a, b string) bool {
+// disconnected says whether two nodes don't hear each other.
+func (f *testCluster) disconnected(a, b string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cut[a] != f.cut[b] || f.cut[a] && a != b
+	return f.isolated[a] != f.isolated[b] || f.isolated[a] && a != b
 }
 
-// cutOff cuts a node off from all others, or ends that.
-func (f *suspectFleet) cutOff(yes bool, s *Suspects) {
+// setIsolated cuts a node off from all others, or ends that.
+func (f *testCluster) setIsolated(isolated bool, s *Suspects) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[s.self.Name] = yes
+	f.isolated[s.self.Name] = isolated
 }
 
-func (f *suspectFleet) isSlow(name string) bool {
+func (f *testCluster) isSlow(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.slow[name]
+	return f.slowToAnswer[name]
 }
 
-func (f *suspectFleet) chance() float64 {
+func (f *testCluster) random() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rnd.Float64()
 }
 
-// lateNotes delivers notes late.
-type lateNotes struct {
+// delayedNotifier delivers notes late.
+type delayedNotifier struct {
 	self    control.Member
 	members *control.Members
-	f       *suspectFleet
+	cluster *testCluster
 }
 
 // smallHall is up to how many nodes a hall has for all of them to be told directly.
 const smallHall = 8
 
 // Recipients tells large halls through one of their nodes, another one at each try.
-func (l *lateNotes) Recipients(try int) (direct, relays []netip.AddrPort) {
+func (l *delayedNotifier) Recipients(try int) (direct, relays []netip.AddrPort) {
 	return l.members.View().Recipients(l.self.Name, smallHall, "news/", try)
 }
 
-func (l *lateNotes) HallPeers() []netip.AddrPort {
+func (l *delayedNotifier) HallPeers() []netip.AddrPort {
 	return l.members.View().Others(l.self.Name, l.self.DataHall)
 }
 
-func (l *lateNotes) SendNote(to []netip.AddrPort, method string, params any) (sent int) {
+func (l *delayedNotifier) SendNote(to []netip.AddrPort, method string, params any) (sent int) {
 	body, err := json.Marshal(params)
 	if err != nil || len(body) > 16<<10 {
 		panic(fmt.Sprint(len(body), " bytes ", err))
 	}
 	for _, addr := range to {
-		s := l.f.byPeer[addr]
-		l.f.mu.Lock()
-		l.f.bytes[s.self.Name] += len(body)
-		l.f.mu.Unlock()
-		if l.f.chance() < lostNotes || l.f.apart(l.self.Name, s.self.Name) {
+		s := l.cluster.byAddr[addr]
+		l.cluster.mu.Lock()
+		l.cluster.bytesReceived[s.self.Name] += len(body)
+		l.cluster.mu.Unlock()
+		if l.cluster.random() < noteLossRate || l.cluster.disconnected(l.self.Name, s.self.Name) {
 			continue
 		}
-		time.AfterFunc(l.f.late(), func() {
+		time.AfterFunc(l.cluster.noteDelay(), func() {
 			if method == NoteDigest {
 				s.HandleDigest(body)
 			} else {
@@ -141,14 +141,14 @@
 	return len(body) * len(to)
 }
 
-type lateCalls struct {
-	f    *suspectFleet
-	from string
+type delayedCaller struct {
+	cluster *testCluster
+	from    string
 }
 
-func (l *lateCalls) CallWithin(ctx context.Context, within time.Duration, addr netip.AddrPort, _ string, params, result any) error {
-	s := l.f.byPeer[addr]
-	if l.f.apart(l.from, s.self.Name) {
+func (l *delayedCaller) CallWithin(ctx context.Context, within time.Duration, addr netip.AddrPort, _ string, params, result any) error {
+	s := l.cluster.byAddr[addr]
+	if l.cluster.disconnected(l.from, s.self.Name) {
 		time.Sleep(within)
 		return errors.New("silent")
 	}
@@ -158,7 +158,7 @@
 		return err
 	}
 	a, err := s.ServeRun(ctx, body)
-	if l.f.isSlow(s.self.Name) {
+	if l.cluster.isSlow(s.self.Name) {
 		time.Sleep(within)
 		return errors.New("answered too late")
 	}
@@ -166,9 +166,9 @@
 	return err
 }
 
-func (l *lateCalls) Notify(ctx context.Context, addr netip.AddrPort, _ string, params any) error {
-	s := l.f.byPeer[addr]
-	if l.f.apart(l.from, s.self.Name) {
+func (l *delayedCaller) Notify(ctx context.Context, addr netip.AddrPort, _ string, params any) error {
+	s := l.cluster.byAddr[addr]
+	if l.cluster.disconnected(l.from, s.self.Name) {
 		return errors.New("silent")
 	}
 	body, err := json.Marshal(params)
@@ -181,8 +181,8 @@
 
 var deadlyContent = site.NewFingerprint("org-one", "POST", "h", "/x", []byte("deadly"))
 
-// run has a request that ends its replica after 0.1 s come to a node.
-func (f *suspectFleet) run(s *Suspects) {
+// runDeadly has a request that ends its replica after 0.1 s come to a node.
+func (f *testCluster) runDeadly(s *Suspects) {
 	c := s.register.Case(deadlyContent)
 	switch c.Verdict() {
 	case suspect.Blocked:
@@ -192,35 +192,35 @@
 			return
 		}
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	f.mu.Lock()
-	f.sent = append(f.sent, begun)
-	life := fmt.Sprint("replica", len(f.sent))
+	f.sentAt = append(f.sentAt, startedAt)
+	startKey := fmt.Sprint("replica", len(f.sentAt))
 	f.mu.Unlock()
 	time.Sleep(100 * time.Millisecond)
 	now := time.Now()
 	f.mu.Lock()
-	f.ended = append(f.ended, now)
+	f.endedAt = append(f.endedAt, now)
 	f.mu.Unlock()
-	s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, StartedAt: begun, LostAt: now}, now)
+	s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: startedAt, LostAt: now}, now)
 }
 
 // repeat sends it at any node again and again, several at once, and lets time pass.
-func (f *suspectFleet) repeat(every, d time.Duration, at []*Suspects) {
+func (f *testCluster) repeatDeadly(every, d time.Duration, nodes []*Suspects) {
 	var wg sync.WaitGroup
-	begun := time.Now()
-	for next := begun; time.Since(begun) < d; next = next.Add(every) {
+	startedAt := time.Now()
+	for next := startedAt; time.Since(startedAt) < d; next = next.Add(every) {
 		time.Sleep(time.Until(next))
 		f.mu.Lock()
-		s := at[f.rnd.IntN(len(at))]
+		s := nodes[f.rnd.IntN(len(nodes))]
 		f.mu.Unlock()
-		wg.Go(func() { f.run(s) })
+		wg.Go(func() { f.runDeadly(s) })
 	}
 	wg.Wait()
 }
 
-// steps has each node compare what it holds with another's, each second.
-func (f *suspectFleet) steps(ctx context.Context) {
+// startSteps has each node compare what it holds with another's, each second.
+func (f *testCluster) startSteps(ctx context.Context) {
 	for _, s := range f.nodes {
 		go func() {
 			time.Sleep(rand.N(StepInterval))
@@ -238,43 +238,43 @@
 	}
 }
 
-// later counts what was sent later than a time after the third end.
-func (f *suspectFleet) later(d time.Duration) (n int) {
+// runsAfterThirdEnd counts what was sent later than a time after the third end.
+func (f *testCluster) runsAfterThirdEnd(d time.Duration) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, at := range f.sent {
-		if len(f.ended) > 2 && at.After(f.ended[2].Add(d)) {
+	for _, at := range f.sentAt {
+		if len(f.endedAt) > 2 && at.After(f.endedAt[2].Add(d)) {
 			n++
 		}
 	}
 	return n
 }
 
-// contact is within what operators allow a few more runs.
-const contact = 3 * time.Second
+// blockDeadline is within what operators allow a few more runs.
+const blockDeadline = 3 * time.Second
 
 // One request that ends its replicas is repeated at any node four times a second while
 // news come 5 ms late, or 0.1 to 1.3 s, with one note of fifty lost.
-func TestRepeatsAreStoppedAtAllSizes(t *testing.T) {
+func TestRepeatedDeadlyRequestIsBlockedAtAllSizes(t *testing.T) {
 	soon := func() time.Duration { return 5 * time.Millisecond }
 	late := func() time.Duration { return 100*time.Millisecond + rand.N(1200*time.Millisecond) }
 	for _, size := range []struct{ nodes, halls int }{{7, 3}, {71, 3}, {295, 5}, {900, 7}} {
-		for name, l := range map[string]func() time.Duration{"soon": soon, "late": late} {
+		for name, noteDelay := range map[string]func() time.Duration{"soon": soon, "late": late} {
 			t.Run(fmt.Sprint(size.nodes, " nodes, ", name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
-					f := newSuspectFleet(size.nodes, size.halls, l)
-					f.steps(ctx)
-					f.repeat(250*time.Millisecond, 12*time.Second, f.nodes)
+					f := newTestCluster(size.nodes, size.halls, noteDelay)
+					f.startSteps(ctx)
+					f.repeatDeadly(250*time.Millisecond, 12*time.Second, f.nodes)
 					cancel()
 					time.Sleep(5 * time.Second)
-					t.Logf("%d replicas ended, %d runs later than %v", len(f.ended), f.later(contact), contact)
-					assert.Equal(t, f.later(contact), 0)
+					t.Logf("%d replicas ended, %d runs later than %v", len(f.endedAt), f.runsAfterThirdEnd(blockDeadline), blockDeadline)
+					assert.Equal(t, f.runsAfterThirdEnd(blockDeadline), 0)
 					most := 3
 					if name == "late" {
 						most = 14 // Those sent while two notes in a row, of an end and of the block, were under way.
 					}
-					assert.Assert(t, len(f.ended) <= most, "%d replicas ended", len(f.ended))
+					assert.Assert(t, len(f.endedAt) <= most, "%d replicas ended", len(f.endedAt))
 				})
 			})
 		}
@@ -288,76 +288,76 @@
 //
 // What settled it: in three of 240 plays with 20 of 71 nodes cut off, chosen at random, one run came
 // too late; with just the tellers cut off, the plays below.
-func TestHallWhoseTellersAreCutOffHearsOfABlock(t *testing.T) {
-	const plays = 12
-	late := 0
-	for range plays {
+func TestHallWithoutRelaysLearnsOfABlock(t *testing.T) {
+	const runs = 12
+	lateRuns := 0
+	for range runs {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			f := newSuspectFleet(71, 3, func() time.Duration { return 5*time.Millisecond + rand.N(200*time.Millisecond) })
-			f.steps(ctx)
+			f := newTestCluster(71, 3, func() time.Duration { return 5*time.Millisecond + rand.N(200*time.Millisecond) })
+			f.startSteps(ctx)
 			view := f.nodes[0].members.View()
 			for _, hall := range view.Halls() {
 				for _, m := range control.Owners(view.Hall(hall).Present, "news/"+hall, 3) {
-					f.cut[m.Name] = true
+					f.isolated[m.Name] = true
 				}
 			}
-			there := slices.DeleteFunc(slices.Clone(f.nodes), func(s *Suspects) bool { return f.cut[s.self.Name] })
-			f.repeat(40*time.Millisecond, 8*time.Second, there)
+			connected := slices.DeleteFunc(slices.Clone(f.nodes), func(s *Suspects) bool { return f.isolated[s.self.Name] })
+			f.repeatDeadly(40*time.Millisecond, 8*time.Second, connected)
 			cancel()
 			time.Sleep(2 * time.Second)
-			late += f.later(contact)
+			lateRuns += f.runsAfterThirdEnd(blockDeadline)
 		})
 	}
-	assert.Equal(t, late, 0, "runs later than %v after the third end, in %d plays", contact, plays)
+	assert.Equal(t, lateRuns, 0, "runs later than %v after the third end, in %d plays", blockDeadline, runs)
 }
 
 // Nodes that were cut off from all others while a request was blocked have heard of it
 // within the time that operators give them once they are back.
-func TestNodesThatWereCutOffHearOfABlock(t *testing.T) {
+func TestReconnectedNodesLearnOfABlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		late := func() time.Duration { return 5*time.Millisecond + rand.N(200*time.Millisecond) }
-		f := newSuspectFleet(71, 3, late)
-		f.steps(ctx)
-		away := f.nodes[:20]
-		for _, s := range away {
-			f.cut[s.self.Name] = true
+		f := newTestCluster(71, 3, late)
+		f.startSteps(ctx)
+		isolated := f.nodes[:20]
+		for _, s := range isolated {
+			f.isolated[s.self.Name] = true
 		}
-		f.repeat(250*time.Millisecond, 10*time.Second, f.nodes[20:])
-		ended := len(f.ended)
-		assert.Equal(t, f.later(contact), 0, "runs sent by those that were not cut off")
+		f.repeatDeadly(250*time.Millisecond, 10*time.Second, f.nodes[20:])
+		ended := len(f.endedAt)
+		assert.Equal(t, f.runsAfterThirdEnd(blockDeadline), 0, "runs sent by those that were not cut off")
 		f.mu.Lock()
-		clear(f.cut)
+		clear(f.isolated)
 		f.mu.Unlock()
-		time.Sleep(contact)
-		f.repeat(50*time.Millisecond, 3*time.Second, away)
+		time.Sleep(blockDeadline)
+		f.repeatDeadly(50*time.Millisecond, 3*time.Second, isolated)
 		cancel()
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, ended >= 3, "%d replicas ended", ended)
-		assert.Equal(t, len(f.ended), ended)
+		assert.Equal(t, len(f.endedAt), ended)
 	})
 }
 
 // A hall's replicas end at one moment, each with requests in flight: what nodes are told
 // stays small.
-func TestMassEndIsToldInFewBytes(t *testing.T) {
+func TestManySimultaneousEndsCostFewBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newSuspectFleet(900, 7, func() time.Duration { return 5 * time.Millisecond })
+		f := newTestCluster(900, 7, func() time.Duration { return 5 * time.Millisecond })
 		now := time.Now()
 		const replicas, each = 100, 12
-		for r := range replicas {
+		for replica := range replicas {
 			for i := range each {
-				c := site.NewFingerprint("", "POST", "h", "/x", fmt.Appendf(nil, "%d %d", r, i))
-				life := fmt.Sprint("replica", r)
-				f.nodes[rand.IntN(len(f.nodes))].RecordEnd(LostRun{Content: c, QuickHash: 1, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
+				c := site.NewFingerprint("", "POST", "h", "/x", fmt.Appendf(nil, "%d %d", replica, i))
+				startKey := fmt.Sprint("replica", replica)
+				f.nodes[rand.IntN(len(f.nodes))].RecordEnd(LostRun{Content: c, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
 			}
 		}
 		time.Sleep(time.Second)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		sum, most := 0, 0
-		for _, n := range f.bytes {
+		for _, n := range f.bytesReceived {
 			sum += n
 			most = max(most, n)
 		}
@@ -371,8 +371,8 @@
 func TestFinishElsewhereClearsARequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		f := newSuspectFleet(295, 5, func() time.Duration { return 5 * time.Millisecond })
-		f.steps(ctx) // One note of fifty is lost; who has missed all finds that by comparing.
+		f := newTestCluster(295, 5, func() time.Duration { return 5 * time.Millisecond })
+		f.startSteps(ctx) // One note of fifty is lost; who has missed all finds that by comparing.
 		sketch := uint64(99)
 		for _, s := range f.nodes[100:140] {
 			s.register.Finished(sketch, time.Now())
@@ -382,7 +382,7 @@
 			life := fmt.Sprint("replica", i)
 			s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: sketch, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
 		}
-		time.Sleep(contact)
+		time.Sleep(blockDeadline)
 		cancel()
 		defer time.Sleep(2 * StepInterval)
 		for _, s := range f.nodes {
@@ -396,37 +396,37 @@
 // one went on for many seconds to have it run once at a time, and to refuse the rest. It asked
 // another node each second, but only the 40 of 295 that had finished the request themselves
 // said so, though all knew.
-func TestNodeThatWasCutOffHearsThatARequestWasFinished(t *testing.T) {
+func TestReconnectedNodeLearnsOfAFinish(t *testing.T) {
 	for play := range 4 {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer time.Sleep(2 * StepInterval)
 			defer cancel()
-			f := newSuspectFleet(295, 5, func() time.Duration { return 5 * time.Millisecond })
-			f.steps(ctx)
+			f := newTestCluster(295, 5, func() time.Duration { return 5 * time.Millisecond })
+			f.startSteps(ctx)
 			const sketch = uint64(99)
-			finishers, away := f.nodes[100:140], f.nodes[200+play]
-			for _, s := range finishers {
+			finishedAt, isolated := f.nodes[100:140], f.nodes[200+play]
+			for _, s := range finishedAt {
 				s.register.Finished(sketch, time.Now())
-				f.cutOff(true, s)
+				f.setIsolated(true, s)
 			}
 			now := time.Now()
 			for i, s := range f.nodes[:2] {
 				life := fmt.Sprint("replica", i)
 				s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: sketch, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
 			}
-			time.Sleep(contact)
-			c := away.register.Case(deadlyContent)
+			time.Sleep(blockDeadline)
+			c := isolated.register.Case(deadlyContent)
 			assert.Equal(t, c.Verdict(), suspect.Watched)
-			f.cutOff(true, away)
-			for _, s := range finishers {
-				f.cutOff(false, s)
+			f.setIsolated(true, isolated)
+			for _, s := range finishedAt {
+				f.setIsolated(false, s)
 			}
-			time.Sleep(2 * contact)
-			f.cutOff(false, away)
-			time.Sleep(contact)
-			c = away.register.Case(deadlyContent)
-			assert.Check(t, c.Verdict() == suspect.Allowed, "%s has not heard within %v", away.self.Name, contact)
+			time.Sleep(2 * blockDeadline)
+			f.setIsolated(false, isolated)
+			time.Sleep(blockDeadline)
+			c = isolated.register.Case(deadlyContent)
+			assert.Check(t, c.Verdict() == suspect.Allowed, "%s has not heard within %v", isolated.self.Name, blockDeadline)
 		})
 	}
 }
@@ -435,9 +435,9 @@
 // under way", twelve times in a row. The first owner that was asked for a grant gave one, but
 // answered later than it is waited for, so the second one was asked as well; told that the
 // run was over was only the first. Who asked and was refused must not end another's run.
-func TestGrantThatWasAnsweredLateHoldsNobodyUp(t *testing.T) {
+func TestLateGrantDoesNotBlockLaterRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newSuspectFleet(71, 3, func() time.Duration { return 5 * time.Millisecond })
+		f := newTestCluster(71, 3, func() time.Duration { return 5 * time.Millisecond })
 		for i := range 2 {
 			now := time.Now()
 			life := fmt.Sprint("replica", i)
@@ -448,91 +448,91 @@
 		others := slices.DeleteFunc(slices.Clone(f.nodes), func(s *Suspects) bool {
 			return slices.ContainsFunc(owners, func(o control.Member) bool { return o.Name == s.self.Name })
 		})
-		slow := func(yes bool, list ...control.Member) {
+		setSlow := func(yes bool, list ...control.Member) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for _, o := range list {
-				f.slow[o.Name] = yes
+				f.slowToAnswer[o.Name] = yes
 			}
 		}
 		mayRun := func(s *Suspects) bool { return s.MayRun(t.Context(), deadlyContent, 4*time.Second) }
-		over := func(s *Suspects) {
+		endRun := func(s *Suspects) {
 			s.EndRun(deadlyContent)
 			time.Sleep(50 * time.Millisecond)
 		}
 
 		x, y, z := others[0], others[1], others[2]
-		slow(true, owners[0])
+		setSlow(true, owners[0])
 		assert.Assert(t, mayRun(x))
 		assert.Assert(t, !mayRun(y), "one is under way")
 		time.Sleep(50 * time.Millisecond)
-		slow(false, owners[0])
+		setSlow(false, owners[0])
 		assert.Assert(t, !mayRun(z), "it still is")
-		slow(true, owners[0])
-		over(x)
+		setSlow(true, owners[0])
+		endRun(x)
 		assert.Assert(t, mayRun(z), "it is over")
 		assert.Assert(t, !mayRun(z), "one at a time at each node, too")
-		slow(false, owners[0])
+		setSlow(false, owners[0])
 		assert.Assert(t, !mayRun(y), "one is under way")
-		over(z)
-		slow(true, owners...)
+		endRun(z)
+		setSlow(true, owners...)
 		assert.Assert(t, mayRun(x), "no owner answers")
-		over(x)
-		slow(false, owners...)
-		slow(true, owners[0])
+		endRun(x)
+		setSlow(false, owners...)
+		setSlow(true, owners[0])
 		assert.Assert(t, mayRun(y), "it is over")
-		over(y)
+		endRun(y)
 	})
 }
 
 // A node that starts among others hears from them what is blocked, also where the store does
 // not tell it, and from none that has only just started itself.
-func TestNodeThatStartsHearsFromOthersWhatIsBlocked(t *testing.T) {
+func TestStartingNodeLearnsBlockedRequestsFromOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newSuspectFleet(71, 3, func() time.Duration { return 5 * time.Millisecond })
+		f := newTestCluster(71, 3, func() time.Duration { return 5 * time.Millisecond })
 		ctx, cancel := context.WithCancel(t.Context())
-		late := f.nodes[70]
-		f.cutOff(true, late)
+		starting := f.nodes[70]
+		f.setIsolated(true, starting)
 		for i := range 3 {
 			now := time.Now()
 			life := fmt.Sprint("replica", i)
 			f.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
 			time.Sleep(time.Second)
 		}
-		f.cutOff(false, late)
+		f.setIsolated(false, starting)
 		for _, s := range f.nodes[60:] { // Have started anew, late without what the others still have.
 			s.learning = learning{done: make(chan struct{})}
 		}
-		f.steps(ctx)
+		f.startSteps(ctx)
 		begun := time.Now()
-		late.WaitLearned(ctx)
+		starting.WaitLearned(ctx)
 		assert.Assert(t, time.Since(begun) < 700*time.Millisecond, "%v", time.Since(begun))
-		c := late.Case(deadlyContent)
+		c := starting.Case(deadlyContent)
 		assert.Equal(t, c.Verdict(), suspect.Blocked)
 		cancel()
 		time.Sleep(2 * time.Second)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		f := newSuspectFleet(3, 1, func() time.Duration { return 5 * time.Millisecond })
+		f := newTestCluster(3, 1, func() time.Duration { return 5 * time.Millisecond })
 		ctx, cancel := context.WithCancel(t.Context())
 		for _, s := range f.nodes {
 			s.learning = learning{done: make(chan struct{})}
 		}
-		f.steps(ctx)
+		f.startSteps(ctx)
 		begun := time.Now()
 		f.nodes[0].WaitLearned(ctx)
-		assert.Equal(t, time.Since(begun), learnMost, "nobody knows")
+		assert.Equal(t, time.Since(begun), maxLearnWait, "nobody knows")
 		f.nodes[0].WaitLearned(ctx)
-		assert.Equal(t, time.Since(begun), learnMost)
+		assert.Equal(t, time.Since(begun), maxLearnWait)
 		cancel()
 		time.Sleep(2 * time.Second)
 	})
 }
 
-// lostAt is a request whose answer was lost at a replica of the same name.
-func lostAt(name string, begun, at time.Time) LostRun {
+// lostRun is a request whose answer was lost at a replica of the same name.
+func lostRun(name string, startedAt, lostAt time.Time) LostRun {
 	c := site.NewFingerprint("", "POST", "h", "/x", []byte(name))
-	return LostRun{Content: c, QuickHash: 1, Replica: name, StartKey: name, Addr: addrOf(name), StartedAt: begun, LostAt: at}
+	return LostRun{Content: c, QuickHash: 1, Replica: name, StartKey: name, Addr: addrOf(name), StartedAt: startedAt, LostAt: lostAt}
 }
 
 // addrOf is an address for each name.
@@ -540,13 +540,13 @@
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+len(name)))
 }
 
-// ends counts those of one such request.
-func (s *Suspects) ends(name string) int {
-	return len(s.Case(lostAt(name, time.Time{}, time.Time{}).Content).Ends)
+// endCount counts those of one such request.
+func (s *Suspects) endCount(name string) int {
+	return len(s.Case(lostRun(name, time.Time{}, time.Time{}).Content).Ends)
 }
 
-// unreachable has a node reach some replicas only.
-func (s *Suspects) unreachable(names ...string) {
+// setUnreachable has a node reach some replicas only.
+func (s *Suspects) setUnreachable(names ...string) {
 	s.dial = func(addr netip.AddrPort) error {
 		for _, name := range names {
 			if addrOf(name) == addr {
@@ -559,16 +559,16 @@
 
 // A node whose own way is cut sees every replica silent: that is no sign of their end, nor
 // is one that takes a connection again, or whose entry goes while it serves on.
-func TestOnlyAnEndCounts(t *testing.T) {
-	f := newSuspectFleet(3, 1, func() time.Duration { return 0 })
+func TestOnlyConfirmedEndsCount(t *testing.T) {
+	f := newTestCluster(3, 1, func() time.Duration { return 0 })
 	s := f.nodes[0]
-	s.unreachable("dropped", "old now")
+	s.setUnreachable("dropped", "old now")
 	now := time.Now()
 	for _, name := range []string{"silent", "refused", "dropped", "restarted", "serves on", "old now"} {
-		s.RecordLostRun(lostAt(name, now, now))
+		s.RecordLostRun(lostRun(name, now, now))
 	}
 	for _, name := range []string{"alive", "alive, restarted"} {
-		run := lostAt(name, now, now)
+		run := lostRun(name, now, now)
 		run.Reachable = true
 		s.RecordLostRun(run)
 	}
@@ -584,35 +584,35 @@
 	for name, want := range map[string]int{
 		"silent": 0, "refused": 1, "dropped": 1, "restarted": 1, "serves on": 0, "alive": 0, "alive, restarted": 1, "old now": 0,
 	} {
-		assert.Equal(t, s.ends(name), want, name)
+		assert.Equal(t, s.endCount(name), want, name)
 	}
-	assert.Equal(t, len(s.lost), 0, "what is old is forgotten")
+	assert.Equal(t, len(s.lostRuns), 0, "what is old is forgotten")
 }
 
 // A replica that loses power answers nothing more. Its entry may lapse before a patient
 // caller's time is over, and the answer be given up only then.
-func TestEndThatIsListedBeforeTheAnswerIsGivenUpCounts(t *testing.T) {
-	f := newSuspectFleet(1, 1, func() time.Duration { return 0 })
+func TestReplicaDelistedBeforeTheAnswerIsLostCounts(t *testing.T) {
+	f := newTestCluster(1, 1, func() time.Duration { return 0 })
 	s := f.nodes[0]
-	s.unreachable("dropped", "long ago")
+	s.setUnreachable("dropped", "long ago")
 	now := time.Now()
 	s.RecordDelisted("dropped", now.Add(3600*time.Millisecond))
 	s.RecordDelisted("serves on", now.Add(3600*time.Millisecond))
 	s.RecordDelisted("long ago", now.Add(-7*time.Second))
 	for _, name := range []string{"dropped", "serves on", "long ago"} {
-		s.RecordLostRun(lostAt(name, now, now.Add(4*time.Second)))
+		s.RecordLostRun(lostRun(name, now, now.Add(4*time.Second)))
 	}
 	s.Close()
 	for name, want := range map[string]int{"dropped": 1, "serves on": 0, "long ago": 0} {
-		assert.Equal(t, s.ends(name), want, name)
+		assert.Equal(t, s.endCount(name), want, name)
 	}
 }
 
 // Blocked requests are in the store for nodes that all start anew.
-func TestBlockedRequestsAreKept(t *testing.T) {
-	f := newSuspectFleet(1, 1, func() time.Duration { return 0 })
+func TestBlockedRequestsAreStored(t *testing.T) {
+	f := newTestCluster(1, 1, func() time.Duration { return 0 })
 	s := f.nodes[0]
-	store := &keptStore{}
+	store := &oneRowStore{}
 	s.store = store
 	now := time.Now()
 	s.SaveRow(t.Context())
@@ -628,11 +628,11 @@
 	s.SaveRow(t.Context())
 	assert.Equal(t, store.lists, 1, "a store that fails is not asked at each look")
 	store.fail = false
-	s.keepNext = time.Time{}
+	s.nextSave = time.Time{}
 	s.SaveRow(t.Context())
 	s.SaveRow(t.Context())
 	assert.Equal(t, store.writes, 1)
-	other := newSuspectFleet(1, 1, func() time.Duration { return 0 }).nodes[0]
+	other := newTestCluster(1, 1, func() time.Duration { return 0 }).nodes[0]
 	other.LoadRow(site.Row{Key: BlockedRowKey, Value: []byte("no JSON")}, time.Now())
 	assert.Assert(t, other.register.Empty())
 	other.LoadRow(store.row, time.Now())
@@ -647,15 +647,15 @@
 	assert.Assert(t, other.register.Empty(), "an entry is as old as it is")
 }
 
-// keptStore is a store of one row.
-type keptStore struct {
+// oneRowStore is a store of one row.
+type oneRowStore struct {
 	Store
 	fail          bool
 	lists, writes int
 	row           site.Row
 }
 
-func (k *keptStore) List(context.Context, site.Table) (l site.Listing, err error) {
+func (k *oneRowStore) List(context.Context, site.Table) (l site.Listing, err error) {
 	k.lists++
 	if k.fail {
 		return l, errors.New("away")
@@ -666,7 +666,7 @@
 	return l, nil
 }
 
-func (k *keptStore) Put(_ context.Context, _ site.Table, key string, value []byte, expected int64) (l site.Listing, err error) {
+func (k *oneRowStore) Put(_ context.Context, _ site.Table, key string, value []byte, expected int64) (l site.Listing, err error) {
 	if expected != k.row.Version {
 		return l, site.ErrConflict
 	}
