--- a/pkg/rollout/doc.go
+++ b/pkg/rollout/doc.go
@@ -1,9 +1,11 @@
 // Package rollout brings replicas to the newest weights of their models.
 //
-// The replicas are divided into groups. For each, one node at a time gives orders,
-// under a lease in the platform's store. It swaps few replicas at once and has all nodes send requests elsewhere just
-// before, so that few runs meet the swap. Replicas check no fence, and an order
-// that was not answered may be carried out seconds later; so each order names
-// how many the replica had taken before, and is followed up by asking, never by
-// hoping.
+// The replicas are divided into groups. In each group one node at a time gives orders,
+// under a lease in the platform's store. It swaps few replicas at once, and has all nodes
+// send requests elsewhere shortly before a swap, so that few requests are interrupted by
+// it.
+//
+// Replicas don't check the fence, and an unanswered order may still be executed seconds
+// later. Each order therefore carries the number of orders that the replica had accepted
+// before, and the node polls the replica's state until the swap is done.
 package rollout
--- a/pkg/rollout/lease.go
+++ b/pkg/rollout/lease.go
@@ -12,29 +12,29 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Store is where the lease is kept.
+// Store holds the lease rows.
 type Store interface {
 	List(ctx context.Context, t site.Table) (site.Listing, error)
 	Put(ctx context.Context, t site.Table, key string, value []byte, expected int64) (site.Listing, error)
 }
 
 const (
-	// leaseTerm is for how long one renewal holds. It is short, as whoever takes
-	// over from a lost holder waits for its end.
+	// leaseTerm is how long one renewal is valid. It is short because the next holder waits
+	// for its end when a holder is lost.
 	leaseTerm = 2 * time.Second
 	// renewAfter leaves a second for a slow store.
 	renewAfter = leaseTerm / 2
-	// takeoverMargin is added to the pause between two holders for the way of an
-	// order.
+	// takeoverMargin is added to the pause between two holders for the time an order is on
+	// its way.
 	takeoverMargin = 300 * time.Millisecond
 )
 
 // Lease says whether this node may give orders.
 //
-// The store tells a steady clock with each answer. A holder writes until when, on
-// that clock, it may give orders, and counts its own validity on its own steady
-// clock from before the write was sent; so it ends by its own count first. A
-// taker waits until the store's clock is past that end and a pause more.
+// The store returns the time on its monotonic clock with each answer. A holder writes the
+// end of its lease on that clock, and measures its own validity on its own monotonic clock
+// from before the write was sent, so it stops before the written end. Another node takes
+// the lease only once the store's clock has passed the written end and the takeover pause.
 type Lease struct {
 	key           string
 	node          string
@@ -46,12 +46,12 @@
 	mu               sync.Mutex
 	row              leaseRow
 	version          int64
-	validUntil       time.Time // Of this node's validity.
-	renewalSentAt    time.Time // When the last renewal was sent.
+	validUntil       time.Time // End of this node's validity, on its own clock.
+	renewalSentAt    time.Time // When the last successful write was sent.
 	storeClock       time.Duration
-	storeClockReadAt time.Time // When, at the latest, the store's clock was that.
-	nextTry          time.Time // When it is worth asking for again.
-	closed           bool      // It is not to be taken again.
+	storeClockReadAt time.Time // When storeClock was requested, on this node's clock.
+	nextTry          time.Time // Earliest time of the next attempt to acquire.
+	closed           bool      // It must not be acquired again.
 }
 
 type leaseRow struct {
@@ -60,27 +60,27 @@
 	Until  time.Duration `json:"until_ns"` // On the store's clock.
 }
 
-// NewLease returns a lease of a name that is not held; pause is the least time
-// between the orders of two holders.
+// NewLease returns a lease that is not held. takeoverPause is the least time between the
+// orders of two holders.
 func NewLease(key, node string, pause time.Duration, store Store, log *slog.Logger) *Lease {
 	return &Lease{key: key, node: node, takeoverPause: pause, store: store, log: log, now: boottime.RefreshNow}
 }
 
-// Held says whether an order may be given now; it is asked just before each.
+// Held says whether an order may be given now. It is called just before each order.
 func (l *Lease) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.now().Before(l.validUntil)
 }
 
-// Fence is the number under which orders are given; it rises with each holder.
+// Fence is the number that is sent with orders; it rises with each new holder.
 func (l *Lease) Fence() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.row.Fence
 }
 
-// AcquireOrRenew takes the lease if it is free, or renews it when that is due, and says
+// AcquireOrRenew acquires the lease if it is free, or renews it when that is due, and says
 // whether it is held.
 func (l *Lease) AcquireOrRenew(ctx context.Context) bool {
 	l.mu.Lock()
@@ -100,12 +100,12 @@
 	return l.tryAcquire(ctx)
 }
 
-// acquireRetryPause is the least pause between two looks at a lease that another holds,
-// or that could not be looked at.
+// acquireRetryPause is the least pause between two attempts to acquire the lease when
+// another node holds it or the store fails.
 const acquireRetryPause = 400 * time.Millisecond
 
-// tryAcquire takes the lease if it is free. One that is not is asked for again when it
-// could run out; if its holder renews it, that is moved on.
+// tryAcquire acquires the lease if it is free. Otherwise the next attempt is made when the
+// lease could run out; a renewal by its holder postpones that further.
 func (l *Lease) tryAcquire(ctx context.Context) bool {
 	l.mu.Lock()
 	tooEarly := l.now().Before(l.nextTry)
@@ -123,7 +123,7 @@
 	return false
 }
 
-// Release gives the lease up, so that another need not wait for its end.
+// Release gives the lease up, so that other nodes need not wait for its end.
 func (l *Lease) Release(ctx context.Context) {
 	if !l.Held() {
 		return
@@ -134,7 +134,7 @@
 	l.write(ctx, 0)
 }
 
-// Close gives the lease up for good.
+// Close releases the lease and prevents that it is acquired again.
 func (l *Lease) Close(ctx context.Context) {
 	l.mu.Lock()
 	l.closed = true
@@ -142,7 +142,7 @@
 	l.Release(ctx)
 }
 
-// read looks at the row and says whether it may be taken, or when it could be.
+// read loads the row and says whether the lease is free, or in what time it could be.
 func (l *Lease) read(ctx context.Context) (free bool, freeIn time.Duration) {
 	askedAt := l.now()
 	listing, err := l.store.List(ctx, site.TableLeases)
@@ -171,12 +171,12 @@
 	return freeIn <= 0, freeIn
 }
 
-// write holds the lease for a term from now, or ends it with a term of 0.
+// write extends the lease by a term from now. A term of 0 ends it.
 func (l *Lease) write(ctx context.Context, term time.Duration) bool {
 	l.mu.Lock()
 	if l.closed && term > 0 {
 		l.mu.Unlock()
-		return false // The node has begun to stop since it looked.
+		return false // Close was called after the row was read.
 	}
 	sentAt := l.now()
 	next := l.row
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -17,71 +17,68 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// EngineClient are the replicas, as far as orders go.
+// EngineClient reads the state of replicas and sends them orders.
 type EngineClient interface {
 	Report(ctx context.Context, addr netip.AddrPort) (site.EngineReport, error)
 	Order(ctx context.Context, addr netip.AddrPort, o site.Order) (site.OrderOutcome, error)
 }
 
-// Fleet is what is known of the replicas, and who hears of swaps.
+// Fleet lists the replicas and is told of the progress of swaps.
 type Fleet interface {
-	// Targets lists the replicas of all models of which weights were named.
+	// Targets lists the replicas of all models that have a configured weight version.
 	Targets() []Target
-	// Rank is how many nodes come before this one for a duty.
+	// Rank is how many nodes precede this one for a duty.
 	Rank(duty string) int
-	// AvoidForSwap has all nodes send requests elsewhere for a while.
+	// AvoidForSwap has all nodes send requests to other replicas for a while.
 	AvoidForSwap(t Target, d time.Duration)
-	// CountSwapping is how many replicas requests are sent elsewhere from, at the word of
-	// any node.
+	// CountSwapping counts the replicas that any node has marked with AvoidForSwap.
 	CountSwapping() int
-	// RecordWeights notes what a replica has said that it serves.
+	// RecordWeights notes the version that a replica reports to serve.
 	RecordWeights(t Target, version int64)
-	// RecordDraining notes that a replica has said that it drains.
+	// RecordDraining notes that a replica reports to be draining.
 	RecordDraining(t Target)
 }
 
-// Target is a replica and the weights that it is to serve.
+// Target is a replica and the weights that it should serve.
 type Target struct {
 	site.Upstream
 	Model   string
 	Version int64
 }
 
-// outdated says whether the replica is yet to be swapped.
+// outdated says whether the replica still needs a swap.
 func (t *Target) outdated() bool { return t.Weights[t.Model] < t.Version }
 
 const (
 	// StepInterval is the period of Step.
 	StepInterval = 100 * time.Millisecond
-	// groupCount is into how many parts the replicas are divided. Each has a lease,
-	// so that a holder that is lost holds up its part only, and each swaps its
-	// replicas one after the other or a few at once.
+	// groupCount is the number of groups of replicas. Each group has its own lease, so that
+	// a lost holder delays only its group, and swaps only a few replicas at once.
 	groupCount = 6
-	// maxSwapShare is the part of the replicas that is swapped at once: fewer take
-	// long, more leave too few to serve. Measured, docs/POLICY.md.
+	// maxSwapShare is the share of replicas that are swapped at once: with fewer the
+	// rollout takes long, with more too few are left to serve. Measured, docs/POLICY.md.
 	maxSwapShare = 0.3
-	// groupStagger is by how much each group begins later than the one before it, so
-	// that its holder has heard what the others have begun.
+	// groupStagger is the delay between the starts of consecutive groups, so that a holder
+	// knows of the swaps that earlier groups have begun.
 	groupStagger = 60 * time.Millisecond
-	// rankDelay is for how long each node leaves a lease to those that come
-	// before it: in a large fleet few nodes ask for it at all.
+	// rankDelay is how long a node leaves a lease to each node of lower rank, so that in a
+	// large fleet only a few nodes ask the store for it.
 	rankDelay = time.Second
-	// avoidLead is for how long requests are sent elsewhere before an order, so
-	// that most runs have ended.
+	// avoidLead is how long before an order requests are sent to other replicas, so that
+	// most requests in flight finish.
 	avoidLead = 250 * time.Millisecond
-	// avoidTerm is for how long nodes pass a replica over at each word of it.
+	// avoidTerm is how long one call of AvoidForSwap holds during a swap.
 	avoidTerm = 600 * time.Millisecond
-	// reportInterval is how often a swapping replica is asked how far it is.
+	// reportInterval is how often the state of a swapping replica is read.
 	reportInterval = 150 * time.Millisecond
-	// orderTimeout is after how long an order of which nothing is seen is given
-	// again, and a replica that does not answer is left to the next round.
+	// orderTimeout bounds a swap without progress. A later round sends the order again if
+	// it had no visible effect, or tries again if the replica did not answer.
 	orderTimeout = 1500 * time.Millisecond
-	// swapBackoff is for how long a replica that would not be swapped is left
-	// alone.
+	// swapBackoff is how long a replica is left alone after a failed swap.
 	swapBackoff = time.Second
 )
 
-// Rollout gives the orders.
+// Rollout swaps the weights of replicas.
 type Rollout struct {
 	engines EngineClient
 	fleet   Fleet
@@ -91,7 +88,7 @@
 	// unbounded lets all replicas be swapped at once.
 	unbounded bool
 	groups    [groupCount]*group
-	// reserveMu guards mayBegin; it is taken behind a group's mu.
+	// reserveMu guards reserveSwap. It is locked after a group's mu.
 	reserveMu sync.Mutex
 
 	wg sync.WaitGroup
@@ -104,19 +101,20 @@
 
 	mu        sync.Mutex
 	swaps     map[string]*swap
-	workSince time.Time // When work was first seen, zero if there is none.
-	// meanLoadTime is the mean time from an order to its being seen done.
+	workSince time.Time // When the group last got work; zero while idle.
+	// meanLoadTime is a moving mean of the time from an order until the swap is seen done.
 	meanLoadTime time.Duration
 }
 
-// recordOrder lets another swap begin shortly before this one is done.
+// recordOrder sets when the next swap may begin: shortly before this one is expected to
+// end.
 func (g *group) recordOrder(id string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.swaps[id].slotFreeAt = now.Add(max(0, g.meanLoadTime-avoidLead))
 }
 
-// recordLoadTime learns how long a swap took since its order.
+// recordLoadTime updates the mean load time.
 func (g *group) recordLoadTime(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,23 +122,23 @@
 }
 
 const (
-	// initialLoadTime is how long weights are assumed to take to load.
+	// initialLoadTime is the load time assumed before any was measured.
 	initialLoadTime = 1500 * time.Millisecond
-	// loadTimeSmoothing is one over the weight of the newest time.
+	// loadTimeSmoothing is the inverse of the weight of the newest measurement.
 	loadTimeSmoothing = 2
 )
 
-// swap is one replica that is being brought to other weights.
+// swap is the change of one replica to other weights.
 type swap struct {
-	backoffUntil time.Time // Left alone until, once it has ended.
+	backoffUntil time.Time // Once ended: no new swap before.
 	ended        bool
-	// slotFreeAt is from when on another may begin: the replica is expected to have
-	// its weights once the other's requests have been steered away.
+	// slotFreeAt is from when on another swap may begin: this replica is expected to have
+	// loaded by the time that requests avoid the next one.
 	slotFreeAt time.Time
 }
 
-// New returns a rollout that gives orders in a node's name; pause is the least
-// time between the orders of two nodes to a replica.
+// New returns a rollout that gives orders in a node's name. pause is the least time between
+// the orders of two nodes to one replica.
 func New(node string, pause time.Duration, store Store, engines EngineClient, fleet Fleet, log *slog.Logger) *Rollout {
 	r := &Rollout{node: node, engines: engines, fleet: fleet, log: log, now: boottime.RefreshNow}
 	for i := range r.groups {
@@ -150,14 +148,14 @@
 	return r
 }
 
-// SetUnbounded lets all replicas be swapped at once; it is to be called before Step.
+// SetUnbounded lets all replicas be swapped at once. It must be called before Step.
 func (r *Rollout) SetUnbounded() { r.unbounded = true }
 
-// groupOf says to which group a replica belongs.
+// groupOf returns the index of a replica's group.
 func groupOf(id string) int { return int(xxhash.Sum64String(id) % groupCount) }
 
-// Step begins swaps that are due; the timer service calls it. It returns at
-// once when there is nothing to do.
+// Step begins the swaps that are due. The timer service calls it. It returns at once when
+// there is nothing to do.
 func (r *Rollout) Step(ctx context.Context) {
 	var outdated [groupCount][]Target
 	var sizes [groupCount]int
@@ -181,15 +179,16 @@
 	wg.Wait()
 }
 
-// swapLimits bounds how many replicas are swapped at once: of a group, and of all. In a
-// small fleet one of each group is too many: with five of nine engines loading, a load
-// took 2.5 s instead of 1.1; bounded, worth of a day with two versions rose from 0.743 to
-// 0.809 (four seeds). after is when the group begins.
+// swapLimits bounds how many replicas are swapped at once, in a group and in total, and
+// delays the start of a group. In a small fleet one swap per group is too many: with five
+// of nine engines loading, a load took 2.5 s instead of 1.1 s. With the bound on the total,
+// worth of a day with two versions rose from 0.743 to 0.809 (four seeds).
 type swapLimits struct {
 	group, total int
 	startDelay   time.Duration
 }
 
+// limitsFor returns the limits of group i, which has size replicas of the total.
 func (r *Rollout) limitsFor(i, size, total int) swapLimits {
 	if r.unbounded {
 		return swapLimits{group: size, total: total}
@@ -197,10 +196,11 @@
 	return swapLimits{group: maxSwaps(size), total: maxSwaps(total), startDelay: time.Duration(i) * groupStagger}
 }
 
-// maxSwaps is how many of some replicas are swapped at once.
+// maxSwaps is how many of size replicas may be swapped at once.
 func maxSwaps(size int) int { return max(1, int(math.Round(maxSwapShare*float64(size)))) }
 
-// hasWork says whether a group has anything to be done.
+// hasWork says whether a group has replicas to swap, swaps in progress or a lease to
+// release.
 func (r *Rollout) hasWork(g *group, outdated []Target) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -214,6 +214,8 @@
 	return true
 }
 
+// stepGroup acquires or renews the lease of a group and begins its swaps, or releases the
+// lease if there is nothing left to do.
 func (r *Rollout) stepGroup(ctx context.Context, g *group, outdated []Target, limits swapLimits) {
 	g.mu.Lock()
 	since, idle := g.workSince, g.workSince.IsZero()
@@ -228,7 +230,7 @@
 	if !g.lease.AcquireOrRenew(ctx) {
 		return
 	}
-	// Those with the oldest weights come first: they have least time left.
+	// Replicas with the oldest weights come first: they have the least time left.
 	slices.SortStableFunc(outdated, func(a, b Target) int {
 		return cmp.Compare(a.Weights[a.Model], b.Weights[b.Model])
 	})
@@ -240,18 +242,19 @@
 	}
 }
 
-// Release gives up what is held, for a planned stop. The node steps on until it
-// ends: a lease that it took again would be missing to the others for its term.
+// Release gives up all leases for a planned stop. The node calls Step until it ends; a
+// lease that it acquired again then would keep the other nodes waiting for its term.
 func (r *Rollout) Release(ctx context.Context) {
 	for _, g := range r.groups {
 		g.lease.Close(ctx)
 	}
 }
 
-// Close waits for swaps under way.
+// Close waits for the swaps in progress.
 func (r *Rollout) Close() { r.wg.Wait() }
 
-// runningSwaps counts the swaps under way; the caller holds mu.
+// runningSwaps counts the swaps that occupy a slot, and deletes those whose backoff is
+// over. The caller holds mu.
 func (g *group) runningSwaps(now time.Time) int {
 	n := 0
 	for id, s := range g.swaps {
@@ -266,10 +269,12 @@
 	return n
 }
 
+// beginSwap starts the swap of a replica if the limits allow it and the replica is not in
+// backoff.
 func (r *Rollout) beginSwap(ctx context.Context, g *group, t Target, limits swapLimits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Counting forgets those that were left alone for long enough.
+	// runningSwaps also deletes swaps whose backoff is over.
 	running := g.runningSwaps(r.now())
 	if _, known := g.swaps[t.ID]; known || running >= limits.group || !r.reserveSwap(t, limits.total) {
 		return
@@ -285,8 +290,9 @@
 	})
 }
 
-// mayBegin says whether another replica of all may be swapped, and has it steered away
-// from if so. Groups step side by side, so that both are done as one.
+// reserveSwap says whether another replica may be swapped under the limit for all groups,
+// and if so marks it with AvoidForSwap. Groups run concurrently, so both happen under one
+// lock.
 func (r *Rollout) reserveSwap(t Target, limit int) bool {
 	r.reserveMu.Lock()
 	defer r.reserveMu.Unlock()
@@ -297,8 +303,7 @@
 	return true
 }
 
-// swapReplica brings one replica to its weights and returns for how long it is to be
-// left alone.
+// swapReplica brings one replica to its weights and returns its backoff.
 func (r *Rollout) swapReplica(ctx context.Context, g *group, t Target) time.Duration {
 	r.sleep(avoidLead)
 	end := r.now().Add(orderTimeout)
@@ -309,7 +314,7 @@
 		case err != nil:
 			r.log.Warn("replica state not read", "replica", t.ID, "err", err)
 		case !report.Started.IsZero() && !t.Started.IsZero() && !report.Started.Equal(t.Started):
-			// It has started anew: what it has and has taken is listed anew, too.
+			// It has restarted: Targets will list it with its new weights and order count.
 			return swapBackoff
 		case report.Draining:
 			r.fleet.RecordDraining(t)
@@ -339,7 +344,7 @@
 	return swapBackoff
 }
 
-// sendOrder gives the order and says whether it may have been taken.
+// sendOrder sends the order and says whether the replica may have accepted it.
 func (r *Rollout) sendOrder(ctx context.Context, g *group, t Target, ordersBefore int64) bool {
 	if !g.lease.Held() {
 		return false
--- a/pkg/suspect/case.go
+++ b/pkg/suspect/case.go
@@ -8,12 +8,12 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Verdict is what is to be done with a request.
+// Verdict is how a request is treated.
 type Verdict int
 
 // Verdicts.
 const (
-	// Allowed requests are sent like all others.
+	// Allowed requests are sent without limits.
 	Allowed Verdict = iota
 	// Watched requests run once at a time among all nodes.
 	Watched
@@ -34,45 +34,48 @@
 }
 
 const (
-	// watchThreshold is from how many ends on a request runs once at a time. A good one may be
-	// in flight where a replica ends, and so may its repeat: at two, a block would hit one
-	// of those in some hundred where replicas come and go.
+	// watchThreshold is the number of ends from which a request is watched. A harmless
+	// request and its retry may both be in flight where replicas end: if two ends blocked,
+	// about one in a hundred of those would be blocked where replicas come and go.
 	watchThreshold = 2
-	// blockThreshold is with how many ends a request is sent no more: operators allow three, and
-	// a few that were under way.
+	// blockThreshold is the number of ends from which a request is blocked: operators allow
+	// three, and a few more that were in flight.
 	blockThreshold = 3
-	// blockMinRounds is in how many rounds they must have come: when many replicas end at one
-	// moment for another reason, what is asked most often is in flight at several of them.
+	// blockMinRounds is the least number of rounds of these ends: when many replicas end at
+	// once for another reason, a frequent request is in flight at several of them.
 	blockMinRounds = 2
-	// maxEnds bounds what is kept of one case.
+	// maxEnds bounds the ends that are stored for a case.
 	maxEnds = 6
-	// finishGrace is for how long after a finish runs that begin count for nothing: what is
-	// asked so often that it is in flight wherever a replica ends is finished many times
-	// meanwhile. It is short, as new weights may make of a good request another one.
+	// finishGrace is how long after a finish new runs don't count: a request that is so
+	// frequent that it is in flight wherever a replica ends finishes many times meanwhile.
+	// It is short because new weights may turn a harmless request into one that crashes
+	// replicas.
 	finishGrace = 10 * time.Second
 )
 
 // ReplicaEnd is the end of one replica while a request was in flight there.
 type ReplicaEnd struct {
-	// Replica names the start of the replica.
+	// Replica is the key of one start of the replica.
 	Replica string
-	// StartedAt is when the request was sent there, EndedAt when the replica had ended.
+	// StartedAt is when the request was sent there, EndedAt when the replica was found to
+	// have ended.
 	StartedAt, EndedAt time.Time
 }
 
-// Case is what is known of one request.
+// Case holds the evidence about one request.
 type Case struct {
 	Content site.Fingerprint
-	// QuickHash is a quick hash of the same, by which finishes are remembered.
+	// QuickHash is a cheap hash of the request, the key under which finishes are
+	// remembered.
 	QuickHash uint64
-	// Ends are by time.
+	// Ends are sorted by time.
 	Ends []ReplicaEnd
-	// Finished is when a replica last finished the request, as far as is known; zero for
+	// Finished is when a replica last finished the request, as far as is known; zero if
 	// never.
 	Finished time.Time
 }
 
-// LastEvent is when something was last known to happen to the request.
+// LastEvent is the time of the last known end or finish of the request.
 func (c *Case) LastEvent() time.Time {
 	last := c.Finished
 	for _, e := range c.Ends {
@@ -83,7 +86,7 @@
 	return last
 }
 
-// Verdict judges the case.
+// Verdict returns how the request is treated on this evidence.
 func (c *Case) Verdict() Verdict {
 	switch n := len(c.Ends); {
 	case n >= blockThreshold && c.rounds() >= blockMinRounds:
@@ -95,11 +98,11 @@
 	}
 }
 
-// rounds counts how often the request was sent anew after a replica had ended under it.
+// rounds counts how often the request was sent again after a replica had ended under it.
 // Runs that were in flight together are one round.
 func (c *Case) rounds() int {
 	n := 0
-	var roundEnd time.Time // End of the round.
+	var roundEnd time.Time // First end of the current round.
 	for _, e := range c.Ends {
 		if n == 0 || e.StartedAt.After(roundEnd) {
 			n++
@@ -109,7 +112,7 @@
 	return n
 }
 
-// merge takes in what else is known and says whether it was new.
+// merge adds the evidence of another case and says whether any of it was new.
 func (c *Case) merge(other Case) (changed bool) {
 	if c.QuickHash == 0 {
 		c.QuickHash = other.QuickHash
@@ -130,15 +133,15 @@
 	return changed
 }
 
-// hasEnd says whether the end of a replica is kept.
+// hasEnd says whether the end of a replica is stored.
 func (c *Case) hasEnd(replica string) bool {
 	return slices.ContainsFunc(c.Ends, func(e ReplicaEnd) bool { return e.Replica == replica })
 }
 
-// trimEnds sorts ends by time and drops those beyond the most that are kept. The first one
-// stays, and those whose runs began last: were it the first six, all of which may be of one
-// round, no later round would ever count, and the request never be blocked. Which stay does
-// not depend on the order in which a node hears of them.
+// trimEnds sorts the ends by time and drops those beyond maxEnds. It keeps the first end
+// and those whose runs began last. If it kept the first six, they could all be of one
+// round, no later round would count, and the request would never be blocked. The result
+// does not depend on the order in which ends are learnt.
 func (c *Case) trimEnds() {
 	byTime := func(a, b ReplicaEnd) int {
 		return cmp.Or(a.EndedAt.Compare(b.EndedAt), cmp.Compare(a.Replica, b.Replica))
@@ -155,13 +158,13 @@
 	slices.SortFunc(c.Ends, byTime)
 }
 
-// clearedByFinish says whether an end does not count, as the request was finished about when that
-// run began, or later.
+// clearedByFinish says whether an end does not count because its run began before the last
+// finish or within finishGrace after it.
 func (c *Case) clearedByFinish(e ReplicaEnd) bool {
 	return !c.Finished.IsZero() && e.StartedAt.Before(c.Finished.Add(finishGrace))
 }
 
-// Replicas names the replicas that ended.
+// Replicas lists the replicas that ended.
 func (c *Case) Replicas() []string {
 	list := make([]string, len(c.Ends))
 	for i, e := range c.Ends {
--- a/pkg/suspect/doc.go
+++ b/pkg/suspect/doc.go
@@ -1,18 +1,18 @@
-// Package suspect decides which requests are no longer sent to replicas, because replicas
-// have ended under them.
+// Package suspect decides which requests are no longer sent to replicas because replicas
+// ended while they ran them.
 //
-// The load that it answers is one request that ends each replica that begins to run it and
-// that its caller sends again and again, at any node. A replica that ends takes all that it
-// has in flight and all that it keeps with it, and is away for seconds; without a memory of
-// the request itself every repeat costs another one.
+// It protects against a request that crashes each replica that runs it, and that its caller
+// repeats at any node. A replica that ends loses all requests in flight and all that it has
+// cached, and is away for seconds. Unless nodes remember the request itself, each repeat
+// costs another replica.
 //
-// What speaks against a request is each replica that ended while it was in flight there.
-// Many good requests are in flight wherever a replica ends, and one that is often asked is
-// always among them. So a first end changes nothing; from the second on the request runs
-// only once at a time among all nodes, which a good one gets over by being finished; and
-// with the third it is sent no more. Whatever any replica has finished is not of that kind:
-// runs that began before do not count any longer.
+// The evidence against a request is the number of replicas that ended while it was in
+// flight there. Whenever a replica ends, many harmless requests are in flight, and a
+// frequent one is always among them. So the first end changes nothing. From the second on
+// the request runs only once at a time among all nodes; a harmless one is cleared when it
+// finishes. From the third on it is not sent any more. A request that any replica has
+// finished is considered harmless: runs that began before don't count.
 //
-// Nothing here makes calls: what nodes tell each other is given to a Register, and so is
-// the time.
+// The package makes no calls. Its users pass the messages of other nodes and the time to a
+// Register.
 package suspect
--- a/pkg/suspect/finishes.go
+++ b/pkg/suspect/finishes.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// QuickHash hashes what a request asks and for whom, in 10 us for 100 kB. Somebody who makes
-// two requests alike by it gains that one speaks for the other, among that organisation's
-// own.
+// QuickHash hashes a request and its organisation, in 10 us for 100 kB. It is not collision
+// resistant: an organisation that crafts two requests with one hash only achieves that a
+// finish of one clears the other, among its own requests.
 func QuickHash(organisation, method, host, target string, body []byte) uint64 {
 	h := xxhash.New()
 	for _, text := range []string{organisation, method, strings.ToLower(host), target} {
@@ -19,18 +19,18 @@
 	return max(1, h.Sum64())
 }
 
-// recentFinishes remembers when requests were last finished at this node, for finishTerm at
-// least and for twice as long at most.
+// recentFinishes remembers when requests were last finished at this node, for finishGrace
+// to twice that.
 type recentFinishes struct {
 	current, previous map[uint64]time.Time
-	currentSince      time.Time // Of newer.
+	currentSince      time.Time // When current was begun.
 }
 
-// maxFinishes bounds each half of the memory, 40 bytes each: 400 requests a second, six
-// times the share of a node of 900 at the peak of 60,000.
+// maxFinishes bounds each of the two maps, 40 bytes an entry: 400 requests a second, six
+// times the share of one of 900 nodes at the peak of 60,000.
 const maxFinishes = 4096
 
-// record remembers a finish. Beyond the bound the oldest half goes early.
+// record remembers a finish. When current is full, previous is dropped early.
 func (m *recentFinishes) record(quickHash uint64, now time.Time) {
 	if m.current == nil || now.Sub(m.currentSince) >= finishGrace || len(m.current) >= maxFinishes {
 		m.previous, m.current, m.currentSince = m.current, map[uint64]time.Time{}, now
@@ -38,7 +38,7 @@
 	m.current[quickHash] = now
 }
 
-// at is when a request was last finished, zero if that is not remembered.
+// lastFinish is when a request was last finished, zero if that is not remembered.
 func (m *recentFinishes) lastFinish(quickHash uint64) time.Time {
 	if t, ok := m.current[quickHash]; ok {
 		return t
--- a/pkg/suspect/register.go
+++ b/pkg/suspect/register.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// allowedTTL is for how long a case is remembered that changes nothing yet. Callers
-	// repeat within seconds; a minute bears a caller that waits in between.
+	// allowedTTL is how long a case is kept that is not yet watched. Callers repeat within
+	// seconds; a minute allows for one that waits in between.
 	allowedTTL = time.Minute
-	// flaggedTTL is for how long one is that is watched or blocked, since the last end: an
-	// hour is far over what callers repeat within, and lets a request be tried again some
-	// time after the engines' software was mended.
+	// flaggedTTL is how long a watched or blocked case is kept after its last event. An
+	// hour is far longer than callers go on repeating, and lets a request be tried again
+	// some time after the engine software was fixed.
 	flaggedTTL = time.Hour
-	// maxCases bounds the memory: some 200 bytes each. One in flight at each slot of some
-	// fifty replicas that end at one moment fit.
+	// maxCases bounds the memory, some 200 bytes a case. It has room for a request in each
+	// slot of some fifty replicas that end at once.
 	maxCases = 4096
 )
 
-// Register is what one node knows of requests under which replicas ended. Its methods may
-// be called at the same time.
+// Register holds what one node knows of requests under which replicas ended. It is safe for
+// concurrent use.
 type Register struct {
-	// entryCount counts the entries, so that nothing has to be hashed while there are none.
+	// entryCount is the number of entries; while it is 0, nothing has to be hashed.
 	entryCount atomic.Int64
 
 	mu       sync.Mutex
@@ -39,12 +39,12 @@
 type entry struct {
 	Case
 
-	// runningUntil is until when a run of a watched request is taken to be under way, unless
-	// something is heard of it.
+	// runningUntil is until when a run of a watched request is assumed to be in progress,
+	// unless news of it arrive earlier.
 	runningUntil time.Time
-	// grantedTo names the node that was given a grant for it, empty for this one's own run.
+	// grantedTo is the node that the run was granted to, empty for a run of this node.
 	grantedTo string
-	// finishAnnounced says that other nodes know of the last finish.
+	// finishAnnounced says that the last finish was announced to other nodes.
 	finishAnnounced bool
 }
 
@@ -78,24 +78,25 @@
 	r.finishes.record(quickHash, now)
 }
 
-// MergeResult is what a piece of news has done to a case.
+// MergeResult is how Merge changed a case.
 type MergeResult struct {
 	Before, After Verdict
-	// New says that anything was not known before.
+	// New says that some of the evidence was new.
 	New bool
-	// OwnFinish says that this node has finished the request, and others may not know.
+	// OwnFinish says that this node has finished the request and other nodes may not know
+	// it.
 	OwnFinish bool
 }
 
-// Merge takes in what was seen here or told by another node, and what this node remembers
-// of the request itself.
+// Merge adds evidence seen here or received from another node, and applies a finish of the
+// request that this node remembers.
 func (r *Register) Merge(c Case) (result MergeResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[c.Content]
 	if e == nil {
 		if len(c.Ends) == 0 {
-			return result // A finish of which nothing else is known.
+			return result // A finish of a request without known ends.
 		}
 		r.evictIfFull()
 		e = &entry{Case: Case{Content: c.Content}}
@@ -105,7 +106,7 @@
 	result.Before = e.Verdict()
 	result.New = e.merge(c)
 	if result.New {
-		e.runningUntil = time.Time{} // What was under way has ended, or does not matter any more.
+		e.runningUntil = time.Time{} // The run in progress has ended or no longer matters.
 		e.finishAnnounced = !c.Finished.IsZero()
 	}
 	if own := r.finishes.lastFinish(e.QuickHash); own.After(e.Finished) {
@@ -116,8 +117,9 @@
 	return result
 }
 
-// ShouldAnnounce says whether this node is to tell of its own finish of a request: nobody has
-// told of one since the last end.
+// ShouldAnnounce says whether this node should announce its own finish of a request, and
+// notes it as announced. It says so once after each new end, unless another node has
+// announced a finish.
 func (r *Register) ShouldAnnounce(f site.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,14 +131,14 @@
 	return true
 }
 
-// StartRun asks whether a watched request may be sent now by this node; it counts as under way
-// for at most a time, unless something is heard of it before.
+// StartRun says whether this node may send a watched request now. The run counts as in
+// progress for at most maxRun, unless news of it arrive earlier.
 func (r *Register) StartRun(f site.Fingerprint, maxRun time.Duration, now time.Time) bool {
 	return r.tryRun(f, "", maxRun, now)
 }
 
-// GrantRun is StartRun for another node. A node has one run under way at a time, so one that asks
-// again has not heard the answer, or its run is over.
+// GrantRun is StartRun for another node. A node has one run of a request at a time, so a
+// node that asks again has not received the answer, or its run is over.
 func (r *Register) GrantRun(f site.Fingerprint, node string, maxRun time.Duration, now time.Time) bool {
 	return r.tryRun(f, node, maxRun, now)
 }
@@ -157,11 +159,11 @@
 	return true
 }
 
-// EndRun notes that this node's run of a watched request is no longer under way, with no word
-// of its replica.
+// EndRun notes that this node's run of a watched request is over, and that nothing is known
+// of an end of its replica.
 func (r *Register) EndRun(f site.Fingerprint) { r.EndGrantedRun(f, "") }
 
-// EndGrantedRun is EndRun for a run that was lent to another node.
+// EndGrantedRun is EndRun for a run that was granted to another node.
 func (r *Register) EndGrantedRun(f site.Fingerprint, node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,12 +172,13 @@
 	}
 }
 
-// Flagged lists the cases that are watched or blocked, the newest first.
+// Flagged lists the watched and blocked cases, the newest first.
 func (r *Register) Flagged(limit int) []Case {
 	return r.newestMatching(limit, func(e *entry) bool { return e.Verdict() != Allowed })
 }
 
-// Cleared returns those that are free as they were finished, the newest first.
+// Cleared lists the cases that are allowed because the request was finished, the newest
+// first.
 func (r *Register) Cleared(limit int) []Case {
 	return r.newestMatching(limit, func(e *entry) bool { return !e.Finished.IsZero() && e.Verdict() == Allowed })
 }
@@ -192,7 +195,7 @@
 	return list[:min(len(list), limit)]
 }
 
-// Count tells how many requests are watched, and how many blocked.
+// Count returns the numbers of watched and of blocked requests.
 func (r *Register) Count() (watched, blocked int) {
 	if r.Empty() {
 		return 0, 0
@@ -207,7 +210,7 @@
 	return watched, blocked
 }
 
-// Digest is alike at two nodes that hold the same of watched and blocked requests, 0 where
+// Digest is equal at two nodes that know the same watched and blocked requests, and 0 if
 // there are none.
 func (r *Register) Digest() (sum uint64) {
 	if r.Empty() {
@@ -223,7 +226,7 @@
 	return sum
 }
 
-// Expire forgets what is old.
+// Expire deletes old cases.
 func (r *Register) Expire(now time.Time) {
 	if r.Empty() {
 		return
@@ -242,9 +245,9 @@
 	r.entryCount.Store(int64(len(r.entries)))
 }
 
-// evictIfFull drops the case that matters least if there is no room for another; the caller
-// holds mu. Blocked ones go last, so that nobody can have one forgotten by sending many
-// requests that are only in flight where replicas end.
+// evictIfFull makes room for another case: it drops the oldest one with the mildest
+// verdict. Blocked cases go last, so that nobody can get one forgotten by sending many
+// requests that are merely in flight where replicas end. The caller holds mu.
 func (r *Register) evictIfFull() {
 	if len(r.entries) < maxCases {
 		return
--- a/service/suspects/blocked_row.go
+++ b/service/suspects/blocked_row.go
@@ -12,27 +12,28 @@
 	"github.com/drumpath/drumpath/pkg/suspect"
 )
 
-// Blocked requests are kept in one row of the platform's store, beside the nodes' addresses
-// that a node reads as it starts: it costs no call until there is one, and nodes that have
-// all started anew know of them with their first answer.
+// Blocked requests are stored in one row of the platform's store, in the table of node
+// addresses that each node reads as it starts. The row costs no call while nothing is
+// blocked, and after a restart of all nodes each of them reads it with its first call.
 const (
-	// BlockedRowKey is the key of that row in the table of the nodes.
+	// BlockedRowKey is the key of that row.
 	BlockedRowKey = "requests/barred"
-	// saveRetryPause is the pause after a failure: each call is paid for.
+	// saveRetryPause is the pause after a failed write: each call is paid for.
 	saveRetryPause = 5 * time.Second
-	// maxStoredCases is how many are kept, the newest: some 400 bytes each of a row of 64 kB.
+	// maxStoredCases is how many of the newest cases are stored, some 400 bytes each, in a
+	// row of 64 kB.
 	maxStoredCases = 120
 )
 
-// blockedRow is that row.
+// blockedRow is the value of that row.
 type blockedRow struct {
-	// Written is when the ages were right, in Unix milliseconds of the writer: an error of
-	// some seconds changes nothing.
+	// Written is the Unix time in milliseconds, by the writer's clock, that the ages in
+	// Cases refer to. An error of some seconds does no harm.
 	Written int64         `json:"written"`
 	Cases   []caseMessage `json:"cases"`
 }
 
-// LoadRow takes in the row.
+// LoadRow merges the cases of the row into the register.
 func (s *Suspects) LoadRow(r site.Row, now time.Time) {
 	var row blockedRow
 	if err := json.Unmarshal(r.Value, &row); err != nil {
@@ -49,8 +50,8 @@
 	}
 }
 
-// SaveRow writes the row if there are blocked requests that it lacks and that fall to this
-// node; the timer service calls it.
+// SaveRow writes the row if a blocked request is missing from it and this node is the one
+// to write it. The timer service calls it.
 func (s *Suspects) SaveRow(ctx context.Context) {
 	now := boottime.Now()
 	if s.store == nil || s.register.Empty() || !s.mustSave(now) {
@@ -64,7 +65,8 @@
 	}
 }
 
-// mustSave says whether this node has a blocked request to write.
+// mustSave says whether a blocked request is not stored yet and this node is its first
+// owner.
 func (s *Suspects) mustSave(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +84,7 @@
 	return false
 }
 
-// writeRow adds to the row what it lacks.
+// writeRow merges the stored row into the register and writes all blocked requests.
 func (s *Suspects) writeRow(ctx context.Context, now time.Time) error {
 	l, err := s.store.List(ctx, site.TableNodes)
 	if err != nil {
--- a/service/suspects/doc.go
+++ b/service/suspects/doc.go
@@ -1,4 +1,4 @@
-// Package suspects has the nodes remember together under which requests replicas ended:
-// what each has seen is told to the others, and what is blocked is kept in the platform's
-// store. What follows from it package suspect decides.
+// Package suspects shares among all nodes under which requests replicas ended. Nodes send
+// each other what they have seen, and store blocked requests in the platform's store.
+// Package suspect decides how requests are treated.
 package suspects
--- a/service/suspects/grants.go
+++ b/service/suspects/grants.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// grantTimeout bounds a call for a grant to run a watched request: its Caller waits.
+	// grantTimeout bounds a call for a grant to run a watched request, as its caller waits.
 	grantTimeout = 150 * time.Millisecond
-	// MethodRun asks an owner whether a watched request may be sent now, and MethodRunEnded
-	// tells it that nothing came of that.
+	// MethodRun asks an owner of a watched request for a grant to send it; MethodRunEnded
+	// returns the grant.
 	MethodRun      = "suspects.run"
 	MethodRunEnded = "suspects.over"
 )
 
-// runRequest are the parameters of MethodRun and MethodRunEnded.
+// runRequest holds the parameters of MethodRun and MethodRunEnded.
 type runRequest struct {
 	Content site.Fingerprint `json:"content"`
 	MaxMS   int64            `json:"most_ms,omitempty"`
-	// Node asks; older nodes don't tell.
+	// Node is the node that asks; older nodes leave it empty.
 	Node string `json:"node,omitempty"`
 }
 
@@ -30,14 +30,14 @@
 	Run bool `json:"run"`
 }
 
-// MayRun asks whether a watched request may be sent now: this node has one under way at a
-// time, and the first of the request's owners that answers lets one of all nodes, for at
-// most a time. Where none answers, this node lets one of its own.
+// MayRun says whether a watched request may be sent now. This node allows itself one run at
+// a time; the first owner of the request that answers allows one among all nodes, for at
+// most maxRun. If no owner answers, only the limit of this node applies.
 func (s *Suspects) MayRun(ctx context.Context, f site.Fingerprint, maxRun time.Duration) bool {
 	if !s.register.StartRun(f, maxRun, boottime.Now()) {
 		return false
 	}
-	var unanswered []control.Member // They may have given a grant.
+	var unanswered []control.Member // Owners that may have granted the run though no answer arrived.
 	for _, owner := range s.owners(f) {
 		if owner.Name == s.self.Name {
 			break
@@ -58,15 +58,16 @@
 	return true
 }
 
-// EndRun tells that a watched request has ended with no word of its replica. Told only to the
-// first owner, one that was asked for a grant and answered too late went on refusing the
-// request to all nodes, for up to 10 s.
+// EndRun returns the grant of a watched request whose run is over, when nothing is known of
+// an end of its replica. All owners are told: when only the first one was, an owner whose
+// answer had come too late went on refusing the request to all nodes for up to 10 s.
 func (s *Suspects) EndRun(f site.Fingerprint) {
 	s.register.EndRun(f)
 	s.returnGrants(f, s.owners(f))
 }
 
-// returnGrants gives a grant back to those that may have given it, without waiting for them.
+// returnGrants returns a grant to the owners that may have given it, without waiting for
+// them.
 func (s *Suspects) returnGrants(f site.Fingerprint, owners []control.Member) {
 	for _, o := range owners {
 		if o.Name == s.self.Name {
@@ -76,7 +77,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), grantTimeout)
 			defer cancel()
 			if err := s.client.Notify(ctx, o.Peer, MethodRunEnded, runRequest{Content: f, Node: s.self.Name}); err != nil {
-				s.log.Debug("grant for watched request not returned", "err", err) // It lapses.
+				s.log.Debug("grant for watched request not returned", "err", err) // The grant expires by itself.
 			}
 		})
 	}
--- a/service/suspects/learn.go
+++ b/service/suspects/learn.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// LearnInterval is how often a node that has just started asks another one what is blocked:
-	// an answer takes some milliseconds, and it needs no more than a few.
+	// LearnInterval is how often a node that has just started asks another one for the
+	// blocked requests. An answer takes some milliseconds, and a few tries are enough.
 	LearnInterval = 100 * time.Millisecond
-	// maxLearnWait bounds for how long the first requests of a node wait until it knows what is
-	// blocked. It answers a start of all nodes while the store turns this one away: the others
-	// then know nothing either until they have read the store, which takes them some 0.2 s.
+	// maxLearnWait bounds how long the first requests of a node wait until it knows the
+	// blocked requests. It covers a start of all nodes while the store refuses this one:
+	// the others know nothing either until they have read the store, which takes some 0.2
+	// s.
 	maxLearnWait = time.Second
 )
 
-// learning is how far a node has come that has just started.
+// learning is the state of a node that may not know the blocked requests yet.
 type learning struct {
 	// done is closed once requests need not wait any more.
 	done chan struct{}
-	// waiting holds once the first request waits.
+	// waiting says that a request has waited and the time limit runs.
 	waiting bool
-	// learned says that the node has heard what is blocked.
+	// learned says that the node knows the blocked requests.
 	learned bool
 }
 
-// MarkLearned notes that the node has heard what is blocked.
+// MarkLearned notes that the node knows the blocked requests.
 func (s *Suspects) MarkLearned() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +38,7 @@
 	s.releaseWaiters()
 }
 
-// releaseWaiters lets waiting requests go on; the caller holds mu.
+// releaseWaiters lets waiting requests go on. The caller holds mu.
 func (s *Suspects) releaseWaiters() {
 	select {
 	case <-s.learning.done:
@@ -46,16 +47,16 @@
 	}
 }
 
-// hasLearned says whether the node has heard what is blocked.
+// hasLearned says whether the node knows the blocked requests.
 func (s *Suspects) hasLearned() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.learning.learned
 }
 
-// WaitLearned waits until the node knows what is blocked, for learnMost after the first call at
-// most. Without it a node that had just started ended one more replica under a request that
-// all others refused, before it had read the store.
+// WaitLearned waits until the node knows the blocked requests, for at most maxLearnWait
+// after its first call. Without it a node that had just started sent a request that all
+// others refused, before it had read the store, and one more replica ended.
 func (s *Suspects) WaitLearned(ctx context.Context) {
 	select {
 	case <-s.learning.done:
@@ -69,7 +70,7 @@
 	}
 }
 
-// startWaitTimer bounds the wait from the first request on.
+// startWaitTimer starts the time limit at the first request that waits.
 func (s *Suspects) startWaitTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +88,7 @@
 	})
 }
 
-// Learn asks another node what is blocked, as long as this one does not know; the timer
+// Learn asks another node for the blocked requests until this one knows them. The timer
 // service calls it.
 func (s *Suspects) Learn(context.Context) {
 	if !s.hasLearned() {
@@ -95,7 +96,8 @@
 	}
 }
 
-// compareWith tells one node of a list, drawn at random, what this one holds.
+// sendDigest sends the digest of this node to a random one of the candidates, which answers
+// if its own differs.
 func (s *Suspects) sendDigest(candidates []control.Member) {
 	var others []netip.AddrPort
 	for _, m := range candidates {
--- a/service/suspects/notes.go
+++ b/service/suspects/notes.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// NoteCases tells of requests under which replicas ended.
+	// NoteCases carries cases of requests under which replicas ended.
 	NoteCases = "suspects.cases"
-	// NoteDigest tells of what a node holds of them.
+	// NoteDigest carries the digest of the watched and blocked requests that a node knows.
 	NoteDigest = "suspects.digest"
-	// StepInterval is how often a node compares what it holds with one other's, which
-	// takes 0.2 kB: one that was cut off has heard of a block by its third look.
+	// StepInterval is how often a node compares its digest with that of one other node,
+	// which takes 0.2 kB. A node that was cut off learns of a block by its third
+	// comparison.
 	StepInterval = time.Second
-	// casesPerNote is how many go in one note, some 400 bytes each, and casesNotes how
-	// many notes answer a digest.
+	// casesPerNote bounds the cases in one note, some 400 bytes each, and notesPerDigest
+	// the notes that answer a digest.
 	casesPerNote   = 30
 	notesPerDigest = 2
 )
 
-// caseMessage is a case as one node tells it to another, or writes it to the store. Times are
-// told as ages, as nodes have no clock in common.
+// caseMessage is a case as it is sent to other nodes and stored. Times are encoded as ages,
+// as nodes have no common clock.
 type caseMessage struct {
 	Content   site.Fingerprint `json:"c"`
 	QuickHash uint64           `json:"s"`
@@ -40,8 +41,8 @@
 
 type endMessage struct {
 	Replica    string `json:"r"`
-	StartedAgo int64  `json:"b"` // How many milliseconds ago.
-	EndedAgo   int64  `json:"a"` // How many milliseconds ago.
+	StartedAgo int64  `json:"b"` // In milliseconds.
+	EndedAgo   int64  `json:"a"` // In milliseconds.
 }
 
 func newCaseMessage(c suspect.Case, now time.Time) caseMessage {
@@ -55,43 +56,47 @@
 	return message
 }
 
-// caseAt is the case that is told of, if the news is of a time.
-func (w *caseMessage) decode(writtenAt time.Time) suspect.Case {
+// decode returns the case, with the ages counted back from writtenAt.
+func (m *caseMessage) decode(writtenAt time.Time) suspect.Case {
 	ago := func(ms int64) time.Time { return writtenAt.Add(-time.Duration(max(0, ms)) * time.Millisecond) }
-	c := suspect.Case{Content: w.Content, QuickHash: w.QuickHash}
-	if w.FinishedAgo > 0 {
-		c.Finished = ago(w.FinishedAgo)
+	c := suspect.Case{Content: m.Content, QuickHash: m.QuickHash}
+	if m.FinishedAgo > 0 {
+		c.Finished = ago(m.FinishedAgo)
 	}
-	for _, e := range w.Ends {
+	for _, e := range m.Ends {
 		c.Ends = append(c.Ends, suspect.ReplicaEnd{Replica: e.Replica, StartedAt: ago(e.StartedAgo), EndedAt: ago(e.EndedAgo)})
 	}
 	return c
 }
 
-// casesNote is what is told in one note.
+// casesNote holds the parameters of NoteCases.
 type casesNote struct {
 	Cases []caseMessage `json:"c"`
-	// Collect says that the hearer owns the request: it tells all nodes if need be.
+	// Collect says that the receiver is an owner of the request, and tells all nodes once
+	// the request is watched or blocked.
 	Collect bool `json:"o,omitempty"`
-	// Relay says that the hearer tells it on in its hall.
+	// Relay says that the receiver forwards the note to its hall.
 	Relay bool `json:"p,omitempty"`
-	// FromDigest says that the hearer held something else: it missed what all were told.
+	// FromDigest says that the note answers a digest that differed, so the receiver missed
+	// what all nodes were told.
 	FromDigest bool `json:"m,omitempty"`
 }
 
-// digestNote tells of what a node holds.
+// digestNote holds the parameters of NoteDigest.
 type digestNote struct {
 	From   netip.AddrPort `json:"f"`
 	Digest uint64         `json:"d"`
-	// Answer says that it answers such a note.
+	// Answer says that the note answers another digest.
 	Answer bool `json:"a,omitempty"`
-	// Learning says that the node has just started, and waits for an answer also where
-	// both hold the same; Knows that the one who answers has heard what is blocked.
+	// Learning says that the sender has just started and needs an answer even if both
+	// digests are equal. Learned says that the sender of an answer knows the blocked
+	// requests.
 	Learning bool `json:"l,omitempty"`
 	Learned  bool `json:"k,omitempty"`
 }
 
-// announce tells other nodes what this one has seen of a request.
+// announce tells other nodes what this one has seen of a request: all nodes if it is or was
+// watched or blocked, otherwise its owners.
 func (s *Suspects) announce(c suspect.Case, change suspect.MergeResult, now time.Time) {
 	if change.Before != suspect.Allowed || change.After != suspect.Allowed {
 		s.broadcast(c)
@@ -112,7 +117,7 @@
 	})
 }
 
-// allowAnnounce bounds what is told of first ends.
+// allowAnnounce limits the rate at which first ends are announced.
 func (s *Suspects) allowAnnounce(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +128,7 @@
 	return s.announced <= maxFirstEndsPerSecond
 }
 
-// broadcast tells all nodes.
+// broadcast sends a case to all nodes.
 func (s *Suspects) broadcast(c suspect.Case) {
 	s.sendTwice(func(try int) {
 		messages := []caseMessage{newCaseMessage(c, boottime.Now())}
@@ -133,16 +138,16 @@
 	})
 }
 
-// resendDelay is after how long a note is sent once more, as it may be lost.
+// resendDelay is the time after which sendTwice sends again.
 const resendDelay = 120 * time.Millisecond
 
-// sendTwice does something now and once more a little later, as notes may be lost.
+// sendTwice sends now and once more after resendDelay, as notes may be lost.
 func (s *Suspects) sendTwice(send func(try int)) {
 	send(0)
 	time.AfterFunc(resendDelay, func() { send(1) })
 }
 
-// HandleCases takes in what another node tells.
+// HandleCases handles a NoteCases of another node.
 func (s *Suspects) HandleCases(params json.RawMessage) {
 	var note casesNote
 	if err := json.Unmarshal(params, &note); err != nil {
@@ -163,21 +168,24 @@
 		}
 	}
 	if len(missed) > 0 {
-		// The others of this hall have likely missed it, too, as those that tell the hall may be
-		// cut off: alone, each would hear of it some seconds later.
+		// The other nodes of this hall have likely missed the block too, as the hall's relays
+		// may be cut off. By comparing digests they would learn of it some seconds later.
 		s.sendTwice(func(int) { s.notifier.SendNote(s.notifier.HallPeers(), NoteCases, casesNote{Cases: missed}) })
 	}
 }
 
-// missedBlockAge is how long ago an end must be at most for a block to be one that a hall may have
-// missed: a node that has just started hears of all blocks so.
+// missedBlockAge is the age of the last event up to which a block counts as missed by the
+// hall. A node that has just started learns of older blocks by digest, too, and need not
+// tell its hall.
 const missedBlockAge = 10 * time.Second
 
-// finishJitter is over what time nodes that have finished a request which others suspect
-// say so. The first ones save the rest the word.
+// finishJitter spreads the announcements of nodes that have finished a request which others
+// suspect. The first ones make the rest unnecessary.
 const finishJitter = 400 * time.Millisecond
 
-// take takes in what another node tells of a request; its owners tell all nodes if need be.
+// mergeReceived merges a case that another node has sent. It is broadcast if this node
+// collects its evidence as an owner and it is watched or blocked, or if this node has
+// finished the request.
 func (s *Suspects) mergeReceived(received suspect.Case, collect bool) (change suspect.MergeResult) {
 	change = s.register.Merge(received)
 	c := s.register.Case(received.Content)
@@ -195,16 +203,17 @@
 	return change
 }
 
-// Step forgets what is old and compares what this node holds with another one's; the timer
-// service calls it.
+// Step deletes old cases and compares the digest of this node with that of another one. The
+// timer service calls it.
 func (s *Suspects) Step(context.Context) {
 	now := boottime.Now()
 	s.register.Expire(now)
 	s.forgetDelisted(now)
-	s.sendDigest(s.members.View().All) // The dead too: this node may have been cut off.
+	s.sendDigest(s.members.View().All) // Failed members too, as this node may have been cut off.
 }
 
-// HandleDigest answers a node that holds something else than this one.
+// HandleDigest handles a NoteDigest. If the digests differ, it sends cases that the other
+// node may lack.
 func (s *Suspects) HandleDigest(params json.RawMessage) {
 	var received digestNote
 	if err := json.Unmarshal(params, &received); err != nil || !received.From.IsValid() {
@@ -223,8 +232,8 @@
 		return
 	}
 	cases := s.register.Flagged(unlimited)
-	// Also what is free again, or the other one would go on holding that up: of all that know,
-	// few have finished it themselves, and so speak of it unasked.
+	// Cleared cases are included, as the other node may still watch them: of the nodes that
+	// know of a finish, only the few that saw it themselves announce it.
 	cases = append(cases, s.register.Cleared(casesPerNote)...)
 	rand.Shuffle(len(cases), func(i, j int) { cases[i], cases[j] = cases[j], cases[i] })
 	now := boottime.Now()
@@ -242,10 +251,10 @@
 	}
 }
 
-// unlimited is over what a node may hold.
+// unlimited is a limit above any number of cases.
 const unlimited = 1 << 20
 
-// ServeRun answers a node that asks whether a watched request may run.
+// ServeRun answers a MethodRun call of another node.
 func (s *Suspects) ServeRun(_ context.Context, params json.RawMessage) (any, error) {
 	var req runRequest
 	if err := json.Unmarshal(params, &req); err != nil {
@@ -255,6 +264,7 @@
 	return runAnswer{Run: s.register.GrantRun(req.Content, req.Node, maxRun, boottime.Now())}, nil
 }
 
+// ServeRunEnded answers a MethodRunEnded call of another node.
 func (s *Suspects) ServeRunEnded(_ context.Context, params json.RawMessage) (any, error) {
 	var req runRequest
 	if err := json.Unmarshal(params, &req); err != nil {
--- a/service/suspects/suspects.go
+++ b/service/suspects/suspects.go
@@ -20,17 +20,18 @@
 	"github.com/drumpath/drumpath/pkg/suspect"
 )
 
-// Suspects is what this node and the others know of requests under which replicas ended.
+// Suspects holds what this node and the others know of requests under which replicas ended.
 //
-// What a node has seen it tells to a few nodes that hashing gives the request to, and they
-// tell all nodes once it is watched or blocked. A replica that ends has up to some dozens
-// of requests in flight; told to all, a hall that ends would cost each of 900 nodes 1.6 MB.
+// A node tells a first end only to the few owners that the request hashes to; they tell all
+// nodes once the request is watched or blocked. A replica that ends has up to some dozens
+// of requests in flight. If all of them were told to all nodes, the loss of a hall would
+// cost each of 900 nodes 1.6 MB.
 //
-//	learnt by                            told to
-//	a first end, seen here               the request's owners, twice
-//	a further one; a finish              all nodes, twice
-//	a digest that differs, each second   one node at random, both ways
-//	a block                                the platform's store, for when all start anew
+//	event                                told to
+//	first end seen at this node          owners of the request, twice
+//	further end, finish                  all nodes, twice
+//	differing digest, each second        one random node, both ways
+//	block                                the platform's store, for a start of all nodes
 type Suspects struct {
 	self     control.Member
 	members  *control.Members
@@ -40,36 +41,36 @@
 	log      *slog.Logger
 	notifier Notifier
 	metrics  metrics
-	// dial says whether an address can't be reached.
+	// dial returns an error if an address takes no connection.
 	dial func(addr netip.AddrPort) error
 	wg   sync.WaitGroup
 
 	mu             sync.Mutex
 	learning       learning
 	lostRuns       []LostRun
-	delistedAt     map[string]time.Time // When replicas that had not said that they leave went, by ID.
-	announced      int                  // Ends told since toldFrom.
-	announceWindow time.Time            // Begin of a second.
+	delistedAt     map[string]time.Time // By replica ID, for replicas that had not reported to be draining.
+	announced      int                  // First ends announced since announceWindow.
+	announceWindow time.Time            // Start of the current second.
 	stored         map[site.Fingerprint]bool
-	nextSave       time.Time // The store is not written before.
+	nextSave       time.Time // Earliest time of the next write to the store.
 }
 
-// Store is where blocked requests are kept.
+// Store holds the row of blocked requests.
 type Store interface {
 	List(ctx context.Context, t site.Table) (site.Listing, error)
-	// Put writes a row that has the expected version; the error wraps site.ErrConflict
-	// when it has another.
+	// Put writes a row that has the expected version. If the row has another version, the
+	// error wraps site.ErrConflict.
 	Put(ctx context.Context, t site.Table, key string, value []byte, expected int64) (site.Listing, error)
 }
 
-// Notifier sends notes, which may be lost, to other nodes.
+// Notifier sends notes to other nodes. Notes may be lost.
 type Notifier interface {
-	// SendNote sends one to some nodes, and returns the bytes sent.
+	// SendNote sends a note to some nodes and returns the bytes sent.
 	SendNote(to []netip.AddrPort, method string, params any) (sent int)
-	// Recipients are the nodes to tell what all are to hear, and those that tell it on in
-	// their halls, others at each try.
+	// Recipients returns the nodes to send a broadcast to: those to tell directly, and
+	// relays that forward it to their halls. Each try has other relays.
 	Recipients(try int) (direct, relays []netip.AddrPort)
-	// HallPeers are the other nodes of this one's hall.
+	// HallPeers are the other nodes of this node's hall.
 	HallPeers() []netip.AddrPort
 }
 
@@ -80,17 +81,17 @@
 }
 
 type metrics struct {
-	ends        atomic.Int64 // Replicas that ended, counted for each request in flight there.
-	unannounced atomic.Int64 // Of these, not told to other nodes for want of time.
+	ends        atomic.Int64 // Ends of replicas, counted for each request in flight there.
+	unannounced atomic.Int64 // Ends not announced because of the rate limit.
 }
 
-// LostRun is a request whose replica gave no whole answer, and may have ended.
+// LostRun is a run whose answer was lost or incomplete. Its replica may have ended.
 type LostRun struct {
 	Content   site.Fingerprint
 	QuickHash uint64
-	RequestID string // The caller's name of its attempt.
+	RequestID string // The caller's request ID.
 	Replica   string // The replica's ID.
-	StartKey  string // Its start.
+	StartKey  string // From StartKeyOf.
 	Addr      netip.AddrPort
 	StartedAt time.Time
 	LostAt    time.Time // When the answer was lost.
@@ -99,29 +100,31 @@
 }
 
 const (
-	// ownerCount is how many nodes a request's ends are told to: one may have ended with a
-	// replica beside it, and one be cut off.
+	// ownerCount is how many owners a request has: one may have ended together with a
+	// replica, and one may be cut off.
 	ownerCount      = 3
 	ownerDutyPrefix = "ends/"
-	// refusedWindow is how long before a refused connection an answer may have been lost for
-	// the replica to have ended under that request: others try it many times a second.
+	// refusedWindow is how long before a refused connection an answer may have been lost
+	// for the end of the replica to count against its request. Other requests try the
+	// replica many times a second, so a refusal is seen soon.
 	refusedWindow = 2 * time.Second
-	// listedWindow is that before the platform's list drops the replica, which takes up to
-	// three of its heartbeats, or has a new start of it.
+	// listedWindow is the same for a replica that the platform's list drops, which takes up
+	// to three of its heartbeats, or lists with a new start.
 	listedWindow = 10 * time.Second
-	// dialTimeout bounds a look whether a replica takes connections, which takes some
+	// dialTimeout bounds a check whether a replica takes connections, which takes some
 	// milliseconds.
 	dialTimeout = 400 * time.Millisecond
-	// maxRunTime is over how long any request is held.
+	// maxRunTime is longer than any request may take.
 	maxRunTime = time.Minute
-	// maxLostRuns bounds the answers that are remembered as lost, some 100 bytes each.
+	// maxLostRuns bounds the lost runs that are remembered, some 100 bytes each.
 	maxLostRuns = 2048
-	// maxFirstEndsPerSecond is how many first ends a node tells in a second, some 150 bytes six times.
+	// maxFirstEndsPerSecond bounds the first ends that a node announces in a second; each
+	// takes six notes of some 150 bytes.
 	maxFirstEndsPerSecond = 100
 )
 
-// New returns what a node knows, which is nothing yet. Without a store nothing outlasts all
-// nodes. SetNotifier is to be called before anything else.
+// New returns a Suspects that knows no requests. Without a store, what is known is lost
+// when all nodes stop. SetNotifier must be called before any other method.
 func New(self control.Member, members *control.Members, store Store, client Caller, log *slog.Logger) *Suspects {
 	return &Suspects{
 		self:       self,
@@ -137,7 +140,7 @@
 	}
 }
 
-// Close waits for what is under way.
+// Close waits for calls in progress.
 func (s *Suspects) Close() { s.wg.Wait() }
 
 func dial(addr netip.AddrPort) error {
@@ -148,16 +151,16 @@
 	return conn.Close()
 }
 
-// SetNotifier says by whom other nodes are told.
+// SetNotifier sets how notes are sent to other nodes.
 func (s *Suspects) SetNotifier(n Notifier) { s.notifier = n }
 
 // Empty says whether nothing is known of any request.
 func (s *Suspects) Empty() bool { return s.register.Empty() }
 
-// Case is what is known of a request.
+// Case returns what is known of a request.
 func (s *Suspects) Case(f site.Fingerprint) suspect.Case { return s.register.Case(f) }
 
-// StartKeyOf names a start of a replica; started is zero where that is not known.
+// StartKeyOf identifies one start of a replica. started is zero if it is not known.
 func StartKeyOf(id string, started time.Time) string {
 	if started.IsZero() {
 		return id
@@ -165,12 +168,13 @@
 	return id + "@" + strconv.FormatInt(started.UnixMilli(), 10)
 }
 
-// NotListening says whether an error of a new connection shows that no process listens any
-// more. A path that is cut shows nothing of the kind: every replica would seem to end.
+// NotListening says whether the error of a new connection shows that no process listens at
+// its address. Timeouts don't show that: when the network is cut, every replica would seem
+// to have ended.
 func NotListening(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// RecordLostRun notes a request whose replica may have ended. If the replica's entry has gone
-// while its answer was still waited for, that is found out.
+// RecordLostRun notes a request whose replica may have ended. If the replica was delisted
+// while its answer was awaited, RecordLostRun checks whether it has ended.
 func (s *Suspects) RecordLostRun(run LostRun) {
 	s.mu.Lock()
 	if len(s.lostRuns) >= maxLostRuns {
@@ -184,8 +188,8 @@
 	}
 }
 
-// checkReachable finds out whether a replica whose entry has gone has ended: one that leaves without
-// a word serves on for a while.
+// checkReachable checks whether a delisted replica has ended: one that leaves without
+// notice goes on serving for a while.
 func (s *Suspects) checkReachable(id string, addr netip.AddrPort) {
 	s.wg.Go(func() {
 		if s.dial(addr) == nil {
@@ -207,29 +211,30 @@
 	}
 }
 
-// recordDelistedAt notes that a replica has gone, or started anew.
+// recordDelistedAt notes when a replica was delisted.
 func (s *Suspects) recordDelistedAt(id string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delistedAt[id] = now
 }
 
-// forgetDelisted forgets replicas that went longer ago than any request is held.
+// forgetDelisted forgets replicas that were delisted longer ago than any request takes.
 func (s *Suspects) forgetDelisted(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	maps.DeleteFunc(s.delistedAt, func(_ string, at time.Time) bool { return now.Sub(at) > maxRunTime })
 }
 
-// RecordNotListening notes that the address of a start of a replica takes no connections any more.
+// RecordNotListening notes that nothing listens any more at the address of one start of a
+// replica.
 func (s *Suspects) RecordNotListening(startKey string, now time.Time) {
 	s.confirmEnds(now, func(r *LostRun) bool {
 		return r.StartKey == startKey && !r.Reachable && now.Sub(r.LostAt) < refusedWindow
 	})
 }
 
-// RecordDelisted notes that the platform's list has no longer a replica that did not say that it was
-// leaving. If answers were lost there, it is found out whether it has ended.
+// RecordDelisted notes that the platform no longer lists a replica that had not reported to
+// be draining. If answers of it were lost, RecordDelisted checks whether it has ended.
 func (s *Suspects) RecordDelisted(id string, now time.Time) {
 	s.recordDelistedAt(id, now)
 	s.mu.Lock()
@@ -244,20 +249,21 @@
 	}
 }
 
-// RecordRestart notes that a replica that had not said that it was leaving has started anew
+// RecordRestart notes that a replica that had not reported to be draining has restarted
 // under its ID.
 func (s *Suspects) RecordRestart(id string, now time.Time) {
 	s.confirmEnds(now, func(r *LostRun) bool { return r.Replica == id })
 }
 
-// confirmEnds takes those of the lost answers whose replica has ended as ends.
+// confirmEnds records the ends of those lost runs whose replica has ended, and drops old
+// ones.
 func (s *Suspects) confirmEnds(now time.Time, ended func(*LostRun) bool) {
 	var list []LostRun
 	s.mu.Lock()
 	pending := s.lostRuns[:0]
 	for _, r := range s.lostRuns {
 		switch {
-		case now.Sub(r.LostAt) >= listedWindow: // What happens now has nothing to do with it.
+		case now.Sub(r.LostAt) >= listedWindow: // Too old to be caused by this event.
 		case ended(&r):
 			list = append(list, r)
 		default:
@@ -307,7 +313,7 @@
 	}
 }
 
-// logChange logs a change of what is done with a request.
+// logChange logs a change of the verdict on a request.
 func (s *Suspects) logChange(c suspect.Case, change suspect.MergeResult) {
 	if change.Before == change.After {
 		return
@@ -319,12 +325,12 @@
 	s.log.Warn("request suspected", "content", c.Content, "verdict", change.After.String(), "ends", len(c.Ends), "replicas", c.Replicas())
 }
 
-// owners are the nodes that collect what is known of a request.
+// owners are the nodes that collect the evidence about a request and grant its runs.
 func (s *Suspects) owners(f site.Fingerprint) []control.Member {
 	return control.Owners(s.members.View().Working, ownerDutyPrefix+f.String(), ownerCount)
 }
 
-// Status is what is served of it.
+// Status is the part of a node's status that Suspects reports.
 type Status struct {
 	Ends        int64 `json:"ends"`
 	Unannounced int64 `json:"ends_untold"`
@@ -332,7 +338,7 @@
 	Blocked     int   `json:"blocked"`
 }
 
-// Status counts what is known.
+// Status returns the current counts.
 func (s *Suspects) Status() Status {
 	watched, blocked := s.register.Count()
 	return Status{
