--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -18,20 +18,20 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// memoryStore is the platform's store, in memory.
+// memoryStore is an in-memory implementation of the platform's store.
 type memoryStore struct {
 	mu          sync.Mutex
 	rows        map[string]site.Row
 	version     int64
 	createdAt   time.Time
-	unreachable map[string]bool // By node that calls.
+	unreachable map[string]bool // By calling node.
 }
 
 func newMemoryStore() *memoryStore {
 	return &memoryStore{rows: map[string]site.Row{}, version: 1, createdAt: time.Now(), unreachable: map[string]bool{}}
 }
 
-// nodeStore is the store as one node reaches it.
+// nodeStore is the store as seen by one node, which may be unable to reach it.
 type nodeStore struct {
 	*memoryStore
 	node string
@@ -64,31 +64,32 @@
 	return site.Listing{Version: v.version, Now: time.Since(v.createdAt)}, nil
 }
 
-func (s *memoryStore) setUnreachable(node string, yes bool) {
+func (s *memoryStore) setUnreachable(node string, unreachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unreachable[node] = yes
+	s.unreachable[node] = unreachable
 }
 
-// receivedOrder is one order as a replica got it.
+// receivedOrder is one order as a replica received it.
 type receivedOrder struct {
 	at      time.Time
 	replica string
 	order   site.Order
 }
 
-// fakeFleet is replicas that take a while to load, and who hears of swaps.
+// fakeFleet simulates replicas that take loadTime to load weights, and records what it is
+// told of swaps.
 type fakeFleet struct {
 	mu           sync.Mutex
 	replicas     map[string]*fakeReplica
 	version      int64
 	orders       []receivedOrder
 	avoided      []string
-	avoidedUntil map[string]time.Time // Steered away from, by replica.
+	avoidedUntil map[string]time.Time // By replica.
 	ranks        map[string]int
-	drained      []string // Heard of as such.
-	dropAnswers  bool     // Orders are taken and not answered.
-	delayOrders  bool     // And carried out seconds later.
+	drained      []string // Recorded with RecordDraining.
+	dropAnswers  bool     // Orders are executed but not answered.
+	delayOrders  bool     // Orders are not answered, and executed 5 s later.
 }
 
 type fakeReplica struct {
@@ -97,7 +98,7 @@
 	version  int64
 	orders   int64
 	busy     bool
-	draining bool // As it reports.
+	draining bool // In its report.
 }
 
 const loadTime = 760 * time.Millisecond
@@ -150,7 +151,8 @@
 	return site.OrderAccepted, nil
 }
 
-// execute begins to load, unless others have ordered since; the caller holds mu.
+// execute begins to load, unless the replica is busy or has accepted other orders since.
+// The caller holds mu.
 func (f *fakeFleet) execute(r *fakeReplica, o site.Order) bool {
 	if r.busy || r.orders != o.Orders {
 		return false
@@ -166,7 +168,7 @@
 	return true
 }
 
-// fleetView is the fleet as one node sees it.
+// fleetView is the fleet as seen by one node.
 type fleetView struct {
 	*fakeFleet
 	node string
@@ -197,7 +199,8 @@
 	e.avoided = append(e.avoided, t.ID)
 }
 
-// CountSwapping counts those that load: nodes hear at once what others begin.
+// CountSwapping counts the replicas that are avoided: all nodes learn at once of the swaps
+// of others.
 func (e fleetView) CountSwapping() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -242,7 +245,7 @@
 
 const testPause = 3 * time.Second
 
-// startRollouts steps the rollouts of some nodes until the returned function is called.
+// startRollouts calls Step for some nodes until the returned function is called.
 func startRollouts(t *testing.T, s *memoryStore, f *fakeFleet, nodes ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -263,15 +266,15 @@
 	}
 }
 
-// checkOrders fails where orders of two nodes to one replica come closer than the
-// pause, or with a fence that does not rise.
+// checkOrders fails if orders of two nodes to one replica are closer than testPause, or if
+// the fence of a new holder does not rise.
 func checkOrders(t *testing.T, list []receivedOrder) {
 	t.Helper()
 	last := map[string]receivedOrder{}
 	for _, g := range list {
 		l, known := last[g.replica]
 		if known && l.order.Holder != g.order.Holder {
-			assert.Assert(t, g.at.Sub(l.at) >= testPause, "turns of %s and %s at %s within %s", l.order.Holder, g.order.Holder, g.replica, g.at.Sub(l.at))
+			assert.Assert(t, g.at.Sub(l.at) >= testPause, "orders of %s and %s to %s within %s", l.order.Holder, g.order.Holder, g.replica, g.at.Sub(l.at))
 			assert.Assert(t, g.order.Fence > l.order.Fence)
 		}
 		assert.Assert(t, !known || g.order.Fence >= l.order.Fence)
@@ -284,7 +287,7 @@
 		s, f := newMemoryStore(), newFakeFleet(18)
 		stop := startRollouts(t, s, f, "n1", "n2", "n3")
 		time.Sleep(time.Second)
-		assert.Equal(t, len(f.orders), 0, "nothing is ordered while nothing is named")
+		assert.Equal(t, len(f.orders), 0, "no orders before a new version is set")
 		f.setVersion(2)
 		time.Sleep(8 * time.Second)
 		assert.Equal(t, f.outdated(), 0)
@@ -295,8 +298,7 @@
 	})
 }
 
-// In a small fleet one replica of each group would be more than may be away at once.
-// Weights were loaded into a replica that had said that it is about to end.
+// New weights were loaded into a replica that had reported to be draining.
 func TestDrainingReplicaGetsNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(6)
@@ -313,6 +315,7 @@
 	})
 }
 
+// In a small fleet one replica of each group would be more than may be swapped at once.
 func TestNoMoreThanAShareIsSwappedAtOnce(t *testing.T) {
 	for _, n := range []int{4, 9, 18, 60} {
 		synctest.Test(t, func(t *testing.T) {
@@ -331,14 +334,14 @@
 				f.mu.Unlock()
 				assert.Assert(t, busy <= maxSwaps(n), "%d of %d at once", busy, n)
 			}
-			assert.Equal(t, f.outdated(), 0, "all of %d are done", n)
+			assert.Equal(t, f.outdated(), 0, "all of %d replicas are swapped", n)
 			stop()
 		})
 	}
 }
 
-// A holder that is cut off from the store stops by itself, and another takes over
-// without ordering a replica within the pause.
+// A holder that can't reach the store stops by itself. Another node takes over, and no
+// replica gets orders of both within the pause.
 func TestLeaseHolderWithoutStoreIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(18)
@@ -356,7 +359,7 @@
 	})
 }
 
-// Orders that are not answered and come late find that others have come between.
+// Unanswered orders that arrive late are refused, as the replica has accepted others since.
 func TestLateOrderDoesNotRestoreOlderWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(6)
@@ -371,7 +374,7 @@
 		time.Sleep(12 * time.Second)
 		assert.Equal(t, f.outdated(), 0)
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, f.outdated(), 0, "no late order has put an older version back")
+		assert.Equal(t, f.outdated(), 0, "no late order has restored an older version")
 		stop()
 	})
 }
@@ -389,12 +392,8 @@
 	})
 }
 
-// The lease is not held by two at once, whatever is cut off when.
-// Symptom: a node that was stopped held up new weights for the rest of a lease's term.
-// Sequence: it gave its leases back at the beginning of its stop, looked again 100 ms
-// later, found them free and its own, and took them.
-// Cause: giving back for good was the same as giving back what is not needed just now.
-// What settled it: the rows after a stop, with the node as their holder for 2 s more.
+// A node that was stopped delayed new weights for the rest of a lease's term: it released
+// its leases when its stop began, found them free 100 ms later, and acquired them again.
 func TestStoppingNodeDoesNotReacquireLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(18)
@@ -414,7 +413,7 @@
 	})
 }
 
-// slowStore is the store as a node reaches it whose look-ups take a while to come back.
+// slowStore is a store whose List answers take a while.
 type slowStore struct {
 	nodeStore
 	delay time.Duration
@@ -426,13 +425,10 @@
 	return l, err
 }
 
-// Symptom: a node that was stopped held up new weights for the rest of a lease's term,
-// though it had given its leases back.
-// Sequence: it had looked at a free lease and was waiting for the answer when its stop
-// began; it had nothing to give back then, and took the lease as the answer came.
-// Cause: whether the node was leaving was asked before the look and not before the write.
-// What settled it: the row after a stop that fell into a look, with the node as its holder
-// for 2 s from then on.
+// A node that was stopped delayed new weights for the rest of a lease's term, though it had
+// released its leases. It was waiting for the row of a free lease when its stop began, and
+// acquired the lease when the answer came: it checked for the stop before the read, but not
+// before the write.
 func TestLeaseReadDuringStopDoesNotAcquire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const listDelay = 20 * time.Millisecond
@@ -451,6 +447,7 @@
 	})
 }
 
+// Two nodes never hold the lease at once, even if one can't reach the store.
 func TestLeaseHasOneHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newMemoryStore()
@@ -479,8 +476,8 @@
 	})
 }
 
-// A holder's machine is suspended, and another node takes the lease meanwhile. The steady
-// clock of the first has not moved on.
+// A holder's machine is suspended and another node acquires the lease meanwhile. The
+// monotonic clock of the first does not advance during the suspension.
 func TestLeaseExpiresDuringASuspension(t *testing.T) {
 	s := newMemoryStore()
 	l := NewLease("l", "a", testPause, nodeStore{s, "a"}, slog.New(slog.DiscardHandler))
--- a/pkg/suspect/register_test.go
+++ b/pkg/suspect/register_test.go
@@ -23,7 +23,7 @@
 	return suspect.QuickHash("org-one", "POST", "boards.example", "/x", []byte(name))
 }
 
-// endCase is that a replica ended under a request, after a run of 0.1 s.
+// endCase is the end of a replica under a request, after a run of 0.1 s.
 func endCase(name, replica string, s float64) suspect.Case {
 	return suspect.Case{Content: content(name), QuickHash: quickHash(name), Ends: []suspect.ReplicaEnd{{Replica: replica, StartedAt: at(s - 0.1), EndedAt: at(s)}}}
 }
@@ -37,10 +37,10 @@
 	r := suspect.NewRegister()
 	assert.Assert(t, r.Empty())
 	for i, want := range []suspect.Verdict{suspect.Allowed, suspect.Watched, suspect.Blocked, suspect.Blocked} {
-		done := r.Merge(endCase("a", fmt.Sprint("r", i), float64(i)))
-		assert.Assert(t, done.New)
-		assert.Equal(t, done.After, want, "end %d", i)
-		assert.Assert(t, !r.Merge(endCase("a", fmt.Sprint("r", i), float64(i))).New, "told twice")
+		result := r.Merge(endCase("a", fmt.Sprint("r", i), float64(i)))
+		assert.Assert(t, result.New)
+		assert.Equal(t, result.After, want, "end %d", i)
+		assert.Assert(t, !r.Merge(endCase("a", fmt.Sprint("r", i), float64(i))).New, "received twice")
 	}
 	assert.Equal(t, verdict(r, "b"), suspect.Allowed)
 	watched, blocked := r.Count()
@@ -48,8 +48,8 @@
 	assert.Equal(t, blocked, 1)
 }
 
-// Many replicas end at one moment for another reason: what is in flight at several of them
-// gets one more run.
+// Many replicas end at one moment for another reason. A request in flight at several of
+// them is allowed one more run.
 func TestSimultaneousEndsDoNotBlock(t *testing.T) {
 	r := suspect.NewRegister()
 	for i := range 5 {
@@ -67,32 +67,33 @@
 	r.Merge(endCase("a", "r1", 1))
 	r.Merge(endCase("a", "r2", 2))
 	assert.Equal(t, verdict(r, "a"), suspect.Watched)
-	done := r.Merge(finished(3))
-	assert.Equal(t, done.After, suspect.Allowed)
-	r.Merge(endCase("a", "r1", 1)) // Told late.
+	result := r.Merge(finished(3))
+	assert.Equal(t, result.After, suspect.Allowed)
+	r.Merge(endCase("a", "r1", 1)) // Received late.
 	r.Merge(endCase("a", "r3", 9))
 	r.Merge(endCase("a", "r4", 10))
 	assert.Equal(t, verdict(r, "a"), suspect.Allowed, "runs that began soon after it")
 	for i, s := range []float64{14, 15, 16} {
 		r.Merge(endCase("a", fmt.Sprint("s", i), s))
 	}
-	assert.Equal(t, verdict(r, "a"), suspect.Blocked, "a request may turn bad")
+	assert.Equal(t, verdict(r, "a"), suspect.Blocked, "a finished request may start to end replicas")
 	assert.Equal(t, r.Merge(finished(17)).After, suspect.Allowed)
 }
 
-// A finish that this node has seen counts though nobody spoke of ends then.
+// A finish that this node has seen clears a request whose ends it learns of only
+// afterwards.
 func TestOwnFinishIsRemembered(t *testing.T) {
 	r := suspect.NewRegister()
 	r.Finished(quickHash("a"), at(1))
-	told := endCase("a", "r1", 2)
-	told.Ends = append(told.Ends, suspect.ReplicaEnd{Replica: "r2", StartedAt: at(2), EndedAt: at(3)})
-	done := r.Merge(told)
-	assert.Equal(t, done.After, suspect.Allowed)
-	assert.Assert(t, done.OwnFinish, "others are to hear of it")
+	received := endCase("a", "r1", 2)
+	received.Ends = append(received.Ends, suspect.ReplicaEnd{Replica: "r2", StartedAt: at(2), EndedAt: at(3)})
+	result := r.Merge(received)
+	assert.Equal(t, result.After, suspect.Allowed)
+	assert.Assert(t, result.OwnFinish, "the finish is to be announced")
 	assert.Assert(t, r.ShouldAnnounce(content("a")))
 	assert.Assert(t, !r.ShouldAnnounce(content("a")), "once")
 	other := suspect.NewRegister()
-	other.Merge(told)
+	other.Merge(received)
 	assert.Equal(t, verdict(other, "a"), suspect.Watched)
 	other.Merge(r.Case(content("a")))
 	assert.Equal(t, verdict(other, "a"), suspect.Allowed)
@@ -108,7 +109,7 @@
 	r.Merge(endCase("a", "r2", 2))
 	assert.Assert(t, r.StartRun(f, time.Second, at(3)))
 	assert.Assert(t, !r.StartRun(f, time.Second, at(3.5)))
-	assert.Assert(t, r.StartRun(f, time.Second, at(4.1)), "nothing was heard of it in its time")
+	assert.Assert(t, r.StartRun(f, time.Second, at(4.1)), "the earlier run has timed out")
 	r.EndRun(f)
 	assert.Assert(t, r.StartRun(f, time.Second, at(4.2)))
 	r.Merge(endCase("a", "r3", 4.3))
@@ -130,7 +131,8 @@
 	assert.Assert(t, r.Empty())
 }
 
-// Somebody sends a great many requests: what is blocked stays so, and memory is bounded.
+// A great many requests are in flight where a replica ends: a blocked request stays
+// blocked, and memory is bounded.
 func TestManyCasesDoNotEvictABlockedOne(t *testing.T) {
 	r := suspect.NewRegister()
 	for i := range 3 {
@@ -140,7 +142,7 @@
 		r.Merge(endCase(fmt.Sprint("b", i), "r9", 4+float64(i)/1000))
 	}
 	assert.Equal(t, verdict(r, "blocked"), suspect.Blocked)
-	assert.Equal(t, len(r.Case(content("b0")).Ends), 0, "the oldest went")
+	assert.Equal(t, len(r.Case(content("b0")).Ends), 0, "the oldest case was evicted")
 	assert.Equal(t, len(r.Case(content("b4999")).Ends), 1)
 	assert.Equal(t, len(r.Flagged(10)), 1)
 }
@@ -154,7 +156,7 @@
 	}
 	assert.Equal(t, a.Digest(), b.Digest())
 	a.Merge(endCase("y", "r1", 5))
-	assert.Equal(t, a.Digest(), b.Digest(), "a first end is told to owners only")
+	assert.Equal(t, a.Digest(), b.Digest(), "a first end does not change the digest")
 	a.Merge(endCase("y", "r2", 6))
 	assert.Assert(t, a.Digest() != b.Digest())
 }
@@ -167,12 +169,12 @@
 	}
 }
 
-// A caller repeated a request under which replicas end many times at once, so that six or more
-// of its runs were under way together. Those ends are of one round; they filled the case, later ones were not
-// kept, and the request was never blocked: each node let it run again and again, once at a time.
+// A request was repeated so often that six or more of its runs were in flight when replicas
+// ended. Those ends are of one round. They filled the case, later ends were not stored, and
+// the request was never blocked: each node let it run again and again, once at a time.
 //
-// What settled it: of 1,920 plays of a fleet, the ten in which a run came later than 3 s after the third
-// end had all nodes know six ends, all begun before the first of them, and 20 to 31 replicas that ended.
+// Seen in ten of 1,920 simulated runs: all nodes knew six ends of runs that had begun
+// before the first end, while 20 to 31 replicas ended.
 func TestManySimultaneousEndsDoNotHideALaterEnd(t *testing.T) {
 	for n := 2; n <= 40; n++ {
 		r, other := suspect.NewRegister(), suspect.NewRegister()
@@ -186,7 +188,7 @@
 		}
 		assert.Equal(t, verdict(r, "a"), suspect.Watched)
 		assert.Equal(t, r.Merge(endCase("a", "later", 2)).After, suspect.Blocked, "behind %d ends", n)
-		// In whatever order nodes hear of them.
+		// The order in which ends are learnt does not matter.
 		other.Merge(endCase("a", "later", 2))
 		assert.DeepEqual(t, r.Case(content("a")).Ends, other.Case(content("a")).Ends)
 	}
--- a/service/suspects/suspects_test.go
+++ b/service/suspects/suspects_test.go
@@ -21,8 +21,8 @@
 	"github.com/drumpath/drumpath/pkg/suspect"
 )
 
-// testCluster is nodes that tell each other of suspects by notes that come late or not at
-// all, in virtual time.
+// testCluster is a set of nodes in virtual time whose notes are delayed and some of them
+// lost.
 type testCluster struct {
 	nodes     []*Suspects
 	byAddr    map[netip.AddrPort]*Suspects
@@ -30,9 +30,9 @@
 	rnd       *rand.Rand
 
 	mu            sync.Mutex
-	isolated      map[string]bool // Nodes that nobody hears and that hear nobody.
-	slowToAnswer  map[string]bool // Nodes that do what they are asked and answer too late.
-	bytesReceived map[string]int  // Received, by node.
+	isolated      map[string]bool // Nodes that exchange nothing with others.
+	slowToAnswer  map[string]bool // Nodes that execute calls and answer too late.
+	bytesReceived map[string]int  // By node.
 	endedAt       []time.Time
 	sentAt        []time.Time
 }
@@ -40,7 +40,7 @@
 const noteLossRate = 0.02
 
 func newTestCluster(n, halls int, noteDelay func() time.Duration) *testCluster {
-	f := &testCluster{
+	cluster := &testCluster{
 		byAddr:        map[netip.AddrPort]*Suspects{},
 		noteDelay:     noteDelay,
 		rnd:           rand.New(rand.NewPCG(uint64(n), 7)),
@@ -55,60 +55,60 @@
 			Peer: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i / 250), byte(1 + i%250)}), 1),
 		})
 	}
-	members := control.NewMembers(list[0], time.Second, nil, f.rnd)
+	members := control.NewMembers(list[0], time.Second, nil, cluster.rnd)
 	members.Merge(list[1:], time.Now())
 	for _, m := range list {
-		f.add(m, members)
+		cluster.add(m, members)
 	}
-	return f
+	return cluster
 }
 
-func (f *testCluster) add(m control.Member, members *control.Members) *Suspects {
-	s := New(m, members, nil, &delayedCaller{cluster: f, from: m.Name}, slog.New(slog.DiscardHandler))
-	s.SetNotifier(&delayedNotifier{self: m, members: members, cluster: f})
+func (cluster *testCluster) add(m control.Member, members *control.Members) *Suspects {
+	s := New(m, members, nil, &delayedCaller{cluster: cluster, from: m.Name}, slog.New(slog.DiscardHandler))
+	s.SetNotifier(&delayedNotifier{self: m, members: members, cluster: cluster})
 	s.MarkLearned()
-	f.nodes = append(f.nodes, s)
-	f.byAddr[m.Peer] = s
+	cluster.nodes = append(cluster.nodes, s)
+	cluster.byAddr[m.Peer] = s
 	return s
 }
 
-// disconnected says whether two nodes don't hear each other.
-func (f *testCluster) disconnected(a, b string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.isolated[a] != f.isolated[b] || f.isolated[a] && a != b
+// disconnected says whether no messages pass between two nodes.
+func (cluster *testCluster) disconnected(a, b string) bool {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.isolated[a] != cluster.isolated[b] || cluster.isolated[a] && a != b
 }
 
-// setIsolated cuts a node off from all others, or ends that.
-func (f *testCluster) setIsolated(isolated bool, s *Suspects) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.isolated[s.self.Name] = isolated
+// setIsolated isolates a node from all others, or ends that.
+func (cluster *testCluster) setIsolated(isolated bool, s *Suspects) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.isolated[s.self.Name] = isolated
 }
 
-func (f *testCluster) isSlow(name string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.slowToAnswer[name]
+func (cluster *testCluster) isSlow(name string) bool {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.slowToAnswer[name]
 }
 
-func (f *testCluster) random() float64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.rnd.Float64()
+func (cluster *testCluster) random() float64 {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.rnd.Float64()
 }
 
-// delayedNotifier delivers notes late.
+// delayedNotifier delivers notes after noteDelay, and loses some.
 type delayedNotifier struct {
 	self    control.Member
 	members *control.Members
 	cluster *testCluster
 }
 
-// smallHall is up to how many nodes a hall has for all of them to be told directly.
+// smallHall is the number of nodes up to which all nodes of a hall are told directly.
 const smallHall = 8
 
-// Recipients tells large halls through one of their nodes, another one at each try.
+// Recipients returns relays for large halls, others at each try.
 func (l *delayedNotifier) Recipients(try int) (direct, relays []netip.AddrPort) {
 	return l.members.View().Recipients(l.self.Name, smallHall, "news/", try)
 }
@@ -157,12 +157,12 @@
 	if err != nil {
 		return err
 	}
-	a, err := s.ServeRun(ctx, body)
+	answer, err := s.ServeRun(ctx, body)
 	if l.cluster.isSlow(s.self.Name) {
 		time.Sleep(within)
 		return errors.New("answered too late")
 	}
-	*result.(*runAnswer) = a.(runAnswer)
+	*result.(*runAnswer) = answer.(runAnswer)
 	return err
 }
 
@@ -181,8 +181,8 @@
 
 var deadlyContent = site.NewFingerprint("org-one", "POST", "h", "/x", []byte("deadly"))
 
-// runDeadly has a request that ends its replica after 0.1 s come to a node.
-func (f *testCluster) runDeadly(s *Suspects) {
+// runDeadly sends a request from a node; its replica ends after 0.1 s.
+func (cluster *testCluster) runDeadly(s *Suspects) {
 	c := s.register.Case(deadlyContent)
 	switch c.Verdict() {
 	case suspect.Blocked:
@@ -193,35 +193,36 @@
 		}
 	}
 	startedAt := time.Now()
-	f.mu.Lock()
-	f.sentAt = append(f.sentAt, startedAt)
-	startKey := fmt.Sprint("replica", len(f.sentAt))
-	f.mu.Unlock()
+	cluster.mu.Lock()
+	cluster.sentAt = append(cluster.sentAt, startedAt)
+	startKey := fmt.Sprint("replica", len(cluster.sentAt))
+	cluster.mu.Unlock()
 	time.Sleep(100 * time.Millisecond)
 	now := time.Now()
-	f.mu.Lock()
-	f.endedAt = append(f.endedAt, now)
-	f.mu.Unlock()
+	cluster.mu.Lock()
+	cluster.endedAt = append(cluster.endedAt, now)
+	cluster.mu.Unlock()
 	s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: startedAt, LostAt: now}, now)
 }
 
-// repeat sends it at any node again and again, several at once, and lets time pass.
-func (f *testCluster) repeatDeadly(every, d time.Duration, nodes []*Suspects) {
+// repeatDeadly calls runDeadly at random nodes at a fixed interval, also while earlier runs
+// are in progress.
+func (cluster *testCluster) repeatDeadly(every, d time.Duration, nodes []*Suspects) {
 	var wg sync.WaitGroup
 	startedAt := time.Now()
 	for next := startedAt; time.Since(startedAt) < d; next = next.Add(every) {
 		time.Sleep(time.Until(next))
-		f.mu.Lock()
-		s := nodes[f.rnd.IntN(len(nodes))]
-		f.mu.Unlock()
-		wg.Go(func() { f.runDeadly(s) })
+		cluster.mu.Lock()
+		s := nodes[cluster.rnd.IntN(len(nodes))]
+		cluster.mu.Unlock()
+		wg.Go(func() { cluster.runDeadly(s) })
 	}
 	wg.Wait()
 }
 
-// startSteps has each node compare what it holds with another's, each second.
-func (f *testCluster) startSteps(ctx context.Context) {
-	for _, s := range f.nodes {
+// startSteps calls Step and Learn of each node at their intervals.
+func (cluster *testCluster) startSteps(ctx context.Context) {
+	for _, s := range cluster.nodes {
 		go func() {
 			time.Sleep(rand.N(StepInterval))
 			for ctx.Err() == nil {
@@ -238,23 +239,23 @@
 	}
 }
 
-// runsAfterThirdEnd counts what was sent later than a time after the third end.
-func (f *testCluster) runsAfterThirdEnd(d time.Duration) (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, at := range f.sentAt {
-		if len(f.endedAt) > 2 && at.After(f.endedAt[2].Add(d)) {
+// runsAfterThirdEnd counts the runs that were sent later than d after the third end.
+func (cluster *testCluster) runsAfterThirdEnd(d time.Duration) (n int) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	for _, at := range cluster.sentAt {
+		if len(cluster.endedAt) > 2 && at.After(cluster.endedAt[2].Add(d)) {
 			n++
 		}
 	}
 	return n
 }
 
-// blockDeadline is within what operators allow a few more runs.
+// blockDeadline is how long after the third end operators allow a few more runs.
 const blockDeadline = 3 * time.Second
 
-// One request that ends its replicas is repeated at any node four times a second while
-// news come 5 ms late, or 0.1 to 1.3 s, with one note of fifty lost.
+// A request that ends its replicas is repeated at random nodes four times a second. Notes
+// arrive after 5 ms, or after 0.1 to 1.3 s, and one in fifty is lost.
 func TestRepeatedDeadlyRequestIsBlockedAtAllSizes(t *testing.T) {
 	soon := func() time.Duration { return 5 * time.Millisecond }
 	late := func() time.Duration { return 100*time.Millisecond + rand.N(1200*time.Millisecond) }
@@ -263,196 +264,196 @@
 			t.Run(fmt.Sprint(size.nodes, " nodes, ", name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
-					f := newTestCluster(size.nodes, size.halls, noteDelay)
-					f.startSteps(ctx)
-					f.repeatDeadly(250*time.Millisecond, 12*time.Second, f.nodes)
+					cluster := newTestCluster(size.nodes, size.halls, noteDelay)
+					cluster.startSteps(ctx)
+					cluster.repeatDeadly(250*time.Millisecond, 12*time.Second, cluster.nodes)
 					cancel()
 					time.Sleep(5 * time.Second)
-					t.Logf("%d replicas ended, %d runs later than %v", len(f.endedAt), f.runsAfterThirdEnd(blockDeadline), blockDeadline)
-					assert.Equal(t, f.runsAfterThirdEnd(blockDeadline), 0)
+					t.Logf("%d replicas ended, %d runs later than %v", len(cluster.endedAt), cluster.runsAfterThirdEnd(blockDeadline), blockDeadline)
+					assert.Equal(t, cluster.runsAfterThirdEnd(blockDeadline), 0)
 					most := 3
 					if name == "late" {
-						most = 14 // Those sent while two notes in a row, of an end and of the block, were under way.
+						most = 14 // Runs sent while two consecutive notes, of an end and of the block, were in flight.
 					}
-					assert.Assert(t, len(f.endedAt) <= most, "%d replicas ended", len(f.endedAt))
+					assert.Assert(t, len(cluster.endedAt) <= most, "%d replicas ended", len(cluster.endedAt))
 				})
 			})
 		}
 	}
 }
 
-// The nodes that tell the others of their halls what all are to hear were cut off as a
-// request was blocked, and not yet known to be. A node in one of these halls went on sending it
-// later than 3 s after the third end, about once in a hundred plays: it had heard of the block only
-// if it drew, once a second, a node to compare with that knew, and those were few there.
+// A hall's relays were cut off when a request was blocked, and not yet known to be. In
+// about one of a hundred simulated runs a node of the hall sent the request again more than
+// 3 s after the third end: it learnt of the block only when its digest, compared with one
+// random node a second, met one of the few nodes there that knew it.
 //
-// What settled it: in three of 240 plays with 20 of 71 nodes cut off, chosen at random, one run came
-// too late; with just the tellers cut off, the plays below.
+// With 20 of 71 random nodes cut off, one run was too late in three of 240 trials. This
+// test cuts off just the relays.
 func TestHallWithoutRelaysLearnsOfABlock(t *testing.T) {
-	const runs = 12
+	const rounds = 12
 	lateRuns := 0
-	for range runs {
+	for range rounds {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			f := newTestCluster(71, 3, func() time.Duration { return 5*time.Millisecond + rand.N(200*time.Millisecond) })
-			f.startSteps(ctx)
-			view := f.nodes[0].members.View()
+			cluster := newTestCluster(71, 3, func() time.Duration { return 5*time.Millisecond + rand.N(200*time.Millisecond) })
+			cluster.startSteps(ctx)
+			view := cluster.nodes[0].members.View()
 			for _, hall := range view.Halls() {
 				for _, m := range control.Owners(view.Hall(hall).Present, "news/"+hall, 3) {
-					f.isolated[m.Name] = true
+					cluster.isolated[m.Name] = true
 				}
 			}
-			connected := slices.DeleteFunc(slices.Clone(f.nodes), func(s *Suspects) bool { return f.isolated[s.self.Name] })
-			f.repeatDeadly(40*time.Millisecond, 8*time.Second, connected)
+			connected := slices.DeleteFunc(slices.Clone(cluster.nodes), func(s *Suspects) bool { return cluster.isolated[s.self.Name] })
+			cluster.repeatDeadly(40*time.Millisecond, 8*time.Second, connected)
 			cancel()
 			time.Sleep(2 * time.Second)
-			lateRuns += f.runsAfterThirdEnd(blockDeadline)
+			lateRuns += cluster.runsAfterThirdEnd(blockDeadline)
 		})
 	}
-	assert.Equal(t, lateRuns, 0, "runs later than %v after the third end, in %d plays", blockDeadline, runs)
+	assert.Equal(t, lateRuns, 0, "runs later than %v after the third end, in %d rounds", blockDeadline, rounds)
 }
 
-// Nodes that were cut off from all others while a request was blocked have heard of it
-// within the time that operators give them once they are back.
+// Nodes that were cut off from all others while a request was blocked learn of the block
+// within blockDeadline after they are connected again.
 func TestReconnectedNodesLearnOfABlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		late := func() time.Duration { return 5*time.Millisecond + rand.N(200*time.Millisecond) }
-		f := newTestCluster(71, 3, late)
-		f.startSteps(ctx)
-		isolated := f.nodes[:20]
+		cluster := newTestCluster(71, 3, late)
+		cluster.startSteps(ctx)
+		isolated := cluster.nodes[:20]
 		for _, s := range isolated {
-			f.isolated[s.self.Name] = true
+			cluster.isolated[s.self.Name] = true
 		}
-		f.repeatDeadly(250*time.Millisecond, 10*time.Second, f.nodes[20:])
-		ended := len(f.endedAt)
-		assert.Equal(t, f.runsAfterThirdEnd(blockDeadline), 0, "runs sent by those that were not cut off")
-		f.mu.Lock()
-		clear(f.isolated)
-		f.mu.Unlock()
+		cluster.repeatDeadly(250*time.Millisecond, 10*time.Second, cluster.nodes[20:])
+		ended := len(cluster.endedAt)
+		assert.Equal(t, cluster.runsAfterThirdEnd(blockDeadline), 0, "runs sent by connected nodes")
+		cluster.mu.Lock()
+		clear(cluster.isolated)
+		cluster.mu.Unlock()
 		time.Sleep(blockDeadline)
-		f.repeatDeadly(50*time.Millisecond, 3*time.Second, isolated)
+		cluster.repeatDeadly(50*time.Millisecond, 3*time.Second, isolated)
 		cancel()
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, ended >= 3, "%d replicas ended", ended)
-		assert.Equal(t, len(f.endedAt), ended)
+		assert.Equal(t, len(cluster.endedAt), ended)
 	})
 }
 
-// A hall's replicas end at one moment, each with requests in flight: what nodes are told
-// stays small.
+// All replicas of a hall end at one moment, each with requests in flight. What each node
+// receives about them stays small.
 func TestManySimultaneousEndsCostFewBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(900, 7, func() time.Duration { return 5 * time.Millisecond })
+		cluster := newTestCluster(900, 7, func() time.Duration { return 5 * time.Millisecond })
 		now := time.Now()
 		const replicas, each = 100, 12
 		for replica := range replicas {
 			for i := range each {
 				c := site.NewFingerprint("", "POST", "h", "/x", fmt.Appendf(nil, "%d %d", replica, i))
 				startKey := fmt.Sprint("replica", replica)
-				f.nodes[rand.IntN(len(f.nodes))].RecordEnd(LostRun{Content: c, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
+				cluster.nodes[rand.IntN(len(cluster.nodes))].RecordEnd(LostRun{Content: c, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
 			}
 		}
 		time.Sleep(time.Second)
-		f.mu.Lock()
-		defer f.mu.Unlock()
+		cluster.mu.Lock()
+		defer cluster.mu.Unlock()
 		sum, most := 0, 0
-		for _, n := range f.bytesReceived {
+		for _, n := range cluster.bytesReceived {
 			sum += n
 			most = max(most, n)
 		}
-		t.Logf("%d bytes a node, %d at most", sum/len(f.nodes), most)
-		assert.Assert(t, sum/len(f.nodes) < 2000)
+		t.Logf("%d bytes a node, %d at most", sum/len(cluster.nodes), most)
+		assert.Assert(t, sum/len(cluster.nodes) < 2000)
 	})
 }
 
-// A request that some nodes have finished is in flight where replicas end; nodes that have
-// not seen it finished suspect it, and the others say so.
+// A request that some nodes have finished is in flight where replicas end. Nodes that have
+// not seen it finish suspect it, until the others announce the finish.
 func TestFinishElsewhereClearsARequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		f := newTestCluster(295, 5, func() time.Duration { return 5 * time.Millisecond })
-		f.startSteps(ctx) // One note of fifty is lost; who has missed all finds that by comparing.
-		sketch := uint64(99)
-		for _, s := range f.nodes[100:140] {
-			s.register.Finished(sketch, time.Now())
+		cluster := newTestCluster(295, 5, func() time.Duration { return 5 * time.Millisecond })
+		cluster.startSteps(ctx) // A node that misses all notes learns of the finish by digest.
+		quickHash := uint64(99)
+		for _, s := range cluster.nodes[100:140] {
+			s.register.Finished(quickHash, time.Now())
 		}
 		now := time.Now()
-		for i, s := range f.nodes[:3] {
-			life := fmt.Sprint("replica", i)
-			s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: sketch, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
+		for i, s := range cluster.nodes[:3] {
+			startKey := fmt.Sprint("replica", i)
+			s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: quickHash, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
 		}
 		time.Sleep(blockDeadline)
 		cancel()
 		defer time.Sleep(2 * StepInterval)
-		for _, s := range f.nodes {
+		for _, s := range cluster.nodes {
 			c := s.register.Case(deadlyContent)
 			assert.Equal(t, c.Verdict(), suspect.Allowed, "%s", s.self.Name)
 		}
 	})
 }
 
-// A request was finished by some nodes while another one could not be reached. Back again, that
-// one went on for many seconds to have it run once at a time, and to refuse the rest. It asked
-// another node each second, but only the 40 of 295 that had finished the request themselves
-// said so, though all knew.
+// A node was cut off while others announced that a request had finished. Connected again,
+// it went on for many seconds to run the request once at a time and to refuse the rest. It
+// compared digests each second, but of the nodes that knew of the finish only the 40 of 295
+// that had seen it themselves sent it.
 func TestReconnectedNodeLearnsOfAFinish(t *testing.T) {
-	for play := range 4 {
+	for offset := range 4 {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer time.Sleep(2 * StepInterval)
 			defer cancel()
-			f := newTestCluster(295, 5, func() time.Duration { return 5 * time.Millisecond })
-			f.startSteps(ctx)
-			const sketch = uint64(99)
-			finishedAt, isolated := f.nodes[100:140], f.nodes[200+play]
-			for _, s := range finishedAt {
-				s.register.Finished(sketch, time.Now())
-				f.setIsolated(true, s)
+			cluster := newTestCluster(295, 5, func() time.Duration { return 5 * time.Millisecond })
+			cluster.startSteps(ctx)
+			const quickHash = uint64(99)
+			finishedNodes, isolated := cluster.nodes[100:140], cluster.nodes[200+offset]
+			for _, s := range finishedNodes {
+				s.register.Finished(quickHash, time.Now())
+				cluster.setIsolated(true, s)
 			}
 			now := time.Now()
-			for i, s := range f.nodes[:2] {
-				life := fmt.Sprint("replica", i)
-				s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: sketch, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
+			for i, s := range cluster.nodes[:2] {
+				startKey := fmt.Sprint("replica", i)
+				s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: quickHash, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
 			}
 			time.Sleep(blockDeadline)
 			c := isolated.register.Case(deadlyContent)
 			assert.Equal(t, c.Verdict(), suspect.Watched)
-			f.setIsolated(true, isolated)
-			for _, s := range finishedAt {
-				f.setIsolated(false, s)
+			cluster.setIsolated(true, isolated)
+			for _, s := range finishedNodes {
+				cluster.setIsolated(false, s)
 			}
 			time.Sleep(2 * blockDeadline)
-			f.setIsolated(false, isolated)
+			cluster.setIsolated(false, isolated)
 			time.Sleep(blockDeadline)
 			c = isolated.register.Case(deadlyContent)
-			assert.Check(t, c.Verdict() == suspect.Allowed, "%s has not heard within %v", isolated.self.Name, blockDeadline)
+			assert.Check(t, c.Verdict() == suspect.Allowed, "%s has not learnt of the finish within %v", isolated.self.Name, blockDeadline)
 		})
 	}
 }
 
-// A prompt stayed refused for 10 s while nothing of it was under way: "another one like it is
-// under way", twelve times in a row. The first owner that was asked for a grant gave one, but
-// answered later than it is waited for, so the second one was asked as well; told that the
-// run was over was only the first. Who asked and was refused must not end another's run.
+// A prompt was refused for 10 s, twelve times in a row, though none of its runs was in
+// progress. The first owner had granted a run but answered too late, so the second one was
+// asked as well; the end of the run was reported to the first owner only. A node whose run
+// was refused must not end the run of another node.
 func TestLateGrantDoesNotBlockLaterRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(71, 3, func() time.Duration { return 5 * time.Millisecond })
+		cluster := newTestCluster(71, 3, func() time.Duration { return 5 * time.Millisecond })
 		for i := range 2 {
 			now := time.Now()
-			life := fmt.Sprint("replica", i)
-			f.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
+			startKey := fmt.Sprint("replica", i)
+			cluster.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
 			time.Sleep(time.Second)
 		}
-		owners := f.nodes[0].owners(deadlyContent)
-		others := slices.DeleteFunc(slices.Clone(f.nodes), func(s *Suspects) bool {
+		owners := cluster.nodes[0].owners(deadlyContent)
+		others := slices.DeleteFunc(slices.Clone(cluster.nodes), func(s *Suspects) bool {
 			return slices.ContainsFunc(owners, func(o control.Member) bool { return o.Name == s.self.Name })
 		})
-		setSlow := func(yes bool, list ...control.Member) {
-			f.mu.Lock()
-			defer f.mu.Unlock()
+		setSlow := func(slow bool, list ...control.Member) {
+			cluster.mu.Lock()
+			defer cluster.mu.Unlock()
 			for _, o := range list {
-				f.slowToAnswer[o.Name] = yes
+				cluster.slowToAnswer[o.Name] = slow
 			}
 		}
 		mayRun := func(s *Suspects) bool { return s.MayRun(t.Context(), deadlyContent, 4*time.Second) }
@@ -464,16 +465,16 @@
 		x, y, z := others[0], others[1], others[2]
 		setSlow(true, owners[0])
 		assert.Assert(t, mayRun(x))
-		assert.Assert(t, !mayRun(y), "one is under way")
+		assert.Assert(t, !mayRun(y), "one is in progress")
 		time.Sleep(50 * time.Millisecond)
 		setSlow(false, owners[0])
-		assert.Assert(t, !mayRun(z), "it still is")
+		assert.Assert(t, !mayRun(z), "it still is in progress")
 		setSlow(true, owners[0])
 		endRun(x)
 		assert.Assert(t, mayRun(z), "it is over")
 		assert.Assert(t, !mayRun(z), "one at a time at each node, too")
 		setSlow(false, owners[0])
-		assert.Assert(t, !mayRun(y), "one is under way")
+		assert.Assert(t, !mayRun(y), "one is in progress")
 		endRun(z)
 		setSlow(true, owners...)
 		assert.Assert(t, mayRun(x), "no owner answers")
@@ -485,67 +486,67 @@
 	})
 }
 
-// A node that starts among others hears from them what is blocked, also where the store does
-// not tell it, and from none that has only just started itself.
+// A node that starts while others run learns the blocked requests from them, also when the
+// store is not reachable, but not from a node that has only just started itself.
 func TestStartingNodeLearnsBlockedRequestsFromOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(71, 3, func() time.Duration { return 5 * time.Millisecond })
+		cluster := newTestCluster(71, 3, func() time.Duration { return 5 * time.Millisecond })
 		ctx, cancel := context.WithCancel(t.Context())
-		starting := f.nodes[70]
-		f.setIsolated(true, starting)
+		starting := cluster.nodes[70]
+		cluster.setIsolated(true, starting)
 		for i := range 3 {
 			now := time.Now()
-			life := fmt.Sprint("replica", i)
-			f.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: life, StartKey: life, StartedAt: now, LostAt: now}, now)
+			startKey := fmt.Sprint("replica", i)
+			cluster.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
 			time.Sleep(time.Second)
 		}
-		f.setIsolated(false, starting)
-		for _, s := range f.nodes[60:] { // Have started anew, late without what the others still have.
+		cluster.setIsolated(false, starting)
+		for _, s := range cluster.nodes[60:] { // These have just started; only the starting node lacks the block.
 			s.learning = learning{done: make(chan struct{})}
 		}
-		f.startSteps(ctx)
-		begun := time.Now()
+		cluster.startSteps(ctx)
+		waitStart := time.Now()
 		starting.WaitLearned(ctx)
-		assert.Assert(t, time.Since(begun) < 700*time.Millisecond, "%v", time.Since(begun))
+		assert.Assert(t, time.Since(waitStart) < 700*time.Millisecond, "%v", time.Since(waitStart))
 		c := starting.Case(deadlyContent)
 		assert.Equal(t, c.Verdict(), suspect.Blocked)
 		cancel()
 		time.Sleep(2 * time.Second)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(3, 1, func() time.Duration { return 5 * time.Millisecond })
+		cluster := newTestCluster(3, 1, func() time.Duration { return 5 * time.Millisecond })
 		ctx, cancel := context.WithCancel(t.Context())
-		for _, s := range f.nodes {
+		for _, s := range cluster.nodes {
 			s.learning = learning{done: make(chan struct{})}
 		}
-		f.startSteps(ctx)
-		begun := time.Now()
-		f.nodes[0].WaitLearned(ctx)
-		assert.Equal(t, time.Since(begun), maxLearnWait, "nobody knows")
-		f.nodes[0].WaitLearned(ctx)
-		assert.Equal(t, time.Since(begun), maxLearnWait)
+		cluster.startSteps(ctx)
+		waitStart := time.Now()
+		cluster.nodes[0].WaitLearned(ctx)
+		assert.Equal(t, time.Since(waitStart), maxLearnWait, "no node knows the blocked requests")
+		cluster.nodes[0].WaitLearned(ctx)
+		assert.Equal(t, time.Since(waitStart), maxLearnWait)
 		cancel()
 		time.Sleep(2 * time.Second)
 	})
 }
 
-// lostRun is a request whose answer was lost at a replica of the same name.
+// lostRun is a run whose answer was lost at a replica of the same name.
 func lostRun(name string, startedAt, lostAt time.Time) LostRun {
 	c := site.NewFingerprint("", "POST", "h", "/x", []byte(name))
 	return LostRun{Content: c, QuickHash: 1, Replica: name, StartKey: name, Addr: addrOf(name), StartedAt: startedAt, LostAt: lostAt}
 }
 
-// addrOf is an address for each name.
+// addrOf returns an address that depends on the length of the name.
 func addrOf(name string) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+len(name)))
 }
 
-// endCount counts those of one such request.
+// endCount counts the ends of the request of that name.
 func (s *Suspects) endCount(name string) int {
 	return len(s.Case(lostRun(name, time.Time{}, time.Time{}).Content).Ends)
 }
 
-// setUnreachable has a node reach some replicas only.
+// setUnreachable makes the node's connections to some replicas fail.
 func (s *Suspects) setUnreachable(names ...string) {
 	s.dial = func(addr netip.AddrPort) error {
 		for _, name := range names {
@@ -557,11 +558,12 @@
 	}
 }
 
-// A node whose own way is cut sees every replica silent: that is no sign of their end, nor
-// is one that takes a connection again, or whose entry goes while it serves on.
+// Lost answers alone are no evidence that replicas ended: a node whose own network is cut
+// loses those of all replicas. Nor does a replica count that takes connections again, or
+// that goes on serving after it was delisted.
 func TestOnlyConfirmedEndsCount(t *testing.T) {
-	f := newTestCluster(3, 1, func() time.Duration { return 0 })
-	s := f.nodes[0]
+	cluster := newTestCluster(3, 1, func() time.Duration { return 0 })
+	s := cluster.nodes[0]
 	s.setUnreachable("dropped", "old now")
 	now := time.Now()
 	for _, name := range []string{"silent", "refused", "dropped", "restarted", "serves on", "old now"} {
@@ -586,14 +588,14 @@
 	} {
 		assert.Equal(t, s.endCount(name), want, name)
 	}
-	assert.Equal(t, len(s.lostRuns), 0, "what is old is forgotten")
+	assert.Equal(t, len(s.lostRuns), 0, "old lost runs are forgotten")
 }
 
-// A replica that loses power answers nothing more. Its entry may lapse before a patient
-// caller's time is over, and the answer be given up only then.
+// A replica that loses power may be delisted while a caller with a long deadline still
+// waits for its answer. The end counts although the answer is given up only later.
 func TestReplicaDelistedBeforeTheAnswerIsLostCounts(t *testing.T) {
-	f := newTestCluster(1, 1, func() time.Duration { return 0 })
-	s := f.nodes[0]
+	cluster := newTestCluster(1, 1, func() time.Duration { return 0 })
+	s := cluster.nodes[0]
 	s.setUnreachable("dropped", "long ago")
 	now := time.Now()
 	s.RecordDelisted("dropped", now.Add(3600*time.Millisecond))
@@ -608,25 +610,25 @@
 	}
 }
 
-// Blocked requests are in the store for nodes that all start anew.
+// Blocked requests are stored for a restart of all nodes.
 func TestBlockedRequestsAreStored(t *testing.T) {
-	f := newTestCluster(1, 1, func() time.Duration { return 0 })
-	s := f.nodes[0]
+	cluster := newTestCluster(1, 1, func() time.Duration { return 0 })
+	s := cluster.nodes[0]
 	store := &oneRowStore{}
 	s.store = store
 	now := time.Now()
 	s.SaveRow(t.Context())
 	assert.Equal(t, store.writes, 0)
 	for i := range 3 {
-		life := fmt.Sprint("replica", i)
+		startKey := fmt.Sprint("replica", i)
 		s.register.Merge(suspect.Case{Content: deadlyContent, QuickHash: 1, Ends: []suspect.ReplicaEnd{
-			{Replica: life, StartedAt: now.Add(time.Duration(i)*time.Second - time.Minute), EndedAt: now.Add(time.Duration(i)*time.Second - 59500*time.Millisecond)},
+			{Replica: startKey, StartedAt: now.Add(time.Duration(i)*time.Second - time.Minute), EndedAt: now.Add(time.Duration(i)*time.Second - 59500*time.Millisecond)},
 		}})
 	}
 	store.fail = true
 	s.SaveRow(t.Context())
 	s.SaveRow(t.Context())
-	assert.Equal(t, store.lists, 1, "a store that fails is not asked at each look")
+	assert.Equal(t, store.lists, 1, "a failing store is not called again at once")
 	store.fail = false
 	s.nextSave = time.Time{}
 	s.SaveRow(t.Context())
@@ -640,14 +642,14 @@
 	assert.Equal(t, c.Verdict(), suspect.Blocked)
 	other.store = store
 	other.SaveRow(t.Context())
-	assert.Equal(t, store.writes, 1, "it stands there")
+	assert.Equal(t, store.writes, 1, "it is stored already")
 	other.register.Expire(time.Now().Add(58 * time.Minute))
 	assert.Assert(t, !other.register.Empty())
 	other.register.Expire(time.Now().Add(61 * time.Minute))
-	assert.Assert(t, other.register.Empty(), "an entry is as old as it is")
+	assert.Assert(t, other.register.Empty(), "a loaded case keeps its age")
 }
 
-// oneRowStore is a store of one row.
+// oneRowStore is a store that holds one row.
 type oneRowStore struct {
 	Store
 	fail          bool
