--- a/pkg/rollout/lease.go
+++ b/pkg/rollout/lease.go
@@ -32,9 +32,10 @@
 // Lease says whether this node may give orders.
 //
 // The store returns the time on its monotonic clock with each answer. A holder writes the
-// end of its lease on that clock, and measures its own validity on its own monotonic clock
-// from before the write was sent, so it stops before the written end. Another node takes
-// the lease only once the store's clock has passed the written end and the takeover pause.
+// end of its lease on that clock. It measures its own validity on its own boot-time clock,
+// which also counts time in suspension, from before the write was sent; so it stops before
+// the written end. Another node takes the lease only once the store's clock has passed the
+// written end and the takeover pause.
 type Lease struct {
 	key           string
 	node          string
@@ -60,8 +61,8 @@
 	Until  time.Duration `json:"until_ns"` // On the store's clock.
 }
 
-// NewLease returns a lease that is not held. takeoverPause is the least time between the
-// orders of two holders.
+// NewLease returns a lease that is not held. pause is the least time between the orders of
+// two holders.
 func NewLease(key, node string, pause time.Duration, store Store, log *slog.Logger) *Lease {
 	return &Lease{key: key, node: node, takeoverPause: pause, store: store, log: log, now: boottime.RefreshNow}
 }
@@ -134,7 +135,7 @@
 	l.write(ctx, 0)
 }
 
-// Close releases the lease and prevents that it is acquired again.
+// Close releases the lease and prevents acquiring it again.
 func (l *Lease) Close(ctx context.Context) {
 	l.mu.Lock()
 	l.closed = true
--- a/pkg/suspect/register.go
+++ b/pkg/suspect/register.go
@@ -40,7 +40,7 @@
 	Case
 
 	// runningUntil is until when a run of a watched request is assumed to be in progress,
-	// unless news of it arrive earlier.
+	// unless its outcome is learnt earlier.
 	runningUntil time.Time
 	// grantedTo is the node that the run was granted to, empty for a run of this node.
 	grantedTo string
@@ -132,7 +132,7 @@
 }
 
 // StartRun says whether this node may send a watched request now. The run counts as in
-// progress for at most maxRun, unless news of it arrive earlier.
+// progress for at most maxRun, unless its outcome is learnt earlier.
 func (r *Register) StartRun(f site.Fingerprint, maxRun time.Duration, now time.Time) bool {
 	return r.tryRun(f, "", maxRun, now)
 }
--- a/service/suspects/grants.go
+++ b/service/suspects/grants.go
@@ -59,8 +59,8 @@
 }
 
 // EndRun returns the grant of a watched request whose run is over, when nothing is known of
-// an end of its replica. All owners are told: when only the first one was, an owner whose
-// answer had come too late went on refusing the request to all nodes for up to 10 s.
+// an end of its replica. All owners are notified: when only the first one was, an owner
+// whose answer had come too late went on refusing the request to all nodes for up to 10 s.
 func (s *Suspects) EndRun(f site.Fingerprint) {
 	s.register.EndRun(f)
 	s.returnGrants(f, s.owners(f))
