--- a/pkg/rollout/lease.go
+++ b/pkg/rollout/lease.go
@@ -12,46 +12,47 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Store is where the lease is kept.
+// Store holds the lease rows.
 type Store interface {
 	List(ctx context.Context, t site.Table) (site.Listing, error)
 	Put(ctx context.Context, t site.Table, key string, value []byte, expected int64) (site.Listing, error)
 }
 
 const (
-	// leaseTerm is for how long one renewal holds. It is short, as whoever takes
-	// over from a lost holder waits for its end.
+	// leaseTerm is how long one renewal is valid. It is short because the next holder waits
+	// for its end when a holder is lost.
 	leaseTerm = 2 * time.Second
 	// renewAfter leaves a second for a slow store.
 	renewAfter = leaseTerm / 2
-	// turnSlack is added to the pause between two holders for the way of an
-	// order.
-	turnSlack = 300 * time.Millisecond
+	// takeoverMargin is added to the pause between two holders for the time an order is on
+	// its way.
+	takeoverMargin = 300 * time.Millisecond
 )
 
 // Lease says whether this node may give orders.
 //
-// The store tells a steady clock with each answer. A holder writes until when, on
-// that clock, it may give orders, and counts its own validity on its own steady
-// clock from before the write was sent; so it ends by its own count first. A
-// taker waits until the store's clock is past that end and a pause more.
+// The store returns the time on its monotonic clock with each answer. A holder writes the
+// end of its lease on that clock. It measures its own validity on its own boot-time clock,
+// which also counts time in suspension, from before the write was sent; so it stops before
+// the written end. Another node takes the lease only once the store's clock has passed the
+// written end and the takeover pause.
 type Lease struct {
-	key   string
-	node  string
-	pause time.Duration
-	store Store
-	log   *slog.Logger
-	now   func() time.Time
-
-	mu      sync.Mutex
-	row     leaseRow
-	version int64
-	until   time.Time // Of this node's validity.
-	sent    time.Time // When the last renewal was sent.
-	clock   time.Duration
-	clockAt time.Time // When, at the latest, the store's clock was that.
-	again   time.Time // When it is worth asking for again.
-	left    bool      // It is not to be taken again.
+	key           string
+	node          string
+	takeoverPause time.Duration
+	store         Store
+	log           *slog.Logger
+	now           func() time.Time
+
+	mu               sync.Mutex
+	row              leaseRow
+	version          int64
+	validUntil       time.Time // End of this node's validity, on its own clock.
+	renewalSentAt    time.Time // When the last successful write was sent.
+	storeClock       time.Duration
+	storeClockReadAt time.Time // When storeClock was requested, on this node's clock.
+	nextTry          time.Time // Earliest time of the next attempt to acquire.
+	closed           bool      // It must not be acquired again.
 }
 
 type leaseRow struct {
@@ -60,35 +61,35 @@
 	Until  time.Duration `json:"until_ns"` // On the store's clock.
 }
 
-// NewLease returns a lease of a name that is not held; pause is the least time
-// between the orders of two holders.
-func NewLease(key, node string, pause time.Duration, s Store, log *slog.Logger) *Lease {
-	return &Lease{key: key, node: node, pause: pause, store: s, log: log, now: boottime.RefreshNow}
+// NewLease returns a lease that is not held. pause is the least time between the orders of
+// two holders.
+func NewLease(key, node string, pause time.Duration, store Store, log *slog.Logger) *Lease {
+	return &Lease{key: key, node: node, takeoverPause: pause, store: store, log: log, now: boottime.RefreshNow}
 }
 
-// Held says whether an order may be given now; it is asked just before each.
+// Held says whether an order may be given now. It is called just before each order.
 func (l *Lease) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now().Before(l.until)
+	return l.now().Before(l.validUntil)
 }
 
-// Fence is the number under which orders are given; it rises with each holder.
+// Fence is the number that is sent with orders; it rises with each new holder.
 func (l *Lease) Fence() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.row.Fence
 }
 
-// Keep takes the lease if it is free, or renews it when that is due, and says
+// AcquireOrRenew acquires the lease if it is free, or renews it when that is due, and says
 // whether it is held.
-func (l *Lease) Keep(ctx context.Context) bool {
+func (l *Lease) AcquireOrRenew(ctx context.Context) bool {
 	l.mu.Lock()
-	left := l.left
-	held := l.now().Before(l.until)
-	due := !held || l.now().Sub(l.sent) >= renewAfter
+	closed := l.closed
+	held := l.now().Before(l.validUntil)
+	due := !held || l.now().Sub(l.renewalSentAt) >= renewAfter
 	l.mu.Unlock()
-	if left {
+	if closed {
 		return false
 	}
 	if !due {
@@ -97,54 +98,54 @@
 	if held {
 		return l.write(ctx, leaseTerm) || l.Held()
 	}
-	return l.try(ctx)
+	return l.tryAcquire(ctx)
 }
 
-// askAgain is the least pause between two looks at a lease that another holds,
-// or that could not be looked at.
-const askAgain = 400 * time.Millisecond
+// acquireRetryPause is the least pause between two attempts to acquire the lease when
+// another node holds it or the store fails.
+const acquireRetryPause = 400 * time.Millisecond
 
-// try takes the lease if it is free. One that is not is asked for again when it
-// could run out; if its holder renews it, that is moved on.
-func (l *Lease) try(ctx context.Context) bool {
+// tryAcquire acquires the lease if it is free. Otherwise the next attempt is made when the
+// lease could run out; a renewal by its holder postpones that further.
+func (l *Lease) tryAcquire(ctx context.Context) bool {
 	l.mu.Lock()
-	wait := l.now().Before(l.again)
+	tooEarly := l.now().Before(l.nextTry)
 	l.mu.Unlock()
-	if wait {
+	if tooEarly {
 		return false
 	}
-	free, after := l.read(ctx)
+	free, freeIn := l.read(ctx)
 	if free && l.write(ctx, leaseTerm) {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.again = l.now().Add(max(askAgain, after))
+	l.nextTry = l.now().Add(max(acquireRetryPause, freeIn))
 	return false
 }
 
-// Release gives the lease up, so that another need not wait for its end.
+// Release gives the lease up, so that other nodes need not wait for its end.
 func (l *Lease) Release(ctx context.Context) {
 	if !l.Held() {
 		return
 	}
 	l.mu.Lock()
-	l.until = time.Time{}
+	l.validUntil = time.Time{}
 	l.mu.Unlock()
 	l.write(ctx, 0)
 }
 
-// Leave gives the lease up for good.
-func (l *Lease) Leave(ctx context.Context) {
+// Close releases the lease and prevents acquiring it again.
+func (l *Lease) Close(ctx context.Context) {
 	l.mu.Lock()
-	l.left = true
+	l.closed = true
 	l.mu.Unlock()
 	l.Release(ctx)
 }
 
-// read looks at the row and says whether it may be taken, or when it could be.
-func (l *Lease) read(ctx context.Context) (free bool, after time.Duration) {
-	asked := l.now()
+// read loads the row and says whether the lease is free, or in what time it could be.
+func (l *Lease) read(ctx context.Context) (free bool, freeIn time.Duration) {
+	askedAt := l.now()
 	listing, err := l.store.List(ctx, site.TableLeases)
 	if err != nil {
 		l.log.Warn("lease not read", "err", err)
@@ -163,35 +164,35 @@
 		}
 		l.version = r.Version
 	}
-	l.clock, l.clockAt = listing.Now, asked
+	l.storeClock, l.storeClockReadAt = listing.Now, askedAt
 	if l.row.Holder == "" || l.row.Holder == l.node {
 		return true, 0
 	}
-	after = l.row.Until + l.pause + turnSlack - listing.Now
-	return after <= 0, after
+	freeIn = l.row.Until + l.takeoverPause + takeoverMargin - listing.Now
+	return freeIn <= 0, freeIn
 }
 
-// write holds the lease for a term from now, or ends it with a term of 0.
+// write extends the lease by a term from now. A term of 0 ends it.
 func (l *Lease) write(ctx context.Context, term time.Duration) bool {
 	l.mu.Lock()
-	if l.left && term > 0 {
+	if l.closed && term > 0 {
 		l.mu.Unlock()
-		return false // The node has begun to stop since it looked.
+		return false // Close was called after the row was read.
 	}
-	sent := l.now()
+	sentAt := l.now()
 	next := l.row
 	if next.Holder != l.node {
 		next.Holder = l.node
 		next.Fence++
 	}
-	next.Until = l.clock + sent.Sub(l.clockAt) + term
-	base := l.version
+	next.Until = l.storeClock + sentAt.Sub(l.storeClockReadAt) + term
+	baseVersion := l.version
 	l.mu.Unlock()
 	body, err := json.Marshal(next)
 	if err != nil {
 		return false
 	}
-	listing, err := l.store.Put(ctx, site.TableLeases, l.key, body, base)
+	listing, err := l.store.Put(ctx, site.TableLeases, l.key, body, baseVersion)
 	if err != nil {
 		if !errors.Is(err, site.ErrConflict) {
 			l.log.Warn("lease not written", "err", err)
@@ -204,9 +205,9 @@
 		l.log.Info("lease acquired", "lease", l.key, "fence", next.Fence, "version", listing.Version)
 	}
 	l.row, l.version = next, listing.Version
-	l.sent = sent
-	if term > 0 && !l.left {
-		l.until = sent.Add(term)
+	l.renewalSentAt = sentAt
+	if term > 0 && !l.closed {
+		l.validUntil = sentAt.Add(term)
 	}
-	return term > 0 && !l.left
+	return term > 0 && !l.closed
 }
--- a/service/gateway/exchange_suspects.go
+++ b/service/gateway/exchange_suspects.go
@@ -111,7 +111,7 @@
 	run := suspects.LostRun{
 		Content:   x.fingerprint(),
 		QuickHash: x.quickHash(),
-		Request:   x.info.ID,
+		RequestID: x.info.ID,
 		Replica:   u.ID,
 		StartKey:  suspects.StartKeyOf(u.ID, u.Started),
 		Addr:      u.Addr,
--- /dev/null
+++ b/service/suspects/blocked_row.go
@@ -0,0 +1,120 @@
+package suspects
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"github.com/drumpath/drumpath/pkg/boottime"
+	"github.com/drumpath/drumpath/pkg/site"
+	"github.com/drumpath/drumpath/pkg/suspect"
+)
+
+// Blocked requests are stored in one row of the platform's store, in the table of node
+// addresses that each node reads as it starts. The row costs no call while nothing is
+// blocked, and after a restart of all nodes each of them reads it with its first call.
+const (
+	// BlockedRowKey is the key of that row.
+	BlockedRowKey = "requests/barred"
+	// saveRetryPause is the pause after a failed write: each call is paid for.
+	saveRetryPause = 5 * time.Second
+	// maxStoredCases is how many of the newest cases are stored, some 400 bytes each, in a
+	// row of 64 kB.
+	maxStoredCases = 120
+)
+
+// blockedRow is the value of that row.
+type blockedRow struct {
+	// Written is the Unix time in milliseconds, by the writer's clock, that the ages in
+	// Cases refer to. An error of some seconds does no harm.
+	Written int64         `json:"written"`
+	Cases   []caseMessage `json:"cases"`
+}
+
+// LoadRow merges the cases of the row into the register.
+func (s *Suspects) LoadRow(r site.Row, now time.Time) {
+	var row blockedRow
+	if err := json.Unmarshal(r.Value, &row); err != nil {
+		s.log.Error("row of blocked requests can't be decoded", "row", r.Key, "err", err)
+		return
+	}
+	written := now.Add(-max(0, time.Duration(now.UnixMilli()-row.Written)*time.Millisecond))
+	for i := range row.Cases {
+		change := s.register.Merge(row.Cases[i].decode(written))
+		s.logChange(s.register.Case(row.Cases[i].Content), change)
+		s.mu.Lock()
+		s.stored[row.Cases[i].Content] = true
+		s.mu.Unlock()
+	}
+}
+
+// SaveRow writes the row if a blocked request is missing from it and this node is the one
+// to write it. The timer service calls it.
+func (s *Suspects) SaveRow(ctx context.Context) {
+	now := boottime.Now()
+	if s.store == nil || s.register.Empty() || !s.mustSave(now) {
+		return
+	}
+	if err := s.writeRow(ctx, now); err != nil {
+		s.mu.Lock()
+		s.nextSave = now.Add(saveRetryPause)
+		s.mu.Unlock()
+		s.log.Warn("list of blocked requests not written", "err", err)
+	}
+}
+
+// mustSave says whether a blocked request is not stored yet and this node is its first
+// owner.
+func (s *Suspects) mustSave(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if now.Before(s.nextSave) {
+		return false
+	}
+	for _, c := range s.register.Flagged(maxStoredCases) {
+		if c.Verdict() != suspect.Blocked || s.stored[c.Content] {
+			continue
+		}
+		if owners := s.owners(c.Content); len(owners) == 0 || owners[0].Name == s.self.Name {
+			return true
+		}
+	}
+	return false
+}
+
+// writeRow merges the stored row into the register and writes all blocked requests.
+func (s *Suspects) writeRow(ctx context.Context, now time.Time) error {
+	l, err := s.store.List(ctx, site.TableNodes)
+	if err != nil {
+		return eris.Wrap(err, "read the row")
+	}
+	version := int64(0)
+	for _, r := range l.Rows {
+		if r.Key == BlockedRowKey {
+			version = r.Version
+			s.LoadRow(r, now)
+		}
+	}
+	row := blockedRow{Written: now.UnixMilli()}
+	for _, c := range s.register.Flagged(unlimited) {
+		if c.Verdict() == suspect.Blocked && len(row.Cases) < maxStoredCases {
+			row.Cases = append(row.Cases, newCaseMessage(c, now))
+		}
+	}
+	value, err := json.Marshal(row)
+	if err != nil {
+		return err
+	}
+	if _, err := s.store.Put(ctx, site.TableNodes, BlockedRowKey, value, version); err != nil {
+		return eris.Wrap(err, "write the row")
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	clear(s.stored)
+	for i := range row.Cases {
+		s.stored[row.Cases[i].Content] = true
+	}
+	return nil
+}
--- a/service/suspects/learn.go
+++ b/service/suspects/learn.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// LearnInterval is how often a node that has just started asks another one what is blocked:
-	// an answer takes some milliseconds, and it needs no more than a few.
+	// LearnInterval is how often a node that has just started asks another one for the
+	// blocked requests. An answer takes some milliseconds, and a few tries are enough.
 	LearnInterval = 100 * time.Millisecond
-	// learnMost bounds for how long the first requests of a node wait until it knows what is
-	// blocked. It answers a start of all nodes while the store turns this one away: the others
-	// then know nothing either until they have read the store, which takes them some 0.2 s.
-	learnMost = time.Second
+	// maxLearnWait bounds how long the first requests of a node wait until it knows the
+	// blocked requests. It covers a start of all nodes while the store refuses this one:
+	// the others know nothing either until they have read the store, which takes some 0.2
+	// s.
+	maxLearnWait = time.Second
 )
 
-// learning is how far a node has come that has just started.
+// learning is the state of a node that may not know the blocked requests yet.
 type learning struct {
 	// done is closed once requests need not wait any more.
 	done chan struct{}
-	// begun holds once the first request waits.
-	begun bool
-	// knows says that the node has heard what is blocked.
-	knows bool
+	// waiting says that a request has waited and the time limit runs.
+	waiting bool
+	// learned says that the node knows the blocked requests.
+	learned bool
 }
 
-// MarkLearned notes that the node has heard what is blocked.
+// MarkLearned notes that the node knows the blocked requests.
 func (s *Suspects) MarkLearned() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learning.knows = true
-	s.endWait()
+	s.learning.learned = true
+	s.releaseWaiters()
 }
 
-// endWait lets waiting requests go on; the caller holds mu.
-func (s *Suspects) endWait() {
+// releaseWaiters lets waiting requests go on. The caller holds mu.
+func (s *Suspects) releaseWaiters() {
 	select {
 	case <-s.learning.done:
 	default:
@@ -46,59 +47,60 @@
 	}
 }
 
-// knows says whether the node has heard what is blocked.
-func (s *Suspects) knows() bool {
+// hasLearned says whether the node knows the blocked requests.
+func (s *Suspects) hasLearned() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.learning.knows
+	return s.learning.learned
 }
 
-// WaitLearned waits until the node knows what is blocked, for learnMost after the first call at
-// most. Without it a node that had just started ended one more replica under a request that
-// all others refused, before it had read the store.
+// WaitLearned waits until the node knows the blocked requests, for at most maxLearnWait
+// after its first call. Without it a node that had just started sent a request that all
+// others refused, before it had read the store, and one more replica ended.
 func (s *Suspects) WaitLearned(ctx context.Context) {
 	select {
 	case <-s.learning.done:
 		return
 	default:
 	}
-	s.startWait()
+	s.startWaitTimer()
 	select {
 	case <-s.learning.done:
 	case <-ctx.Done():
 	}
 }
 
-// startWait bounds the wait from the first request on.
-func (s *Suspects) startWait() {
+// startWaitTimer starts the time limit at the first request that waits.
+func (s *Suspects) startWaitTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.learning.begun {
+	if s.learning.waiting {
 		return
 	}
-	s.learning.begun = true
-	time.AfterFunc(learnMost, func() {
+	s.learning.waiting = true
+	time.AfterFunc(maxLearnWait, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !s.learning.knows {
-			s.log.Warn("serving without the list of blocked requests", "node", s.self.Name, "after", learnMost)
+		if !s.learning.learned {
+			s.log.Warn("serving without the list of blocked requests", "node", s.self.Name, "after", maxLearnWait)
 		}
-		s.endWait()
+		s.releaseWaiters()
 	})
 }
 
-// Learn asks another node what is blocked, as long as this one does not know; the timer
+// Learn asks another node for the blocked requests until this one knows them. The timer
 // service calls it.
 func (s *Suspects) Learn(context.Context) {
-	if !s.knows() {
-		s.compareWith(s.members.View().Working)
+	if !s.hasLearned() {
+		s.sendDigest(s.members.View().Working)
 	}
 }
 
-// compareWith tells one node of a list, drawn at random, what this one holds.
-func (s *Suspects) compareWith(list []control.Member) {
+// sendDigest sends the digest of this node to a random one of the candidates, which answers
+// if its own differs.
+func (s *Suspects) sendDigest(candidates []control.Member) {
 	var others []netip.AddrPort
-	for _, m := range list {
+	for _, m := range candidates {
 		if m.Name != s.self.Name {
 			others = append(others, m.Peer)
 		}
@@ -107,5 +109,5 @@
 		return
 	}
 	to := []netip.AddrPort{others[rand.IntN(len(others))]}
-	s.notes.SendNote(to, NoteDigest, digestNote{From: s.self.Peer, Digest: s.register.Digest(), Learning: !s.knows()})
+	s.notifier.SendNote(to, NoteDigest, digestNote{From: s.self.Peer, Digest: s.register.Digest(), Learning: !s.hasLearned()})
 }
--- /dev/null
+++ b/service/suspects/notes.go
@@ -0,0 +1,275 @@
+package suspects
+
+import (
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"net/netip"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"github.com/drumpath/drumpath/pkg/boottime"
+	"github.com/drumpath/drumpath/pkg/site"
+	"github.com/drumpath/drumpath/pkg/suspect"
+)
+
+const (
+	// NoteCases carries cases of requests under which replicas ended.
+	NoteCases = "suspects.cases"
+	// NoteDigest carries the digest of the watched and blocked requests that a node knows.
+	NoteDigest = "suspects.digest"
+	// StepInterval is how often a node compares its digest with that of one other node,
+	// which takes 0.2 kB. A node that was cut off learns of a block by its third
+	// comparison.
+	StepInterval = time.Second
+	// casesPerNote bounds the cases in one note, some 400 bytes each, and notesPerDigest
+	// the notes that answer a digest.
+	casesPerNote   = 30
+	notesPerDigest = 2
+)
+
+// caseMessage is a case as it is sent to other nodes and stored. Times are encoded as ages,
+// as nodes have no common clock.
+type caseMessage struct {
+	Content   site.Fingerprint `json:"c"`
+	QuickHash uint64           `json:"s"`
+	Ends      []endMessage     `json:"e,omitempty"`
+	// FinishedAgo is how many milliseconds ago the request was finished, 0 for never.
+	FinishedAgo int64 `json:"f,omitempty"`
+}
+
+type endMessage struct {
+	Replica    string `json:"r"`
+	StartedAgo int64  `json:"b"` // In milliseconds.
+	EndedAgo   int64  `json:"a"` // In milliseconds.
+}
+
+func newCaseMessage(c suspect.Case, now time.Time) caseMessage {
+	message := caseMessage{Content: c.Content, QuickHash: c.QuickHash}
+	if !c.Finished.IsZero() {
+		message.FinishedAgo = max(1, now.Sub(c.Finished).Milliseconds())
+	}
+	for _, e := range c.Ends {
+		message.Ends = append(message.Ends, endMessage{e.Replica, now.Sub(e.StartedAt).Milliseconds(), now.Sub(e.EndedAt).Milliseconds()})
+	}
+	return message
+}
+
+// decode returns the case, with the ages counted back from writtenAt.
+func (m *caseMessage) decode(writtenAt time.Time) suspect.Case {
+	ago := func(ms int64) time.Time { return writtenAt.Add(-time.Duration(max(0, ms)) * time.Millisecond) }
+	c := suspect.Case{Content: m.Content, QuickHash: m.QuickHash}
+	if m.FinishedAgo > 0 {
+		c.Finished = ago(m.FinishedAgo)
+	}
+	for _, e := range m.Ends {
+		c.Ends = append(c.Ends, suspect.ReplicaEnd{Replica: e.Replica, StartedAt: ago(e.StartedAgo), EndedAt: ago(e.EndedAgo)})
+	}
+	return c
+}
+
+// casesNote holds the parameters of NoteCases.
+type casesNote struct {
+	Cases []caseMessage `json:"c"`
+	// Collect says that the receiver is an owner of the request, and tells all nodes once
+	// the request is watched or blocked.
+	Collect bool `json:"o,omitempty"`
+	// Relay says that the receiver forwards the note to its hall.
+	Relay bool `json:"p,omitempty"`
+	// FromDigest says that the note answers a digest that differed, so the receiver missed
+	// what all nodes were told.
+	FromDigest bool `json:"m,omitempty"`
+}
+
+// digestNote holds the parameters of NoteDigest.
+type digestNote struct {
+	From   netip.AddrPort `json:"f"`
+	Digest uint64         `json:"d"`
+	// Answer says that the note answers another digest.
+	Answer bool `json:"a,omitempty"`
+	// Learning says that the sender has just started and needs an answer even if both
+	// digests are equal. Learned says that the sender of an answer knows the blocked
+	// requests.
+	Learning bool `json:"l,omitempty"`
+	Learned  bool `json:"k,omitempty"`
+}
+
+// announce tells other nodes what this one has seen of a request: all nodes if it is or was
+// watched or blocked, otherwise its owners.
+func (s *Suspects) announce(c suspect.Case, change suspect.MergeResult, now time.Time) {
+	if change.Before != suspect.Allowed || change.After != suspect.Allowed {
+		s.broadcast(c)
+		return
+	}
+	if !s.allowAnnounce(now) {
+		s.metrics.unannounced.Add(1)
+		return
+	}
+	s.sendTwice(func(int) {
+		var to []netip.AddrPort
+		for _, o := range s.owners(c.Content) {
+			if o.Name != s.self.Name {
+				to = append(to, o.Peer)
+			}
+		}
+		s.notifier.SendNote(to, NoteCases, casesNote{Cases: []caseMessage{newCaseMessage(c, boottime.Now())}, Collect: true})
+	})
+}
+
+// allowAnnounce limits the rate at which first ends are announced.
+func (s *Suspects) allowAnnounce(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if now.Sub(s.announceWindow) >= time.Second {
+		s.announced, s.announceWindow = 0, now
+	}
+	s.announced++
+	return s.announced <= maxFirstEndsPerSecond
+}
+
+// broadcast sends a case to all nodes.
+func (s *Suspects) broadcast(c suspect.Case) {
+	s.sendTwice(func(try int) {
+		messages := []caseMessage{newCaseMessage(c, boottime.Now())}
+		direct, relays := s.notifier.Recipients(try)
+		s.notifier.SendNote(direct, NoteCases, casesNote{Cases: messages})
+		s.notifier.SendNote(relays, NoteCases, casesNote{Cases: messages, Relay: true})
+	})
+}
+
+// resendDelay is the time after which sendTwice sends again.
+const resendDelay = 120 * time.Millisecond
+
+// sendTwice sends now and once more after resendDelay, as notes may be lost.
+func (s *Suspects) sendTwice(send func(try int)) {
+	send(0)
+	time.AfterFunc(resendDelay, func() { send(1) })
+}
+
+// HandleCases handles a NoteCases of another node.
+func (s *Suspects) HandleCases(params json.RawMessage) {
+	var note casesNote
+	if err := json.Unmarshal(params, &note); err != nil {
+		s.log.Debug("suspects notification can't be decoded", "err", err)
+		return
+	}
+	if note.Relay {
+		s.notifier.SendNote(s.notifier.HallPeers(), NoteCases, casesNote{Cases: note.Cases})
+	}
+	now := boottime.Now()
+	var missed []caseMessage
+	for i := range note.Cases {
+		c := note.Cases[i].decode(now)
+		change := s.mergeReceived(c, note.Collect)
+		blocked := change.Before != change.After && change.After == suspect.Blocked
+		if note.FromDigest && blocked && now.Sub(c.LastEvent()) < missedBlockAge {
+			missed = append(missed, note.Cases[i])
+		}
+	}
+	if len(missed) > 0 {
+		// The other nodes of this hall have likely missed the block too, as the hall's relays
+		// may be cut off. By comparing digests they would learn of it some seconds later.
+		s.sendTwice(func(int) { s.notifier.SendNote(s.notifier.HallPeers(), NoteCases, casesNote{Cases: missed}) })
+	}
+}
+
+// missedBlockAge is the age of the last event up to which a block counts as missed by the
+// hall. A node that has just started learns of older blocks by digest, too, and need not
+// tell its hall.
+const missedBlockAge = 10 * time.Second
+
+// finishJitter spreads the announcements of nodes that have finished a request which others
+// suspect. The first ones make the rest unnecessary.
+const finishJitter = 400 * time.Millisecond
+
+// mergeReceived merges a case that another node has sent. It is broadcast if this node
+// collects its evidence as an owner and it is watched or blocked, or if this node has
+// finished the request.
+func (s *Suspects) mergeReceived(received suspect.Case, collect bool) (change suspect.MergeResult) {
+	change = s.register.Merge(received)
+	c := s.register.Case(received.Content)
+	s.logChange(c, change)
+	switch {
+	case collect && change.New && change.After != suspect.Allowed:
+		s.broadcast(c)
+	case change.OwnFinish && received.Verdict() != suspect.Allowed:
+		time.AfterFunc(rand.N(finishJitter), func() {
+			if s.register.ShouldAnnounce(c.Content) {
+				s.broadcast(s.register.Case(c.Content))
+			}
+		})
+	}
+	return change
+}
+
+// Step deletes old cases and compares the digest of this node with that of another one. The
+// timer service calls it.
+func (s *Suspects) Step(context.Context) {
+	now := boottime.Now()
+	s.register.Expire(now)
+	s.forgetDelisted(now)
+	s.sendDigest(s.members.View().All) // Failed members too, as this node may have been cut off.
+}
+
+// HandleDigest handles a NoteDigest. If the digests differ, it sends cases that the other
+// node may lack.
+func (s *Suspects) HandleDigest(params json.RawMessage) {
+	var received digestNote
+	if err := json.Unmarshal(params, &received); err != nil || !received.From.IsValid() {
+		s.log.Debug("suspects digest can't be decoded", "err", err)
+		return
+	}
+	own := s.register.Digest()
+	if own == received.Digest && received.Learned {
+		s.MarkLearned()
+	}
+	to := []netip.AddrPort{received.From}
+	if !received.Answer && (own != received.Digest || received.Learning) {
+		s.notifier.SendNote(to, NoteDigest, digestNote{From: s.self.Peer, Digest: own, Answer: true, Learned: s.hasLearned()})
+	}
+	if own == received.Digest {
+		return
+	}
+	cases := s.register.Flagged(unlimited)
+	// Cleared cases are included, as the other node may still watch them: of the nodes that
+	// know of a finish, only the few that saw it themselves announce it.
+	cases = append(cases, s.register.Cleared(casesPerNote)...)
+	rand.Shuffle(len(cases), func(i, j int) { cases[i], cases[j] = cases[j], cases[i] })
+	now := boottime.Now()
+	for range notesPerDigest {
+		batch := cases[:min(casesPerNote, len(cases))]
+		cases = cases[len(batch):]
+		if len(batch) == 0 {
+			return
+		}
+		reply := casesNote{FromDigest: true}
+		for _, c := range batch {
+			reply.Cases = append(reply.Cases, newCaseMessage(c, now))
+		}
+		s.notifier.SendNote(to, NoteCases, reply)
+	}
+}
+
+// unlimited is a limit above any number of cases.
+const unlimited = 1 << 20
+
+// ServeRun answers a MethodRun call of another node.
+func (s *Suspects) ServeRun(_ context.Context, params json.RawMessage) (any, error) {
+	var req runRequest
+	if err := json.Unmarshal(params, &req); err != nil {
+		return nil, eris.Wrap(err, "bad parameters")
+	}
+	maxRun := min(time.Duration(req.MaxMS)*time.Millisecond, maxRunTime)
+	return runAnswer{Run: s.register.GrantRun(req.Content, req.Node, maxRun, boottime.Now())}, nil
+}
+
+// ServeRunEnded answers a MethodRunEnded call of another node.
+func (s *Suspects) ServeRunEnded(_ context.Context, params json.RawMessage) (any, error) {
+	var req runRequest
+	if err := json.Unmarshal(params, &req); err != nil {
+		return nil, eris.Wrap(err, "bad parameters")
+	}
+	s.register.EndGrantedRun(req.Content, req.Node)
+	return struct{}{}, nil
+}
--- a/service/suspects/suspects.go
+++ b/service/suspects/suspects.go
@@ -20,17 +20,18 @@
 	"github.com/drumpath/drumpath/pkg/suspect"
 )
 
-// Suspects is what this node and the others know of requests under which replicas ended.
+// Suspects holds what this node and the others know of requests under which replicas ended.
 //
-// What a node has seen it tells to a few nodes that hashing gives the request to, and they
-// tell all nodes once it is watched or blocked. A replica that ends has up to some dozens
-// of requests in flight; told to all, a hall that ends would cost each of 900 nodes 1.6 MB.
+// A node tells a first end only to the few owners that the request hashes to; they tell all
+// nodes once the request is watched or blocked. A replica that ends has up to some dozens
+// of requests in flight. If all of them were told to all nodes, the loss of a hall would
+// cost each of 900 nodes 1.6 MB.
 //
-//	learnt by                            told to
-//	a first end, seen here               the request's owners, twice
-//	a further one; a finish              all nodes, twice
-//	a digest that differs, each second   one node at random, both ways
-//	a block                                the platform's store, for when all start anew
+//	event                                told to
+//	first end seen at this node          owners of the request, twice
+//	further end, finish                  all nodes, twice
+//	differing digest, each second        one random node, both ways
+//	block                                the platform's store, for a start of all nodes
 type Suspects struct {
 	self     control.Member
 	members  *control.Members
@@ -38,38 +39,38 @@
 	client   Caller
 	register *suspect.Register
 	log      *slog.Logger
-	notes    Notifier
+	notifier Notifier
 	metrics  metrics
-	// dial says whether an address can't be reached.
+	// dial returns an error if an address takes no connection.
 	dial func(addr netip.AddrPort) error
 	wg   sync.WaitGroup
 
-	mu       sync.Mutex
-	learning learning
-	lost     []LostRun
-	gone     map[string]time.Time // When replicas that had not said that they leave went, by ID.
-	told     int                  // Ends told since toldFrom.
-	toldFrom time.Time            // Begin of a second.
-	kept     map[site.Fingerprint]bool
-	keepNext time.Time // The store is not written before.
+	mu             sync.Mutex
+	learning       learning
+	lostRuns       []LostRun
+	delistedAt     map[string]time.Time // By replica ID, for replicas that had not reported to be draining.
+	announced      int                  // First ends announced since announceWindow.
+	announceWindow time.Time            // Start of the current second.
+	stored         map[site.Fingerprint]bool
+	nextSave       time.Time // Earliest time of the next write to the store.
 }
 
-// Store is where blocked requests are kept.
+// Store holds the row of blocked requests.
 type Store interface {
 	List(ctx context.Context, t site.Table) (site.Listing, error)
-	// Put writes a row that has the expected version; the error wraps site.ErrConflict
-	// when it has another.
+	// Put writes a row that has the expected version. If the row has another version, the
+	// error wraps site.ErrConflict.
 	Put(ctx context.Context, t site.Table, key string, value []byte, expected int64) (site.Listing, error)
 }
 
-// Notifier sends notes, which may be lost, to other nodes.
+// Notifier sends notes to other nodes. Notes may be lost.
 type Notifier interface {
-	// SendNote sends one to some nodes, and returns the bytes sent.
+	// SendNote sends a note to some nodes and returns the bytes sent.
 	SendNote(to []netip.AddrPort, method string, params any) (sent int)
-	// Recipients are the nodes to tell what all are to hear, and those that tell it on in
-	// their halls, others at each try.
+	// Recipients returns the nodes to send a broadcast to: those to tell directly, and
+	// relays that forward it to their halls. Each try has other relays.
 	Recipients(try int) (direct, relays []netip.AddrPort)
-	// HallPeers are the other nodes of this one's hall.
+	// HallPeers are the other nodes of this node's hall.
 	HallPeers() []netip.AddrPort
 }
 
@@ -80,17 +81,17 @@
 }
 
 type metrics struct {
-	ends   atomic.Int64 // Replicas that ended, counted for each request in flight there.
-	untold atomic.Int64 // Of these, not told to other nodes for want of time.
+	ends        atomic.Int64 // Ends of replicas, counted for each request in flight there.
+	unannounced atomic.Int64 // Ends not announced because of the rate limit.
 }
 
-// LostRun is a request whose replica gave no whole answer, and may have ended.
+// LostRun is a run whose answer was lost or incomplete. Its replica may have ended.
 type LostRun struct {
 	Content   site.Fingerprint
 	QuickHash uint64
-	Request   string // The caller's name of its attempt.
+	RequestID string // The caller's request ID.
 	Replica   string // The replica's ID.
-	StartKey  string // Its start.
+	StartKey  string // From StartKeyOf.
 	Addr      netip.AddrPort
 	StartedAt time.Time
 	LostAt    time.Time // When the answer was lost.
@@ -99,65 +100,67 @@
 }
 
 const (
-	// endOwners is how many nodes a request's ends are told to: one may have ended with a
-	// replica beside it, and one be cut off.
-	endOwners = 3
-	endsDuty  = "ends/"
-	// refusedTerm is how long before a refused connection an answer may have been lost for
-	// the replica to have ended under that request: others try it many times a second.
-	refusedTerm = 2 * time.Second
-	// listedTerm is that before the platform's list drops the replica, which takes up to
-	// three of its heartbeats, or has a new start of it.
-	listedTerm = 10 * time.Second
-	// dialTime bounds a look whether a replica takes connections, which takes some
+	// ownerCount is how many owners a request has: one may have ended together with a
+	// replica, and one may be cut off.
+	ownerCount      = 3
+	ownerDutyPrefix = "ends/"
+	// refusedWindow is how long before a refused connection an answer may have been lost
+	// for the end of the replica to count against its request. Other requests try the
+	// replica many times a second, so a refusal is seen soon.
+	refusedWindow = 2 * time.Second
+	// listedWindow is the same for a replica that the platform's list drops, which takes up
+	// to three of its heartbeats, or lists with a new start.
+	listedWindow = 10 * time.Second
+	// dialTimeout bounds a check whether a replica takes connections, which takes some
 	// milliseconds.
-	dialTime = 400 * time.Millisecond
-	// longestRun is over how long any request is held.
-	longestRun = time.Minute
-	// mostLost bounds the answers that are remembered as lost, some 100 bytes each.
-	mostLost = 2048
-	// mostToldEnds is how many first ends a node tells in a second, some 150 bytes six times.
-	mostToldEnds = 100
+	dialTimeout = 400 * time.Millisecond
+	// maxRunTime is longer than any request may take.
+	maxRunTime = time.Minute
+	// maxLostRuns bounds the lost runs that are remembered, some 100 bytes each.
+	maxLostRuns = 2048
+	// maxFirstEndsPerSecond bounds the first ends that a node announces in a second; each
+	// takes six notes of some 150 bytes.
+	maxFirstEndsPerSecond = 100
 )
 
-// New returns what a node knows, which is nothing yet. Without a store nothing outlasts all
-// nodes. SetNotifier is to be called before anything else.
-func New(self control.Member, m *control.Members, st Store, c Caller, log *slog.Logger) *Suspects {
+// New returns a Suspects that knows no requests. Without a store, what is known is lost
+// when all nodes stop. SetNotifier must be called before any other method.
+func New(self control.Member, members *control.Members, store Store, client Caller, log *slog.Logger) *Suspects {
 	return &Suspects{
-		self:     self,
-		members:  m,
-		store:    st,
-		client:   c,
-		register: suspect.NewRegister(),
-		learning: learning{done: make(chan struct{})},
-		log:      log,
-		kept:     map[site.Fingerprint]bool{},
-		gone:     map[string]time.Time{},
-		dial:     dial,
+		self:       self,
+		members:    members,
+		store:      store,
+		client:     client,
+		register:   suspect.NewRegister(),
+		learning:   learning{done: make(chan struct{})},
+		log:        log,
+		stored:     map[site.Fingerprint]bool{},
+		delistedAt: map[string]time.Time{},
+		dial:       dial,
 	}
 }
 
-// Close waits for what is under way.
+// Close waits for calls in progress.
 func (s *Suspects) Close() { s.wg.Wait() }
 
 func dial(addr netip.AddrPort) error {
-	conn, err := http1.Dial(addr.String(), dialTime, dialTime)
+	conn, err := http1.Dial(addr.String(), dialTimeout, dialTimeout)
 	if err != nil {
 		return err
 	}
 	return conn.Close()
 }
 
-// SetNotifier says by whom other nodes are told.
-func (s *Suspects) SetNotifier(t Notifier) { s.notes = t }
+// SetNotifier sets how notes are sent to other nodes.
+func (s *Suspects) SetNotifier(n Notifier) { s.notifier = n }
 
 // Empty says whether nothing is known of any request.
 func (s *Suspects) Empty() bool { return s.register.Empty() }
 
-// Case is what is known of a request.
+// Case returns what is known of a request.
 func (s *Suspects) Case(f site.Fingerprint) suspect.Case { return s.register.Case(f) }
 
-// StartKeyOf names a start of a replica; started is zero where that is not known.
+// StartKeyOf identifies one start of a replica. started is zero if it is not known.
 func StartKeyOf(id string, started time.Time) string {
 	if started.IsZero() {
 		return id
@@ -165,107 +168,110 @@
 	return id + "@" + strconv.FormatInt(started.UnixMilli(), 10)
 }
 
-// NotListening says whether an error of a new connection shows that no process listens any
-// more. A path that is cut shows nothing of the kind: every replica would seem to end.
+// NotListening says whether the error of a new connection shows that no process listens at
+// its address. Timeouts don't show that: when the network is cut, every replica would seem
+// to have ended.
 func NotListening(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// RecordLostRun notes a request whose replica may have ended. If the replica's entry has gone
-// while its answer was still waited for, that is found out.
+// RecordLostRun notes a request whose replica may have ended. If the replica was delisted
+// while its answer was awaited, RecordLostRun checks whether it has ended.
 func (s *Suspects) RecordLostRun(run LostRun) {
 	s.mu.Lock()
-	if len(s.lost) >= mostLost {
-		s.lost = s.lost[1:]
+	if len(s.lostRuns) >= maxLostRuns {
+		s.lostRuns = s.lostRuns[1:]
 	}
-	s.lost = append(s.lost, run)
-	left := s.gone[run.Replica].After(run.StartedAt)
+	s.lostRuns = append(s.lostRuns, run)
+	delisted := s.delistedAt[run.Replica].After(run.StartedAt)
 	s.mu.Unlock()
-	if left {
-		s.lookAt(run.Replica, run.Addr)
+	if delisted {
+		s.checkReachable(run.Replica, run.Addr)
 	}
 }
 
-// lookAt finds out whether a replica whose entry has gone has ended: one that leaves without
-// a word serves on for a while.
-func (s *Suspects) lookAt(id string, addr netip.AddrPort) {
+// checkReachable checks whether a delisted replica has ended: one that leaves without
+// notice goes on serving for a while.
+func (s *Suspects) checkReachable(id string, addr netip.AddrPort) {
 	s.wg.Go(func() {
 		if s.dial(addr) == nil {
-			s.alive(id)
+			s.markReachable(id)
 			return
 		}
-		s.confirm(boottime.Now(), func(r *LostRun) bool { return r.Replica == id && !r.Reachable })
+		s.confirmEnds(boottime.Now(), func(r *LostRun) bool { return r.Replica == id && !r.Reachable })
 	})
 }
 
-// alive notes that a replica takes connections.
-func (s *Suspects) alive(id string) {
+// markReachable notes that a replica takes connections.
+func (s *Suspects) markReachable(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.lost {
-		if s.lost[i].Replica == id {
-			s.lost[i].Reachable = true
+	for i := range s.lostRuns {
+		if s.lostRuns[i].Replica == id {
+			s.lostRuns[i].Reachable = true
 		}
 	}
 }
 
-// went notes that a replica has gone, or started anew.
-func (s *Suspects) went(id string, now time.Time) {
+// recordDelistedAt notes when a replica was delisted.
+func (s *Suspects) recordDelistedAt(id string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone[id] = now
+	s.delistedAt[id] = now
 }
 
-// forgetGone forgets replicas that went longer ago than any request is held.
-func (s *Suspects) forgetGone(now time.Time) {
+// forgetDelisted forgets replicas that were delisted longer ago than any request takes.
+func (s *Suspects) forgetDelisted(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.gone, func(_ string, at time.Time) bool { return now.Sub(at) > longestRun })
+	maps.DeleteFunc(s.delistedAt, func(_ string, at time.Time) bool { return now.Sub(at) > maxRunTime })
 }
 
-// RecordNotListening notes that the address of a start of a replica takes no connections any more.
-func (s *Suspects) RecordNotListening(life string, now time.Time) {
-	s.confirm(now, func(r *LostRun) bool {
-		return r.StartKey == life && !r.Reachable && now.Sub(r.LostAt) < refusedTerm
+// RecordNotListening notes that nothing listens any more at the address of one start of a
+// replica.
+func (s *Suspects) RecordNotListening(startKey string, now time.Time) {
+	s.confirmEnds(now, func(r *LostRun) bool {
+		return r.StartKey == startKey && !r.Reachable && now.Sub(r.LostAt) < refusedWindow
 	})
 }
 
-// RecordDelisted notes that the platform's list has no longer a replica that did not say that it was
-// leaving. If answers were lost there, it is found out whether it has ended.
+// RecordDelisted notes that the platform no longer lists a replica that had not reported to
+// be draining. If answers of it were lost, RecordDelisted checks whether it has ended.
 func (s *Suspects) RecordDelisted(id string, now time.Time) {
-	s.went(id, now)
+	s.recordDelistedAt(id, now)
 	s.mu.Lock()
-	i := slices.IndexFunc(s.lost, func(r LostRun) bool { return r.Replica == id && !r.Reachable })
+	i := slices.IndexFunc(s.lostRuns, func(r LostRun) bool { return r.Replica == id && !r.Reachable })
 	addr := netip.AddrPort{}
 	if i >= 0 {
-		addr = s.lost[i].Addr
+		addr = s.lostRuns[i].Addr
 	}
 	s.mu.Unlock()
 	if i >= 0 {
-		s.lookAt(id, addr)
+		s.checkReachable(id, addr)
 	}
 }
 
-// RecordRestart notes that a replica that had not said that it was leaving has started anew
+// RecordRestart notes that a replica that had not reported to be draining has restarted
 // under its ID.
 func (s *Suspects) RecordRestart(id string, now time.Time) {
-	s.confirm(now, func(r *LostRun) bool { return r.Replica == id })
+	s.confirmEnds(now, func(r *LostRun) bool { return r.Replica == id })
 }
 
-// confirm takes those of the lost answers whose replica has ended as ends.
-func (s *Suspects) confirm(now time.Time, ended func(*LostRun) bool) {
+// confirmEnds records the ends of those lost runs whose replica has ended, and drops old
+// ones.
+func (s *Suspects) confirmEnds(now time.Time, ended func(*LostRun) bool) {
 	var list []LostRun
 	s.mu.Lock()
-	kept := s.lost[:0]
-	for _, r := range s.lost {
+	pending := s.lostRuns[:0]
+	for _, r := range s.lostRuns {
 		switch {
-		case now.Sub(r.LostAt) >= listedTerm: // What happens now has nothing to do with it.
+		case now.Sub(r.LostAt) >= listedWindow: // Too old to be caused by this event.
 		case ended(&r):
 			list = append(list, r)
 		default:
-			kept = append(kept, r)
+			pending = append(pending, r)
 		}
 	}
-	clear(s.lost[len(kept):])
-	s.lost = kept
+	clear(s.lostRuns[len(pending):])
+	s.lostRuns = pending
 	s.mu.Unlock()
 	for _, r := range list {
 		s.RecordEnd(r, now)
@@ -281,17 +287,17 @@
 	})
 	c := s.register.Case(r.Content)
 	s.metrics.ends.Add(1)
-	s.log.Warn("replica ended under a request", "request", r.Request, "content", r.Content, "replica", r.Replica,
+	s.log.Warn("replica ended under a request", "request", r.RequestID, "content", r.Content, "replica", r.Replica,
 		"ends", len(c.Ends), "verdict", change.After.String(), "finished_before", !c.Finished.IsZero())
-	s.changed(c, change)
+	s.logChange(c, change)
 	if change.New && len(c.Ends) > 0 {
-		s.tell(c, change, now)
+		s.announce(c, change, now)
 	}
 }
 
 // RecordFinish notes that a replica finished a request.
-func (s *Suspects) RecordFinish(sketch uint64, content func() site.Fingerprint, now time.Time) {
-	s.register.Finished(sketch, now)
+func (s *Suspects) RecordFinish(quickHash uint64, content func() site.Fingerprint, now time.Time) {
+	s.register.Finished(quickHash, now)
 	if s.register.Empty() {
 		return // Nothing has to be hashed.
 	}
@@ -299,16 +305,16 @@
 	if len(s.register.Case(f).Ends) == 0 {
 		return
 	}
-	change := s.register.Merge(suspect.Case{Content: f, QuickHash: sketch, Finished: now})
+	change := s.register.Merge(suspect.Case{Content: f, QuickHash: quickHash, Finished: now})
 	c := s.register.Case(f)
-	s.changed(c, change)
+	s.logChange(c, change)
 	if change.New && s.register.ShouldAnnounce(f) {
-		s.tell(c, change, now)
+		s.announce(c, change, now)
 	}
 }
 
-// changed logs a change of what is done with a request.
-func (s *Suspects) changed(c suspect.Case, change suspect.MergeResult) {
+// logChange logs a change of the verdict on a request.
+func (s *Suspects) logChange(c suspect.Case, change suspect.MergeResult) {
 	if change.Before == change.After {
 		return
 	}
@@ -319,26 +325,26 @@
 	s.log.Warn("request suspected", "content", c.Content, "verdict", change.After.String(), "ends", len(c.Ends), "replicas", c.Replicas())
 }
 
-// owners are the nodes that collect what is known of a request.
+// owners are the nodes that collect the evidence about a request and grant its runs.
 func (s *Suspects) owners(f site.Fingerprint) []control.Member {
-	return control.Owners(s.members.View().Working, endsDuty+f.String(), endOwners)
+	return control.Owners(s.members.View().Working, ownerDutyPrefix+f.String(), ownerCount)
 }
 
-// Status is what is served of it.
+// Status is the part of a node's status that Suspects reports.
 type Status struct {
-	Ends    int64 `json:"ends"`
-	Untold  int64 `json:"ends_untold"`
-	Watched int   `json:"watched"`
-	Blocked int   `json:"blocked"`
+	Ends        int64 `json:"ends"`
+	Unannounced int64 `json:"ends_untold"`
+	Watched     int   `json:"watched"`
+	Blocked     int   `json:"blocked"`
 }
 
-// Status counts what is known.
+// Status returns the current counts.
 func (s *Suspects) Status() Status {
 	watched, blocked := s.register.Count()
 	return Status{
-		Ends:    s.metrics.ends.Load(),
-		Untold:  s.metrics.untold.Load(),
-		Watched: watched,
-		Blocked: blocked,
+		Ends:        s.metrics.ends.Load(),
+		Unannounced: s.metrics.unannounced.Load(),
+		Watched:     watched,
+		Blocked:     blocked,
 	}
 }
