--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -305,23 +305,23 @@
 	},
 	{
 		"limits: one node gives a grant for all", "service/ratelimit/grants.go",
-		"	if owner.Name == l.self.Name {\n		return l.give", "	if true || owner.Name == l.self.Name {\n		return l.give",
+		"	if owner.Name == l.self.Name {\n		return l.issueGrant", "	if true || owner.Name == l.self.Name {\n		return l.issueGrant",
 		"./service/ratelimit", "TestLimitHoldsInFleetsOfAnySize",
 	},
 	{
 		"limits: parts that are cut apart add up to the whole", "service/ratelimit/limits.go",
 		"float64(max(1, len(all)-dead)) / float64", "float64(max(1, len(all)+0*dead)) / float64",
-		"./service/ratelimit", "TestLimitHoldsWhereNodesAreCutApart",
+		"./service/ratelimit", "TestLimitHoldsDuringPartition",
 	},
 	{
 		"limits: an end is heard of", "service/ratelimit/limits.go",
-		"	if l.note(u, end, now) == quota.ChangeEnded {", "	if false && l.note(u, end, now) == quota.ChangeEnded {",
+		"	if l.observe(u, end, now) == quota.ChangeEnded {", "	if false && l.observe(u, end, now) == quota.ChangeEnded {",
 		"./internal/standin/onplatform", "TestLimitHoldsForAsLongAsItIsNamed",
 	},
 	{
 		"limits: what was left unused is not given out later", "pkg/quota/ledger.go",
-		"	a.tokens = min(a.depth(), a.tokens+past", "	a.tokens = max(a.tokens, a.tokens+past",
-		"./pkg/quota", "TestWhatWasLeftUnusedIsNotGivenOutLater",
+		"	b.tokens = min(b.capacity(), b.tokens+elapsed", "	b.tokens = max(b.tokens, b.tokens+elapsed",
+		"./pkg/quota", "TestUnusedRateIsNotGrantedLater",
 	},
 	{
 		"drain: an answer's word is read", "service/gateway/exchange_limits.go",
--- a/pkg/queue/doc.go
+++ b/pkg/queue/doc.go
@@ -1,2 +1,2 @@
-// Package queue has a priority queue from which any item can be taken.
+// Package queue implements a priority queue from which any item can be removed.
 package queue
--- a/pkg/queue/heap_test.go
+++ b/pkg/queue/heap_test.go
@@ -15,7 +15,7 @@
 
 func (x *number) Before(other *number) bool { return x.n < other.n }
 
-func TestHeapAgainstASortedList(t *testing.T) {
+func TestHeapMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Heap[*number]
 		var model []*number
--- a/pkg/quota/doc.go
+++ b/pkg/quota/doc.go
@@ -1,13 +1,12 @@
-// Package quota divides a rate that holds for all nodes together.
+// Package quota enforces a rate limit that all nodes share.
 //
-// For each subject one node, its owner, gives a grant to send; the others ask it. What an owner
-// gives adds up over all nodes whatever they believe of each other, is used by whoever has
-// something to send, and can be as little as one in some seconds, of which no node could have
-// a part of its own.
+// Each subject has one owner node that grants permission to send; the other nodes ask it.
+// The owner's grants add up to the limit whatever the nodes believe about each other, go to
+// whichever node has something to send, and may be as rare as one every few seconds, which
+// could not be divided among the nodes.
 //
-// The load pattern that this answers is a service under its usual load or a burst of which
-// one replica names a small rate, which may change from one answer to the next. Each node
-// keeping a part of the rate for itself, as is done where nodes must not wait for each other,
-// would leave most of it unused in a large fleet: few nodes get one request in 4 s that is
-// best sent there.
+// The limit typically comes from one replica of a service, is small, and may change from one
+// answer to the next. Giving each node a fixed share, which saves the call to the owner, would
+// leave most of the rate unused in a large fleet: few nodes get a request every 4 s that is
+// best sent to that replica.
 package quota
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -7,206 +7,206 @@
 )
 
 const (
-	// leastRate is what is given out a second of a rate that is smaller: one in 4 s. A
-	// subject that is sent nothing could not tell that it takes more again.
-	leastRate = 0.25
-	// depthTime is for how long what is not used is kept, beside one.
-	depthTime = 250 * time.Millisecond
-	// batchTime is for how long's worth of a rate grants are given at once: an owner is asked
-	// some 50 times a second at most, at any rate.
-	batchTime = 20 * time.Millisecond
-	// idleTerm is for how long a rate is remembered that nothing was heard of, and its end: a
-	// node that has missed the end asks some time.
-	idleTerm = 10 * time.Minute
-	// mostSubjects bounds what is remembered, some 200 bytes each.
-	mostSubjects = 8192
+	// minRate is the lowest rate granted, one request in 4 s: a subject that is sent
+	// nothing could not report a higher rate.
+	minRate = 0.25
+	// burstWindow bounds the unused tokens that are kept: one, plus this long at the rate.
+	burstWindow = 250 * time.Millisecond
+	// batchWindow is how much of the rate one grant covers, so that a node asks an owner at
+	// most about 50 times a second at any rate.
+	batchWindow = 20 * time.Millisecond
+	// idleTimeout is how long a rate is kept without observation or use. A rate that has ended is
+	// kept as long, since a node that missed the end may still ask.
+	idleTimeout = 10 * time.Minute
+	// maxSubjects bounds the ledger's memory, some 200 bytes a subject.
+	maxSubjects = 8192
 )
 
-// Rate is what was last seen of a subject.
+// Rate is the last observation of a subject's rate limit.
 type Rate struct {
-	// PerSecond is what all nodes together may send.
+	// PerSecond is how many requests a second all nodes together may send.
 	PerSecond float64
-	// Ended says that it no longer names a rate.
+	// Ended means that the subject no longer has a limit.
 	Ended bool
-	// At is when that was seen, by this node's clock.
-	At time.Time
+	// ObservedAt is the time of the observation by this node's clock.
+	ObservedAt time.Time
 }
 
 // Grant is an owner's answer to a node that wants to send.
 type Grant struct {
-	// Count is how many it may send now.
+	// Count is how many requests it may send now.
 	Count int
-	// Wait is when to ask again if that is none.
+	// Wait is how long to wait before asking again if Count is 0.
 	Wait time.Duration
 }
 
-// Change is what news have changed.
+// Change is the effect of an observation.
 type Change int
 
-// Changes by news.
+// Effects of an observation.
 const (
-	// ChangeNone: nothing, or the news were older than what is known.
+	// ChangeNone: nothing changed, or the observation was outdated.
 	ChangeNone Change = iota
-	// ChangeBegun: the subject had no rate before.
-	ChangeBegun
-	// ChangeRate: it had another one.
-	ChangeRate
-	// ChangeEnded: it has none any more.
+	// ChangeSet: the subject had no limit before.
+	ChangeSet
+	// ChangeUpdated: the subject had another limit.
+	ChangeUpdated
+	// ChangeEnded: the subject no longer has a limit.
 	ChangeEnded
 )
 
-// Ledger is what a node knows of subjects' rates, and what it has given out of those that it
-// owns.
+// Ledger holds the rate limits that a node knows, and a token bucket for each, from which it
+// grants if it is the owner.
 type Ledger struct {
-	known atomic.Int64 // Subjects.
+	subjectCount atomic.Int64 // len(subjects), readable without mu.
 
 	mu       sync.Mutex
-	subjects map[string]*account
+	subjects map[string]*bucket
 }
 
-// account is one subject's.
-type account struct {
-	rate   Rate
-	tokens float64 // What may be given out, below 0 for what was sent without a grant.
-	filled time.Time
-	used   time.Time // Last heard of, or asked for.
-	given  time.Time // Last, or since when there is anything to give.
+// bucket is the token bucket of one subject.
+type bucket struct {
+	rate       Rate
+	tokens     float64 // Negative after requests sent without a grant.
+	lastRefill time.Time
+	lastUsed   time.Time // Last observation or request for a grant.
+	lastGrant  time.Time // Or when the limit was set, if nothing was granted since.
 }
 
-// NewLedger returns a ledger that knows no subject.
-func NewLedger() *Ledger { return &Ledger{subjects: map[string]*account{}} }
+// NewLedger returns an empty ledger.
+func NewLedger() *Ledger { return &Ledger{subjects: map[string]*bucket{}} }
 
-// Empty says whether no subject has a rate, or had one a moment ago.
-func (l *Ledger) Empty() bool { return l.known.Load() == 0 }
+// Empty reports whether the ledger has no subject, not even one whose rate has ended.
+func (l *Ledger) Empty() bool { return l.subjectCount.Load() == 0 }
 
-// Rate is what is known of a subject; ok is false if that is nothing.
+// Rate returns the last observation of a subject; ok is false if there is none.
 func (l *Ledger) Rate(subject string) (r Rate, ok bool) {
 	if l.Empty() {
 		return r, false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a, ok := l.subjects[subject]
+	b, ok := l.subjects[subject]
 	if !ok {
 		return r, false
 	}
-	return a.rate, true
+	return b.rate, true
 }
 
-// Observe takes in what was seen. What is older than what is known is passed over: news may come
-// in any order.
+// Observe records an observation. Observations may arrive in any order; outdated ones are
+// ignored.
 func (l *Ledger) Observe(subject string, r Rate, now time.Time) Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a, ok := l.subjects[subject]
+	b, ok := l.subjects[subject]
 	switch {
-	case !ok && (r.Ended || len(l.subjects) >= mostSubjects):
+	case !ok && (r.Ended || len(l.subjects) >= maxSubjects):
 		return ChangeNone
 	case !ok:
-		// It begins with nothing: another node may have given out what there was.
-		l.subjects[subject] = &account{rate: r, filled: now, used: now, given: now}
-		l.known.Add(1)
-		return ChangeBegun
-	case !r.At.After(a.rate.At):
+		// The bucket starts empty: another node may already have granted what was available.
+		l.subjects[subject] = &bucket{rate: r, lastRefill: now, lastUsed: now, lastGrant: now}
+		l.subjectCount.Add(1)
+		return ChangeSet
+	case !r.ObservedAt.After(b.rate.ObservedAt):
 		return ChangeNone
 	}
-	a.used = now
-	was := a.rate
-	a.rate = r
-	a.tokens = min(a.tokens, a.depth())
+	b.lastUsed = now
+	previous := b.rate
+	b.rate = r
+	b.tokens = min(b.tokens, b.capacity())
 	switch {
-	case r.Ended && was.Ended:
+	case r.Ended && previous.Ended:
 		return ChangeNone
 	case r.Ended:
 		return ChangeEnded
-	case was.Ended:
-		a.tokens, a.filled, a.given = 0, now, now
-		return ChangeBegun
-	case r.PerSecond != was.PerSecond:
-		return ChangeRate
+	case previous.Ended:
+		b.tokens, b.lastRefill, b.lastGrant = 0, now, now
+		return ChangeSet
+	case r.PerSecond != previous.PerSecond:
+		return ChangeUpdated
 	default:
 		return ChangeNone
 	}
 }
 
-// Take gives a grant to send, out of a part of the rate: what is given out by owners that are
-// cut off from each other must not be more than the whole. ok is false if no grant is needed.
-func (l *Ledger) Take(subject string, part float64, now time.Time) (g Grant, ok bool) {
+// Take grants requests out of a share of the rate: during a network partition several owners
+// grant, and their shares must not exceed the whole. ok is false if no grant is needed.
+func (l *Ledger) Take(subject string, share float64, now time.Time) (g Grant, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a, known := l.subjects[subject]
-	if !known || a.rate.Ended {
+	b, known := l.subjects[subject]
+	if !known || b.rate.Ended {
 		return g, false
 	}
-	a.used = now
-	a.fill(part, now)
-	if a.tokens < 1 {
-		return Grant{Wait: time.Duration((1 - a.tokens) / (a.perSecond() * part) * float64(time.Second))}, true
+	b.lastUsed = now
+	b.refill(share, now)
+	if b.tokens < 1 {
+		return Grant{Wait: time.Duration((1 - b.tokens) / (b.effectiveRate() * share) * float64(time.Second))}, true
 	}
-	batch := max(1, int(a.perSecond()*batchTime.Seconds()))
-	a.given = now
-	g.Count = min(int(a.tokens), batch)
-	a.tokens -= float64(g.Count)
+	batch := max(1, int(b.effectiveRate()*batchWindow.Seconds()))
+	b.lastGrant = now
+	g.Count = min(int(b.tokens), batch)
+	b.tokens -= float64(g.Count)
 	return g, true
 }
 
-// Unused is how many could have been sent since the last one was, beyond the first.
+// Unused returns how many more requests than one the rate allowed since the last grant.
 func (l *Ledger) Unused(subject string, now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a, ok := l.subjects[subject]
-	if !ok || a.rate.Ended {
+	b, ok := l.subjects[subject]
+	if !ok || b.rate.Ended {
 		return 0
 	}
-	return max(0, now.Sub(a.given).Seconds()*a.perSecond()-1)
+	return max(0, now.Sub(b.lastGrant).Seconds()*b.effectiveRate()-1)
 }
 
-// Spend counts one that was sent without a grant, as it could not wait.
+// Spend counts a request that was sent without a grant because it could not wait.
 func (l *Ledger) Spend(subject string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if a, ok := l.subjects[subject]; ok {
-		a.used = now
-		a.tokens--
+	if b, ok := l.subjects[subject]; ok {
+		b.lastUsed = now
+		b.tokens--
 	}
 }
 
-// Forget drops what nothing was heard of for long.
+// Forget drops subjects that were neither observed nor used for idleTimeout.
 func (l *Ledger) Forget(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for subject, a := range l.subjects {
-		if now.Sub(a.used) > idleTerm {
+	for subject, b := range l.subjects {
+		if now.Sub(b.lastUsed) > idleTimeout {
 			delete(l.subjects, subject)
-			l.known.Add(-1)
+			l.subjectCount.Add(-1)
 		}
 	}
 }
 
-// Count is how many subjects have a rate.
+// Count returns the number of subjects that have a limit.
 func (l *Ledger) Count() (n int) {
 	if l.Empty() {
 		return 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, a := range l.subjects {
-		if !a.rate.Ended {
+	for _, b := range l.subjects {
+		if !b.rate.Ended {
 			n++
 		}
 	}
 	return n
 }
 
-// perSecond is the rate that is given out.
-func (a *account) perSecond() float64 { return max(leastRate, a.rate.PerSecond) }
+// effectiveRate is the rate at which tokens are granted.
+func (b *bucket) effectiveRate() float64 { return max(minRate, b.rate.PerSecond) }
 
-// depth is how many there may be to be given out.
-func (a *account) depth() float64 { return 1 + a.perSecond()*depthTime.Seconds() }
+// capacity is the largest number of tokens in the bucket.
+func (b *bucket) capacity() float64 { return 1 + b.effectiveRate()*burstWindow.Seconds() }
 
-// fill adds what has become free.
-func (a *account) fill(part float64, now time.Time) {
-	past := max(0, now.Sub(a.filled).Seconds())
-	a.tokens = min(a.depth(), a.tokens+past*part*a.perSecond())
-	a.filled = now
+// refill adds the tokens accrued since the last refill.
+func (b *bucket) refill(share float64, now time.Time) {
+	elapsed := max(0, now.Sub(b.lastRefill).Seconds())
+	b.tokens = min(b.capacity(), b.tokens+elapsed*share*b.effectiveRate())
+	b.lastRefill = now
 }
--- a/pkg/quota/ledger_test.go
+++ b/pkg/quota/ledger_test.go
@@ -7,19 +7,20 @@
 	"gotest.tools/v3/assert"
 )
 
-var begun = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-// after is a time from the begin, in milliseconds.
-func after(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
+// atMillis returns a time in milliseconds after startTime.
+func atMillis(ms int) time.Time { return startTime.Add(time.Duration(ms) * time.Millisecond) }
 
-func named(rate float64, ms int) Rate { return Rate{PerSecond: rate, At: after(ms)} }
+func rateAt(rate float64, ms int) Rate { return Rate{PerSecond: rate, ObservedAt: atMillis(ms)} }
 
-func ended(ms int) Rate { return Rate{Ended: true, At: after(ms)} }
+func endedAt(ms int) Rate { return Rate{Ended: true, ObservedAt: atMillis(ms)} }
 
-// given is how many are given out between two times, asked for each 5 ms.
-func given(l *Ledger, part float64, from, to int) (n int) {
+// totalGranted sums the grants between two times with a request every 5 ms; -1 means that no
+// grant was needed.
+func totalGranted(l *Ledger, share float64, from, to int) (n int) {
 	for ms := from; ms < to; ms += 5 {
-		g, ok := l.Take("s", part, after(ms))
+		g, ok := l.Take("s", share, atMillis(ms))
 		if !ok {
 			return -1
 		}
@@ -28,12 +29,12 @@
 	return n
 }
 
-func TestLedgerGivesOutWhatIsNamed(t *testing.T) {
+func TestLedgerGrantsAtRate(t *testing.T) {
 	for _, c := range []struct {
 		rate, part  float64
-		least, most int // In ten seconds.
+		least, most int // In 10 s.
 	}{
-		{0, 1, 2, 3}, // One in 4 s, so that it is noticed when it takes more.
+		{0, 1, 2, 3}, // One in 4 s, so that a later rise is noticed.
 		{0.25, 1, 2, 3},
 		{1, 1, 9, 11},
 		{1.7, 1, 16, 18},
@@ -42,47 +43,47 @@
 		{5000, 1, 49_000, 50_001},
 	} {
 		l := NewLedger()
-		assert.Equal(t, l.Observe("s", named(c.rate, 0), after(0)), ChangeBegun)
-		n := given(l, c.part, 0, 10_000)
-		assert.Assert(t, n >= c.least && n <= c.most, "%g a second, part %g: %d", c.rate, c.part, n)
+		assert.Equal(t, l.Observe("s", rateAt(c.rate, 0), atMillis(0)), ChangeSet)
+		granted := totalGranted(l, c.part, 0, 10_000)
+		assert.Assert(t, granted >= c.least && granted <= c.most, "%g a second, part %g: %d", c.rate, c.part, granted)
 	}
 }
 
-// What is not asked for is kept for a moment only: nobody gets many at once after a rest.
-func TestWhatWasLeftUnusedIsNotGivenOutLater(t *testing.T) {
+// Unused tokens are kept for burstWindow only, so no large burst follows an idle time.
+func TestUnusedRateIsNotGrantedLater(t *testing.T) {
 	l := NewLedger()
-	l.Observe("s", named(8, 0), after(0))
-	assert.Equal(t, given(l, 1, 60_000, 60_005), 1)
-	assert.Equal(t, given(l, 1, 60_005, 60_015), 2, "a quarter of a second's, and one")
-	assert.Equal(t, given(l, 1, 60_015, 60_100), 0)
-	assert.Equal(t, l.Unused("s", after(60_010)), 0.0)
-	assert.Assert(t, l.Unused("s", after(62_010)) > 14)
+	l.Observe("s", rateAt(8, 0), atMillis(0))
+	assert.Equal(t, totalGranted(l, 1, 60_000, 60_005), 1)
+	assert.Equal(t, totalGranted(l, 1, 60_005, 60_015), 2, "capacity: 250 ms at the rate, and one")
+	assert.Equal(t, totalGranted(l, 1, 60_015, 60_100), 0)
+	assert.Equal(t, l.Unused("s", atMillis(60_010)), 0.0)
+	assert.Assert(t, l.Unused("s", atMillis(62_010)) > 14)
 }
 
-func TestOldNewsChangeNothing(t *testing.T) {
+func TestOutdatedObservationIsIgnored(t *testing.T) {
 	l := NewLedger()
-	assert.Equal(t, l.Observe("s", ended(5), after(5)), ChangeNone, "of what was never named")
+	assert.Equal(t, l.Observe("s", endedAt(5), atMillis(5)), ChangeNone, "the end of an unknown limit")
 	assert.Assert(t, l.Empty())
-	assert.Equal(t, l.Observe("s", named(2, 100), after(100)), ChangeBegun)
-	assert.Equal(t, l.Observe("s", ended(99), after(200)), ChangeNone, "an answer that was under way")
-	assert.Equal(t, l.Observe("s", named(3, 50), after(200)), ChangeNone)
-	assert.Equal(t, l.Observe("s", named(2, 150), after(200)), ChangeNone, "the same again")
-	assert.Equal(t, l.Observe("s", named(3, 160), after(200)), ChangeRate)
-	assert.Equal(t, l.Observe("s", ended(170), after(200)), ChangeEnded)
-	assert.Equal(t, given(l, 1, 200, 205), -1, "no grant is needed")
-	assert.Equal(t, l.Observe("s", named(3, 165), after(300)), ChangeNone, "late news of before")
-	assert.Equal(t, l.Observe("s", named(3, 180), after(300)), ChangeBegun)
+	assert.Equal(t, l.Observe("s", rateAt(2, 100), atMillis(100)), ChangeSet)
+	assert.Equal(t, l.Observe("s", endedAt(99), atMillis(200)), ChangeNone, "an end older than the limit")
+	assert.Equal(t, l.Observe("s", rateAt(3, 50), atMillis(200)), ChangeNone)
+	assert.Equal(t, l.Observe("s", rateAt(2, 150), atMillis(200)), ChangeNone, "the same rate")
+	assert.Equal(t, l.Observe("s", rateAt(3, 160), atMillis(200)), ChangeUpdated)
+	assert.Equal(t, l.Observe("s", endedAt(170), atMillis(200)), ChangeEnded)
+	assert.Equal(t, totalGranted(l, 1, 200, 205), -1, "no grant is needed")
+	assert.Equal(t, l.Observe("s", rateAt(3, 165), atMillis(300)), ChangeNone, "a rate older than the end")
+	assert.Equal(t, l.Observe("s", rateAt(3, 180), atMillis(300)), ChangeSet)
 	assert.Equal(t, l.Count(), 1)
-	l.Forget(after(300).Add(idleTerm + time.Second))
+	l.Forget(atMillis(300).Add(idleTimeout + time.Second))
 	assert.Assert(t, l.Empty())
 }
 
-// A rate that falls takes back what was free by the old one.
-func TestRateThatFallsLeavesNoRest(t *testing.T) {
+// A lowered rate also lowers the capacity: tokens saved at the old rate are lost.
+func TestLoweredRateDropsSavedTokens(t *testing.T) {
 	l := NewLedger()
-	l.Observe("s", named(100, 0), after(0))
-	assert.Equal(t, given(l, 1, 1000, 1005), 2)
-	assert.Equal(t, l.Observe("s", named(0.5, 1010), after(1010)), ChangeRate)
-	n := given(l, 1, 1010, 5010)
-	assert.Assert(t, n >= 2 && n <= 3, "%d in 4 s", n)
+	l.Observe("s", rateAt(100, 0), atMillis(0))
+	assert.Equal(t, totalGranted(l, 1, 1000, 1005), 2)
+	assert.Equal(t, l.Observe("s", rateAt(0.5, 1010), atMillis(1010)), ChangeUpdated)
+	granted := totalGranted(l, 1, 1010, 5010)
+	assert.Assert(t, granted >= 2 && granted <= 3, "%d in 4 s", granted)
 }
--- a/service/ratelimit/doc.go
+++ b/service/ratelimit/doc.go
@@ -1,2 +1,3 @@
-// Package ratelimit keeps what all nodes together send a replica within the rate that it names.
+// Package ratelimit keeps the requests that all nodes together send to a replica within the
+// rate limit that the replica names in its answers.
 package ratelimit
--- a/service/ratelimit/grants.go
+++ b/service/ratelimit/grants.go
@@ -10,205 +10,208 @@
 )
 
 const (
-	// MethodTake asks a replica's owner for a grant to send it something.
+	// MethodTake asks a replica's owner for a grant to send requests to it.
 	MethodTake = "ratelimit.take"
-	// MethodRate tells an owner what was seen of its replica, MethodSpend that something was
-	// sent without a grant.
+	// MethodRate reports an observed rate limit to the replica's owner, MethodSpend a request
+	// that was sent without a grant.
 	MethodRate  = "ratelimit.rate"
 	MethodSpend = "ratelimit.spend"
 )
 
-// RateUpdate is what one node tells others of the rate that a replica names. Times are told as
-// ages, as nodes have no clock in common. Its JSON names are short, as many go in one note.
+// RateUpdate is one node's observation of a replica's rate limit, as sent to other nodes. The
+// time of the observation is sent as an age, as the nodes share no clock. The JSON names are
+// short because one message carries many updates.
 type RateUpdate struct {
 	Replica string `json:"r"`
-	// Started is the replica's start that is meant, in Unix milliseconds; 0 if it is not known.
+	// Started is when the replica was started, in Unix milliseconds; 0 if unknown. An update
+	// holds only for that start of the replica.
 	Started   int64   `json:"t,omitempty"`
 	PerSecond float64 `json:"p"`
-	// Ended says that the replica names none any more.
+	// Ended means that the replica no longer names a limit.
 	Ended bool `json:"e,omitempty"`
-	// AgeMS is how many milliseconds ago that was seen.
+	// AgeMS is how many milliseconds ago this was observed.
 	AgeMS int64 `json:"a"`
 }
 
-func newsOf(u *site.Upstream, r quota.Rate, now time.Time) RateUpdate {
-	n := RateUpdate{Replica: u.ID, PerSecond: r.PerSecond, Ended: r.Ended, AgeMS: now.Sub(r.At).Milliseconds()}
+func newRateUpdate(u *site.Upstream, rate quota.Rate, now time.Time) RateUpdate {
+	update := RateUpdate{Replica: u.ID, PerSecond: rate.PerSecond, Ended: rate.Ended, AgeMS: now.Sub(rate.ObservedAt).Milliseconds()}
 	if !u.Started.IsZero() {
-		n.Started = u.Started.UnixMilli()
+		update.Started = u.Started.UnixMilli()
 	}
-	return n
+	return update
 }
 
-// upstream names the replica that news are of.
-func (n *RateUpdate) upstream() *site.Upstream {
-	u := &site.Upstream{ID: n.Replica}
-	if n.Started > 0 {
-		u.Started = time.UnixMilli(n.Started)
+// upstream identifies the replica that the update is about.
+func (update *RateUpdate) upstream() *site.Upstream {
+	u := &site.Upstream{ID: update.Replica}
+	if update.Started > 0 {
+		u.Started = time.UnixMilli(update.Started)
 	}
 	return u
 }
 
-func (n *RateUpdate) rate(now time.Time) quota.Rate {
-	age := time.Duration(max(0, n.AgeMS)) * time.Millisecond
-	return quota.Rate{PerSecond: max(0, n.PerSecond), Ended: n.Ended, At: now.Add(-age)}
+func (update *RateUpdate) rate(now time.Time) quota.Rate {
+	age := time.Duration(max(0, update.AgeMS)) * time.Millisecond
+	return quota.Rate{PerSecond: max(0, update.PerSecond), Ended: update.Ended, ObservedAt: now.Add(-age)}
 }
 
-// takeAnswer is an owner's.
-type takeAnswer struct {
-	// Count is how many requests may be sent, WaitMS when to ask again if none may.
+// takeResponse is an owner's answer to MethodTake.
+type takeResponse struct {
+	// Count is how many requests may be sent; if 0, WaitMS is how long to wait before asking
+	// again.
 	Count  int   `json:"count"`
 	WaitMS int64 `json:"wait_ms,omitempty"`
-	// Rate is what the owner knows, if that is something.
+	// Rate is the owner's last observation, nil if it has none.
 	Rate *RateUpdate `json:"rate,omitempty"`
 }
 
-// MaySend asks whether a request may be sent to a replica now. Where it names no limit it
-// may; else its owner, or this node itself, gives a grant or says when to ask again.
+// MaySend reports whether a request may be sent to a replica now. If the replica names a
+// limit, that takes a grant from its owner, which may be this node.
 func (l *Limits) MaySend(ctx context.Context, u *site.Upstream) bool {
 	if l.ledger.Empty() {
-		return true // No start has to be named.
+		return true // Saves building the start key.
 	}
 	start := u.StartKey()
-	rate, limited := l.limited(start)
+	rate, limited := l.activeRate(start)
 	if !limited || l.useGrant(start) {
 		return true
 	}
-	a := l.ask(ctx, u, rate)
-	if a.Rate != nil {
-		l.note(u, a.Rate.rate(boottime.Now()), boottime.Now())
-		if _, limited := l.limited(start); !limited {
+	response := l.requestGrant(ctx, u, rate)
+	if response.Rate != nil {
+		l.observe(u, response.Rate.rate(boottime.Now()), boottime.Now())
+		if _, limited := l.activeRate(start); !limited {
 			return true
 		}
 	}
-	if a.Count == 0 {
+	if response.Count == 0 {
 		l.counts.denied.Add(1)
 	}
-	l.putGrant(start, a)
-	return a.Count > 0
+	l.storeGrant(start, response)
+	return response.Count > 0
 }
 
-// useGrant takes one of what was given before.
+// useGrant uses one request of a stored grant, if any is left.
 func (l *Limits) useGrant(start string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := l.grants[start]
-	if v == nil || v.count == 0 || !boottime.Now().Before(v.until) {
+	stored := l.grants[start]
+	if stored == nil || stored.remaining == 0 || !boottime.Now().Before(stored.until) {
 		return false
 	}
-	if v.count--; v.count == 0 {
-		delete(l.grants, start) // Else it would count as a refusal.
+	if stored.remaining--; stored.remaining == 0 {
+		delete(l.grants, start) // A stored grant with nothing remaining means a refusal.
 	}
 	return true
 }
 
-// putGrant notes what was given, but for the one that is used at once.
-func (l *Limits) putGrant(start string, a takeAnswer) {
+// storeGrant stores an owner's answer, less the one request that the caller sends now.
+func (l *Limits) storeGrant(start string, response takeResponse) {
 	now := boottime.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case a.Count > 1:
-		l.grants[start] = &grant{count: a.Count - 1, until: now.Add(grantTerm)}
-	case a.Count == 0:
-		wait := max(leastWait, time.Duration(a.WaitMS)*time.Millisecond)
+	case response.Count > 1:
+		l.grants[start] = &grant{remaining: response.Count - 1, until: now.Add(grantLifetime)}
+	case response.Count == 0:
+		wait := max(minBackoff, time.Duration(response.WaitMS)*time.Millisecond)
 		l.grants[start] = &grant{until: now.Add(wait)}
 	}
 }
 
-// ask asks a replica's owner for a grant.
-func (l *Limits) ask(ctx context.Context, u *site.Upstream, rate quota.Rate) (a takeAnswer) {
+// requestGrant asks a replica's owner for a grant.
+func (l *Limits) requestGrant(ctx context.Context, u *site.Upstream, rate quota.Rate) (response takeResponse) {
 	owner := l.owner(u.StartKey())
 	if owner.Name == l.self.Name {
-		return l.give(u, boottime.Now())
+		return l.issueGrant(u, boottime.Now())
 	}
-	l.counts.asked.Add(1)
-	if err := l.client.CallWithin(ctx, askTerm, owner.Peer, MethodTake, newsOf(u, rate, boottime.Now()), &a); err != nil {
+	l.counts.requested.Add(1)
+	if err := l.client.CallWithin(ctx, callTimeout, owner.Peer, MethodTake, newRateUpdate(u, rate, boottime.Now()), &response); err != nil {
 		if ctx.Err() != nil {
-			return takeAnswer{} // Its client has left, which says nothing of the owner.
+			return takeResponse{} // The client has disconnected; the owner may be fine.
 		}
-		l.counts.silent.Add(1)
+		l.counts.unanswered.Add(1)
 		l.log.Debug("grant not received", "replica", u.ID, "owner", owner.Name, "err", err)
-		return takeAnswer{WaitMS: silentWait.Milliseconds()}
+		return takeResponse{WaitMS: unansweredBackoff.Milliseconds()}
 	}
-	return a
+	return response
 }
 
-// give gives a grant if this node owns the replica.
-func (l *Limits) give(u *site.Upstream, now time.Time) (a takeAnswer) {
+// issueGrant grants requests to the replica if this node owns it.
+func (l *Limits) issueGrant(u *site.Upstream, now time.Time) (response takeResponse) {
 	start := u.StartKey()
 	if rate, known := l.ledger.Rate(start); known {
-		news := newsOf(u, rate, now)
-		a.Rate = &news
+		update := newRateUpdate(u, rate, now)
+		response.Rate = &update
 	}
-	if l.owner(start).Name != l.self.Name || !l.met() {
-		a.WaitMS = wrongWait.Milliseconds()
-		return a
+	if l.owner(start).Name != l.self.Name || !l.joined() {
+		response.WaitMS = notOwnerBackoff.Milliseconds()
+		return response
 	}
-	g, limited := l.ledger.Take(start, l.part(), now)
+	granted, limited := l.ledger.Take(start, l.grantShare(), now)
 	if !limited {
-		return a
+		return response
 	}
-	a.Count, a.WaitMS = g.Count, g.Wait.Milliseconds()
-	return a
+	response.Count, response.WaitMS = granted.Count, granted.Wait.Milliseconds()
+	return response
 }
 
 // ServeTake answers a node that asks for a grant.
-func (l *Limits) ServeTake(_ context.Context, n RateUpdate) (takeAnswer, error) {
+func (l *Limits) ServeTake(_ context.Context, update RateUpdate) (takeResponse, error) {
 	now := boottime.Now()
-	u := n.upstream()
-	l.note(u, n.rate(now), now)
-	return l.give(u, now), nil
+	u := update.upstream()
+	l.observe(u, update.rate(now), now)
+	return l.issueGrant(u, now), nil
 }
 
-// ServeRate takes in what a node has seen of a replica that this one owns.
-func (l *Limits) ServeRate(_ context.Context, n RateUpdate) (struct{}, error) {
+// ServeRate records another node's observation of a replica that this node owns.
+func (l *Limits) ServeRate(_ context.Context, update RateUpdate) (struct{}, error) {
 	now := boottime.Now()
-	u, r := n.upstream(), n.rate(now)
-	if r.Ended {
-		l.ended(u, r, now)
+	u, rate := update.upstream(), update.rate(now)
+	if rate.Ended {
+		l.observeEnd(u, rate, now)
 		return struct{}{}, nil
 	}
-	l.note(u, r, now)
+	l.observe(u, rate, now)
 	return struct{}{}, nil
 }
 
-// ServeSpend counts what a node sent without a grant.
-func (l *Limits) ServeSpend(_ context.Context, n RateUpdate) (struct{}, error) {
-	l.ledger.Spend(n.upstream().StartKey(), boottime.Now())
+// ServeSpend counts a request that another node sent without a grant.
+func (l *Limits) ServeSpend(_ context.Context, update RateUpdate) (struct{}, error) {
+	l.ledger.Spend(update.upstream().StartKey(), boottime.Now())
 	return struct{}{}, nil
 }
 
-// Spend counts something that is sent to a replica without a grant, as it can't wait.
+// Spend counts a request that is sent to a replica without a grant because it can't wait.
 func (l *Limits) Spend(u *site.Upstream) {
-	rate, limited := l.limited(u.StartKey())
+	rate, limited := l.activeRate(u.StartKey())
 	if !limited {
 		return
 	}
-	l.counts.enforced.Add(1)
+	l.counts.withoutGrant.Add(1)
 	if l.owner(u.StartKey()).Name == l.self.Name {
 		l.ledger.Spend(u.StartKey(), boottime.Now())
 		return
 	}
-	l.notify(u, MethodSpend, rate)
+	l.sendToOwner(u, MethodSpend, rate)
 }
 
-// tellOwner tells a replica's owner what was seen.
-func (l *Limits) tellOwner(u *site.Upstream, r quota.Rate) {
+// notifyOwner reports an observation to the replica's owner, unless that is this node.
+func (l *Limits) notifyOwner(u *site.Upstream, rate quota.Rate) {
 	if l.owner(u.StartKey()).Name != l.self.Name {
-		l.notify(u, MethodRate, r)
+		l.sendToOwner(u, MethodRate, rate)
 	}
 }
 
-// notify tells a replica's owner something, without waiting for it.
-func (l *Limits) notify(u *site.Upstream, method string, r quota.Rate) {
+// sendToOwner sends an update to the replica's owner in the background.
+func (l *Limits) sendToOwner(u *site.Upstream, method string, rate quota.Rate) {
 	owner := l.owner(u.StartKey())
-	news := newsOf(u, r, boottime.Now())
+	update := newRateUpdate(u, rate, boottime.Now())
 	l.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), askTerm)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
-		if err := l.client.Notify(ctx, owner.Peer, method, news); err != nil {
-			// The next answer of the replica tells it again.
-			l.log.Debug("rate limit owner not notified", "method", method, "replica", news.Replica, "err", err)
+		if err := l.client.Notify(ctx, owner.Peer, method, update); err != nil {
+			// No retry: the replica's next answer causes another update.
+			l.log.Debug("rate limit owner not notified", "method", method, "replica", update.Replica, "err", err)
 		}
 	})
 }
--- a/service/ratelimit/limits.go
+++ b/service/ratelimit/limits.go
@@ -15,36 +15,36 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Limits is what this node and the others know of replicas that have named how many requests
-// a second they take from all nodes together.
+// Limits enforces the rate limits of replicas, which say in their answers how many requests a
+// second they take from all nodes together. Nodes exchange what they learn:
 //
-//	learnt by                                told to
-//	an answer that names a rate, the first   all nodes
-//	one that names another rate              the replica's owner
-//	one that names none any more             the owner, which tells all nodes
-//	wanting to send                          the owner, which gives a grant
+//	event                              sent to
+//	an answer names a first limit      all nodes
+//	an answer names another limit      the replica's owner
+//	an answer names no limit any more  the owner, which tells all nodes
+//	a node wants to send               the owner, which answers with a grant
 //
-// The owner is found by hashing among the nodes that are taken to work. One that others take
-// for it though it takes another one for it gives nothing; nor does one that has just started
-// and has not met the others. Nodes that are cut off from some others give out that part of the rate
-// that those which they still hear are of all: cut apart, all parts add up to no more than
-// the rate.
+// The owner is chosen by rendezvous hashing among the working nodes. A node grants nothing if
+// it believes that another node is the owner, or if it has just started and is not yet in
+// contact with the others. A node that considers some nodes dead grants only the share of the
+// rate that the remaining nodes are of all nodes, so that the owners on both sides of a network
+// partition together grant no more than the rate.
 type Limits struct {
 	self    control.Member
 	members *control.Members
 	client  Caller
-	// met says whether the node has met the others.
-	met    func() bool
-	ledger *quota.Ledger
-	log    *slog.Logger
-	teller Announcer
-	counts counts
-	wg     sync.WaitGroup
+	// joined reports whether this node is in contact with the others.
+	joined    func() bool
+	ledger    *quota.Ledger
+	log       *slog.Logger
+	announcer Announcer
+	counts    counts
+	wg        sync.WaitGroup
 
 	mu     sync.Mutex
-	grants map[string]*grant // By start of a replica.
+	grants map[string]*grant // By Upstream.StartKey.
 	owners map[string]control.Member
-	view   *control.View // Of which owners are.
+	view   *control.View // The view for which owners was computed.
 }
 
 // Caller calls other nodes.
@@ -53,131 +53,133 @@
 	Notify(ctx context.Context, addr netip.AddrPort, method string, params any) error
 }
 
-// Announcer tells all other nodes what is known of the rate that a start of a replica names.
+// Announcer sends updates of replicas' rate limits to all other nodes.
 type Announcer interface {
 	AnnounceRate(n RateUpdate)
 }
 
-// grant is what this node was given by an owner, or not.
+// grant is an owner's last answer: a grant or a refusal.
 type grant struct {
-	count int // Requests that may still be sent.
-	// until is for how long they may, or where there are none, when to ask again.
+	remaining int // Requests that may still be sent; 0 after a refusal.
+	// until is when the grant expires, or after a refusal when to ask again.
 	until time.Time
 }
 
 type counts struct {
-	asked    atomic.Int64 // For grants, of other nodes.
-	denied   atomic.Int64 // Also by this node itself.
-	silent   atomic.Int64 // Calls that were not answered in time.
-	unread   atomic.Int64 // Rates that could not be read.
-	enforced atomic.Int64 // Sent without a grant, as it could not wait.
+	requested    atomic.Int64 // Grants requested from other nodes.
+	denied       atomic.Int64 // Refusals, those by this node included.
+	unanswered   atomic.Int64 // Calls not answered in time.
+	unreadable   atomic.Int64 // Answers whose rate limit could not be decoded.
+	withoutGrant atomic.Int64 // Requests sent without a grant because they could not wait.
 }
 
 const (
-	// askTerm bounds a call for a grant: its request waits, and others may be sent elsewhere.
-	askTerm = 100 * time.Millisecond
-	// silentWait is for how long an owner that did not answer in time is not asked again by
-	// this node, and wrongWait one that knows of another owner: news of that are under way.
-	silentWait = 500 * time.Millisecond
-	wrongWait  = 150 * time.Millisecond
-	// leastWait keeps a node from asking many times for what becomes free at once.
-	leastWait = 20 * time.Millisecond
-	// grantTerm is for how long a grant holds: it is meant for what waits now.
-	grantTerm = 250 * time.Millisecond
-	// mostNamed is from what rate on a replica names none: it is more than any takes.
-	mostNamed = 1e5
-	// ownerDuty names the duty of dividing what a replica takes.
-	ownerDuty = "limit/"
+	// callTimeout bounds a call to an owner: a client's request waits for the grant, and
+	// could be sent to another replica instead.
+	callTimeout = 100 * time.Millisecond
+	// unansweredBackoff is how long this node waits before asking again if the owner did not
+	// answer in time, notOwnerBackoff if the node asked was not the owner: the membership
+	// change that made another node the owner is still spreading.
+	unansweredBackoff = 500 * time.Millisecond
+	notOwnerBackoff   = 150 * time.Millisecond
+	// minBackoff keeps a node from repeatedly asking for a token that is about to accrue.
+	minBackoff = 20 * time.Millisecond
+	// grantLifetime is how long a grant is valid: it is meant for requests that wait now.
+	grantLifetime = 250 * time.Millisecond
+	// unlimitedRate is the rate from which a limit counts as none: no replica takes more.
+	unlimitedRate = 1e5
+	// ownerKeyPrefix goes before a replica's start key when its owner is chosen.
+	ownerKeyPrefix = "limit/"
 	// ForgetInterval is how often Forget is to be called.
 	ForgetInterval = 2 * time.Second
 )
 
-// New returns what a node knows, which is nothing yet. SetAnnouncer is to be called before anything
-// else.
-func New(self control.Member, m *control.Members, c Caller, met func() bool, log *slog.Logger) *Limits {
+// New returns a Limits that knows no replica. SetAnnouncer must be called before any other
+// method.
+func New(self control.Member, members *control.Members, client Caller, joined func() bool, log *slog.Logger) *Limits {
 	return &Limits{
 		self:    self,
-		members: m,
-		client:  c,
-		met:     met,
+		members: members,
+		client:  client,
+		joined:  joined,
 		ledger:  quota.NewLedger(),
 		log:     log,
 		grants:  map[string]*grant{},
 	}
 }
 
-// SetAnnouncer says by whom other nodes are told.
-func (l *Limits) SetAnnouncer(t Announcer) { l.teller = t }
+// SetAnnouncer sets what sends updates to all other nodes.
+func (l *Limits) SetAnnouncer(announcer Announcer) { l.announcer = announcer }
 
-// Close waits for what is under way.
+// Close waits for background calls.
 func (l *Limits) Close() { l.wg.Wait() }
 
-// ObserveAnswer takes in what an answer says. Only one to a request that ran, and that was sent after
-// the rate was last seen, shows that there is none any more: others may have been under way
-// since before it was named.
-func (l *Limits) ObserveAnswer(u *site.Upstream, a *site.ResponseInfo, sent, now time.Time) {
+// ObserveAnswer records the rate limit in an answer. An answer without a limit shows that the
+// limit has ended only if its request ran and was sent after the limit was last observed:
+// otherwise the request may have been under way since before the limit was set.
+func (l *Limits) ObserveAnswer(u *site.Upstream, answer *site.ResponseInfo, sent, now time.Time) {
 	switch {
-	case a.Limit.Presence == site.RateUnreadable:
-		l.counts.unread.Add(1)
+	case answer.Limit.Presence == site.RateUnreadable:
+		l.counts.unreadable.Add(1)
 		l.log.Debug("replica rate limit can't be decoded", "replica", u.ID)
-	case a.Limit.Presence == site.RatePresent && a.Limit.PerSecond < mostNamed:
-		l.named(u, quota.Rate{PerSecond: a.Limit.PerSecond, At: now}, now)
-	case l.ledger.Empty() || a.NotRun:
+	case answer.Limit.Presence == site.RatePresent && answer.Limit.PerSecond < unlimitedRate:
+		l.observeRate(u, quota.Rate{PerSecond: answer.Limit.PerSecond, ObservedAt: now}, now)
+	case l.ledger.Empty() || answer.NotRun:
 	default:
-		l.unnamed(u, sent, now)
+		l.observeNoRate(u, sent, now)
 	}
 }
 
-// named notes a rate that an answer names.
-func (l *Limits) named(u *site.Upstream, r quota.Rate, now time.Time) {
-	switch l.note(u, r, now) {
-	case quota.ChangeBegun:
-		l.teller.AnnounceRate(newsOf(u, r, now))
-	case quota.ChangeRate:
-		l.tellOwner(u, r)
+// observeRate records a limit that an answer names.
+func (l *Limits) observeRate(u *site.Upstream, rate quota.Rate, now time.Time) {
+	switch l.observe(u, rate, now) {
+	case quota.ChangeSet:
+		l.announcer.AnnounceRate(newRateUpdate(u, rate, now))
+	case quota.ChangeUpdated:
+		l.notifyOwner(u, rate)
 	}
 }
 
-// unnamed notes that an answer names no rate.
-func (l *Limits) unnamed(u *site.Upstream, sent, now time.Time) {
-	r, limited := l.limited(u.StartKey())
-	if !limited || !sent.After(r.At) {
+// observeNoRate records that an answer names no limit.
+func (l *Limits) observeNoRate(u *site.Upstream, sent, now time.Time) {
+	rate, limited := l.activeRate(u.StartKey())
+	if !limited || !sent.After(rate.ObservedAt) {
 		return
 	}
-	end := quota.Rate{Ended: true, At: sent}
+	end := quota.Rate{Ended: true, ObservedAt: sent}
 	if l.owner(u.StartKey()).Name != l.self.Name {
-		l.tellOwner(u, end)
+		l.notifyOwner(u, end)
 		return
 	}
-	l.ended(u, end, now)
+	l.observeEnd(u, end, now)
 }
 
-// ended takes an end in, as the replica's owner.
-func (l *Limits) ended(u *site.Upstream, end quota.Rate, now time.Time) {
-	if l.note(u, end, now) == quota.ChangeEnded {
-		l.teller.AnnounceRate(newsOf(u, end, now))
+// observeEnd records the end of a limit, as the replica's owner.
+func (l *Limits) observeEnd(u *site.Upstream, end quota.Rate, now time.Time) {
+	if l.observe(u, end, now) == quota.ChangeEnded {
+		l.announcer.AnnounceRate(newRateUpdate(u, end, now))
 	}
 }
 
-// ApplyUpdate takes in what another node tells of the rate that a start of a replica names.
-func (l *Limits) ApplyUpdate(n RateUpdate) {
+// ApplyUpdate records an update received from another node.
+func (l *Limits) ApplyUpdate(update RateUpdate) {
 	now := boottime.Now()
-	l.note(n.upstream(), n.rate(now), now)
+	l.observe(update.upstream(), update.rate(now), now)
 }
 
-// note takes in what was seen of a replica, and logs what that changes.
-func (l *Limits) note(u *site.Upstream, r quota.Rate, now time.Time) quota.Change {
-	change := l.ledger.Observe(u.StartKey(), r, now)
+// observe records an observation of a replica's limit and logs a change.
+func (l *Limits) observe(u *site.Upstream, rate quota.Rate, now time.Time) quota.Change {
+	change := l.ledger.Observe(u.StartKey(), rate, now)
 	switch change {
-	case quota.ChangeBegun, quota.ChangeRate:
-		l.log.Info("replica rate limit set", "replica", u.ID, "per_second", r.PerSecond, "age", now.Sub(r.At), "owner", l.owner(u.StartKey()).Name)
+	case quota.ChangeSet, quota.ChangeUpdated:
+		l.log.Info("replica rate limit set", "replica", u.ID, "per_second", rate.PerSecond, "age", now.Sub(rate.ObservedAt), "owner", l.owner(u.StartKey()).Name)
 	case quota.ChangeEnded:
-		l.log.Info("replica rate limit removed", "replica", u.ID, "age", now.Sub(r.At))
+		l.log.Info("replica rate limit removed", "replica", u.ID, "age", now.Sub(rate.ObservedAt))
 	}
 	return change
 }
 
-// owner is the node that gives a grant to send a start of a replica something.
+// owner returns the node that issues the grants for one start of a replica.
 func (l *Limits) owner(start string) control.Member {
 	view := l.members.View()
 	l.mu.Lock()
@@ -185,21 +187,21 @@
 	if l.view != view {
 		l.view, l.owners = view, map[string]control.Member{}
 	}
-	m, known := l.owners[start]
+	owner, known := l.owners[start]
 	if known {
-		return m
+		return owner
 	}
-	m, ok := control.Owner(view.Working, ownerDuty+start)
+	owner, ok := control.Owner(view.Working, ownerKeyPrefix+start)
 	if !ok {
-		m = l.self
+		owner = l.self
 	}
-	l.owners[start] = m
-	return m
+	l.owners[start] = owner
+	return owner
 }
 
-// part is the part of rates that this node gives out: as many of all nodes as it takes to be
-// there.
-func (l *Limits) part() float64 {
+// grantShare is the share of a rate that this node grants: the share of nodes that it doesn't
+// consider dead.
+func (l *Limits) grantShare() float64 {
 	all, dead := l.members.View().All, 0
 	for i := range all {
 		if all[i].State == control.MemberDead {
@@ -211,17 +213,17 @@
 
 // State implements route.RateLimits.
 func (l *Limits) State(start string, now time.Time) (s route.RateState) {
-	r, known := l.ledger.Rate(start)
+	rate, known := l.ledger.Rate(start)
 	switch {
 	case !known:
 		return s
-	case r.Ended:
-		return route.RateState{Ended: r.At}
+	case rate.Ended:
+		return route.RateState{Ended: rate.ObservedAt}
 	}
 	s.Limited = true
 	l.mu.Lock()
-	if v := l.grants[start]; v != nil && v.count == 0 {
-		s.Wait = max(0, v.until.Sub(now))
+	if stored := l.grants[start]; stored != nil && stored.remaining == 0 {
+		s.Wait = max(0, stored.until.Sub(now))
 	}
 	l.mu.Unlock()
 	if s.Wait == 0 && l.owner(start).Name == l.self.Name {
@@ -230,43 +232,43 @@
 	return s
 }
 
-// limited is the rate that a start of a replica names; ok is false if it names none.
-func (l *Limits) limited(start string) (r quota.Rate, ok bool) {
-	r, known := l.ledger.Rate(start)
-	return r, known && !r.Ended
+// activeRate returns the rate limit of one start of a replica; ok is false if it has none.
+func (l *Limits) activeRate(start string) (rate quota.Rate, ok bool) {
+	rate, known := l.ledger.Rate(start)
+	return rate, known && !rate.Ended
 }
 
-// Forget drops what no longer matters; it is to be called each ForgetInterval.
+// Forget drops expired grants and unused limits; it must be called every ForgetInterval.
 func (l *Limits) Forget(context.Context) {
 	now := boottime.Now()
 	l.ledger.Forget(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for start, v := range l.grants {
-		if now.After(v.until) {
+	for start, stored := range l.grants {
+		if now.After(stored.until) {
 			delete(l.grants, start)
 		}
 	}
 }
 
-// Status is what is served of it.
+// Status is the part of the node's status about rate limits.
 type Status struct {
-	Limited  int   `json:"limited"`
-	Asked    int64 `json:"asked"`
-	Denied   int64 `json:"denied"`
-	Silent   int64 `json:"unanswered"`
-	Unread   int64 `json:"unreadable"`
-	Enforced int64 `json:"without_grant"`
+	Limited      int   `json:"limited"`
+	Requested    int64 `json:"asked"`
+	Denied       int64 `json:"denied"`
+	Unanswered   int64 `json:"unanswered"`
+	Unreadable   int64 `json:"unreadable"`
+	WithoutGrant int64 `json:"without_grant"`
 }
 
-// Status counts what is known and was done.
+// Status returns the number of limited replicas and the counters since the start.
 func (l *Limits) Status() Status {
 	return Status{
-		Limited:  l.ledger.Count(),
-		Asked:    l.counts.asked.Load(),
-		Denied:   l.counts.denied.Load(),
-		Silent:   l.counts.silent.Load(),
-		Unread:   l.counts.unread.Load(),
-		Enforced: l.counts.enforced.Load(),
+		Limited:      l.ledger.Count(),
+		Requested:    l.counts.requested.Load(),
+		Denied:       l.counts.denied.Load(),
+		Unanswered:   l.counts.unanswered.Load(),
+		Unreadable:   l.counts.unreadable.Load(),
+		WithoutGrant: l.counts.withoutGrant.Load(),
 	}
 }
