--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -65,7 +65,7 @@
 	},
 	{
 		"a broken run is resumed", "service/entry/run.go",
-		"	f.Code = CodeCutOff\n	if !again ||", "	f.Code = CodeCutOff\n	if true || !again ||",
+		"	f.Code = CodeCutOff\n	if !retryable ||", "	f.Code = CodeCutOff\n	if true || !retryable ||",
 		scenarios, "TestScenarios/answers",
 	},
 	{
@@ -80,7 +80,7 @@
 	},
 	{
 		"a claim goes before the first byte", "service/entry/service.go",
-		"	if t.Once {\n		if claim, f", "	if false && t.Once {\n		if claim, f",
+		"	if meta.Once {\n		if claim, f", "	if false && meta.Once {\n		if claim, f",
 		scenarios, "TestScenarios/once_killed",
 	},
 	{
@@ -280,7 +280,7 @@
 	},
 	{
 		"suspects: engines", "service/entry/run_suspects.go",
-		"	if s.Empty() {", "	if true || s.Empty() {",
+		"	if suspects.Empty() {", "	if true || suspects.Empty() {",
 		scenarios, "TestDeadlyPrompts",
 	},
 	{
--- a/service/entry/answer.go
+++ b/service/entry/answer.go
@@ -14,15 +14,15 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// usage is the OpenAI-shaped account of tokens.
+// usage is the token usage in OpenAI format.
 type usage struct {
-	PromptTokens     int         `json:"prompt_tokens"`
-	CompletionTokens int         `json:"completion_tokens"`
-	TotalTokens      int         `json:"total_tokens"`
-	PromptDetails    usageDetail `json:"prompt_tokens_details"`
+	PromptTokens     int                 `json:"prompt_tokens"`
+	CompletionTokens int                 `json:"completion_tokens"`
+	TotalTokens      int                 `json:"total_tokens"`
+	PromptDetails    promptTokensDetails `json:"prompt_tokens_details"`
 }
 
-type usageDetail struct {
+type promptTokensDetails struct {
 	CachedTokens int    `json:"cached_tokens"`
 	Source       string `json:"source"`
 }
@@ -35,8 +35,8 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
-// completion is the OpenAI-shaped answer, whole or a chunk of a stream.
-type completion struct {
+// completionResponse is an answer in OpenAI format, whole or one chunk of a stream.
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -57,42 +57,42 @@
 func (r *Run) usage() *usage {
 	return &usage{
 		PromptTokens:     r.chain.Tokens,
-		CompletionTokens: r.tokens,
-		TotalTokens:      r.chain.Tokens + r.tokens,
-		PromptDetails:    usageDetail{CachedTokens: r.cached, Source: r.source},
+		CompletionTokens: r.completionTokens,
+		TotalTokens:      r.chain.Tokens + r.completionTokens,
+		PromptDetails:    promptTokensDetails{CachedTokens: r.cachedTokens, Source: r.source},
 	}
 }
 
-// message builds an answer or a chunk of one; finished marks the last.
-func (r *Run) message(text string, chunk, finished bool) completion {
-	m := completion{
+// response builds a whole answer or one chunk; finished adds the finish reason and usage.
+func (r *Run) response(text string, chunk, finished bool) completionResponse {
+	response := completionResponse{
 		ID:      r.call.RequestID,
 		Object:  objectText,
 		Created: r.call.Received.Unix(),
 		Model:   r.call.Model,
 	}
-	ch := choice{}
+	c := choice{}
 	switch {
 	case r.call.Chat && chunk:
-		m.Object = objectChatChunk
-		ch.Delta = &chatMessage{Role: roleAssistant, Content: text}
+		response.Object = objectChatChunk
+		c.Delta = &chatMessage{Role: roleAssistant, Content: text}
 	case r.call.Chat:
-		m.Object = objectChat
-		ch.Message = &chatMessage{Role: roleAssistant, Content: text}
+		response.Object = objectChat
+		c.Message = &chatMessage{Role: roleAssistant, Content: text}
 	default:
-		ch.Text = &text
+		c.Text = &text
 	}
 	if finished {
 		reason := "stop"
-		ch.FinishReason = &reason
-		m.Usage = r.usage()
+		c.FinishReason = &reason
+		response.Usage = r.usage()
 	}
-	m.Choices = []choice{ch}
-	return m
+	response.Choices = []choice{c}
+	return response
 }
 
-// answerWhole gathers the answer and sends it in one piece.
-func (s *Server) answerWhole(c *fasthttp.RequestCtx, r *Run) {
+// sendWhole collects the answer and sends it in one piece.
+func (s *Server) sendWhole(c *fasthttp.RequestCtx, r *Run) {
 	var text strings.Builder
 	for {
 		ev, f, err := r.Next()
@@ -100,36 +100,36 @@
 			break
 		}
 		if f != nil {
-			s.finishFailed(r, f)
+			s.recordAborted(r, f)
 			f.write(c)
 			return
 		}
 		text.WriteString(ev.Text)
 	}
-	body, err := json.Marshal(r.message(text.String(), false, true))
+	body, err := json.Marshal(r.response(text.String(), false, true))
 	if err != nil {
-		s.parts.Log.Error("answer not encoded", "request", r.call.RequestID, "err", err)
+		s.deps.Log.Error("answer not encoded", "request", r.call.RequestID, "err", err)
 		return
 	}
 	c.SetContentType(jsonType)
 	c.SetBody(body)
-	s.finish(r, body)
+	s.recordAnswered(r, body)
 }
 
-// answerStream relays the answer token by token.
-func (s *Server) answerStream(c *fasthttp.RequestCtx, r *Run) {
+// sendStream forwards the answer token by token.
+func (s *Server) sendStream(c *fasthttp.RequestCtx, r *Run) {
 	chunks, err := newChunkWriter(r)
 	if err != nil {
-		s.parts.Log.Error("answer not encoded", "request", r.call.RequestID, "err", err)
+		s.deps.Log.Error("answer not encoded", "request", r.call.RequestID, "err", err)
 		r.Close()
-		s.leave()
+		s.requestDone()
 		c.SetStatusCode(http.StatusInternalServerError)
 		return
 	}
 	c.SetContentType(streamType)
 	c.Response.ImmediateHeaderFlush = true
 	c.SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer s.leave()
+		defer s.requestDone()
 		defer r.Close()
 		var text strings.Builder
 		for {
@@ -138,32 +138,32 @@
 				break
 			}
 			if f != nil {
-				s.finishFailed(r, f)
+				s.recordAborted(r, f)
 				f.RequestID = r.call.RequestID
-				// The status is sent already; the error event and the missing
-				// end mark say that the answer is cut.
-				_ = writeEvent(w, failureBody{Error: f}) // Nothing is left to say.
+				// The status has been sent; the error event and the missing
+				// streamEnd tell the client that the answer is incomplete.
+				_ = writeEvent(w, failureBody{Error: f}) // The stream ends either way.
 				return
 			}
 			if r.call.Once {
 				text.WriteString(ev.Text)
 			}
-			if err := r.relay(w, chunks, ev); err != nil {
-				s.parts.Metrics.CallersGone.Add(1)
+			if err := r.forwardEvent(w, chunks, ev); err != nil {
+				s.deps.Metrics.ClientsGone.Add(1)
 				return
 			}
 		}
 		if _, err := w.WriteString(streamEnd); err == nil {
-			_ = w.Flush() // The answer is whole.
+			_ = w.Flush() // The run is complete even if the client has disconnected.
 		}
-		s.finishStream(r, text.String())
+		s.recordStreamAnswered(r, text.String())
 	})
 }
 
-// relay sends one event on.
-func (r *Run) relay(w *bufio.Writer, chunks *chunkWriter, ev upstream.Event) error {
+// forwardEvent sends one event to the client.
+func (r *Run) forwardEvent(w *bufio.Writer, chunks *chunkWriter, ev upstream.Event) error {
 	if ev.Done {
-		return writeEvent(w, r.message("", true, true))
+		return writeEvent(w, r.response("", true, true))
 	}
 	return chunks.write(w, ev.Text)
 }
@@ -179,29 +179,29 @@
 	return w.Flush()
 }
 
-// finishStream ends a run that was relayed whole; a repeat of a request that
-// must not be repeated is answered with the whole text.
-func (s *Server) finishStream(r *Run, text string) {
+// recordStreamAnswered records a completely streamed answer. With a claim it stores the whole
+// text, which answers a repeat of the request.
+func (s *Server) recordStreamAnswered(r *Run, text string) {
 	if r.claim == nil {
-		s.finish(r, nil)
+		s.recordAnswered(r, nil)
 		return
 	}
-	body, err := json.Marshal(r.message(text, false, true))
+	body, err := json.Marshal(r.response(text, false, true))
 	if err != nil {
-		s.parts.Log.Error("answer not encoded", "request", r.call.RequestID, "err", err)
+		s.deps.Log.Error("answer not encoded", "request", r.call.RequestID, "err", err)
 	}
-	s.finish(r, body)
+	s.recordAnswered(r, body)
 }
 
-func (s *Server) finish(r *Run, body []byte) {
-	s.parts.Metrics.Answered.Add(1)
+func (s *Server) recordAnswered(r *Run, body []byte) {
+	s.deps.Metrics.Answered.Add(1)
 	if r.claim != nil {
-		s.parts.Claims.Finish(r.claim, control.Result{Status: http.StatusOK, ContentType: jsonType, Body: body})
+		s.deps.Claims.Finish(r.claim, control.Result{Status: http.StatusOK, ContentType: jsonType, Body: body})
 	}
-	s.exports.consider(r)
+	s.exports.exportIfWorthwhile(r)
 }
 
-func (s *Server) finishFailed(r *Run, f *Failure) {
-	s.parts.Metrics.Cut.Add(1)
+func (s *Server) recordAborted(r *Run, f *Failure) {
+	s.deps.Metrics.Cut.Add(1)
 	r.log.Warn("answer aborted", "code", f.Code, "ran", f.Ran, "err", f.Message)
 }
--- a/service/entry/call.go
+++ b/service/entry/call.go
@@ -13,7 +13,7 @@
 	"github.com/drumpath/drumpath/pkg/prompt"
 )
 
-// Headers that callers may send.
+// Request headers, and headerReplayed, which marks a stored answer.
 const (
 	headerRequestID      = "X-Request-Id"
 	headerIdempotencyKey = "Idempotency-Key"
@@ -31,9 +31,9 @@
 	maxKeyLength     = 256
 )
 
-// Call is one request for a completion, checked.
+// Call is a validated request for a completion.
 type Call struct {
-	Terms
+	RequestMeta
 	Model     string
 	Adapter   string
 	Prompt    string
@@ -42,21 +42,21 @@
 	Chat      bool
 }
 
-// Terms are what any request may ask for besides its content.
-type Terms struct {
+// RequestMeta is what the headers of any request say.
+type RequestMeta struct {
 	RequestID    string
 	Organisation config.Organisation
 	Received     time.Time
-	// Deadline is zero if the caller set none.
+	// Deadline is zero if the client set none.
 	Deadline time.Time
 	Priority int
-	// Once marks a request that must not be repeated; Key then names it.
+	// Once marks a request that must not run twice; Key then identifies it.
 	Once       bool
 	Key        string
 	ReuseLabel string
 }
 
-// completionBody is the OpenAI-shaped body of both completion calls.
+// completionBody is the request body of both completion calls, in OpenAI format.
 type completionBody struct {
 	Model     string        `json:"model"`
 	Adapter   string        `json:"adapter"`
@@ -71,94 +71,94 @@
 	Content string `json:"content"`
 }
 
-// parseTerms reads the headers of a request.
-func parseTerms(c *fasthttp.RequestCtx, s *config.State, id string) (t Terms, f *Failure) {
-	t = Terms{RequestID: id, Received: time.Now()}
+// parseRequestMeta reads the headers of a request.
+func parseRequestMeta(c *fasthttp.RequestCtx, state *config.State, id string) (meta RequestMeta, failure *Failure) {
+	meta = RequestMeta{RequestID: id, Received: time.Now()}
 	token, ok := strings.CutPrefix(string(c.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 	if ok {
-		t.Organisation, ok = s.OrganisationByKey(token)
+		meta.Organisation, ok = state.OrganisationByKey(token)
 	}
 	if !ok {
-		return t, callerFault(http.StatusUnauthorized, CodeUnauthorised, "no organisation has this API key")
+		return meta, clientError(http.StatusUnauthorized, CodeUnauthorised, "no organisation has this API key")
 	}
 	if text := string(c.Request.Header.Peek(headerDeadline)); text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil || d <= 0 {
-			return t, badHeader(headerDeadline, text, "a duration from now such as 1500ms")
+			return meta, badHeader(headerDeadline, text, "a duration from now such as 1500ms")
 		}
-		t.Deadline = t.Received.Add(d)
+		meta.Deadline = meta.Received.Add(d)
 	}
 	if text := string(c.Request.Header.Peek(headerPriority)); text != "" {
 		p, err := strconv.Atoi(text)
 		if err != nil || p < 0 || p > maxPriority {
-			return t, badHeader(headerPriority, text, "a whole number from 0 to 9")
+			return meta, badHeader(headerPriority, text, "a whole number from 0 to 9")
 		}
-		t.Priority = p
+		meta.Priority = p
 	}
 	if text := string(c.Request.Header.Peek(headerOnce)); text != "" {
 		once, err := strconv.ParseBool(text)
 		if err != nil {
-			return t, badHeader(headerOnce, text, "true or false")
+			return meta, badHeader(headerOnce, text, "true or false")
 		}
-		t.Once = once
+		meta.Once = once
 	}
-	t.Key = string(c.Request.Header.Peek(headerIdempotencyKey))
-	if len(t.Key) > maxKeyLength {
-		return t, badHeader(headerIdempotencyKey, t.Key[:16]+"…", "at most 256 bytes")
+	meta.Key = string(c.Request.Header.Peek(headerIdempotencyKey))
+	if len(meta.Key) > maxKeyLength {
+		return meta, badHeader(headerIdempotencyKey, meta.Key[:16]+"…", "at most 256 bytes")
 	}
-	if t.Once && t.Key == "" {
-		return t, badHeader(headerIdempotencyKey, "", "a key, as the request is marked "+headerOnce)
+	if meta.Once && meta.Key == "" {
+		return meta, badHeader(headerIdempotencyKey, "", "a key, as the request is marked "+headerOnce)
 	}
-	t.ReuseLabel = string(c.Request.Header.Peek(headerReuseLabel))
-	return t, nil
+	meta.ReuseLabel = string(c.Request.Header.Peek(headerReuseLabel))
+	return meta, nil
 }
 
 func badHeader(name, found, wanted string) *Failure {
-	return callerFault(http.StatusBadRequest, CodeBadRequest, "header %s: found %q, wanted %s", name, found, wanted)
+	return clientError(http.StatusBadRequest, CodeBadRequest, "header %s: found %q, wanted %s", name, found, wanted)
 }
 
-// parseCall reads a completion request.
-func parseCall(c *fasthttp.RequestCtx, s *config.State, t Terms, chat bool) (call *Call, f *Failure) {
-	var b completionBody
-	if err := json.Unmarshal(c.PostBody(), &b); err != nil {
-		return nil, callerFault(http.StatusBadRequest, CodeBadRequest, "body: %v", err)
+// parseCall parses and validates a completion request.
+func parseCall(c *fasthttp.RequestCtx, state *config.State, meta RequestMeta, chat bool) (call *Call, f *Failure) {
+	var body completionBody
+	if err := json.Unmarshal(c.PostBody(), &body); err != nil {
+		return nil, clientError(http.StatusBadRequest, CodeBadRequest, "body: %v", err)
 	}
 	call = &Call{
-		Terms:     t,
-		Model:     b.Model,
-		Adapter:   b.Adapter,
-		MaxTokens: defaultMaxTokens,
-		Stream:    b.Stream,
-		Chat:      chat,
+		RequestMeta: meta,
+		Model:       body.Model,
+		Adapter:     body.Adapter,
+		MaxTokens:   defaultMaxTokens,
+		Stream:      body.Stream,
+		Chat:        chat,
 	}
-	if _, ok := s.Models[b.Model]; !ok {
-		return nil, callerFault(http.StatusNotFound, CodeNoModel, "model %q does not exist", b.Model)
+	if _, ok := state.Models[body.Model]; !ok {
+		return nil, clientError(http.StatusNotFound, CodeUnknownModel, "model %q does not exist", body.Model)
 	}
-	if a, ok := s.Adapters[b.Adapter]; b.Adapter != "" && (!ok || a.Model != b.Model) {
-		return nil, callerFault(http.StatusNotFound, CodeNoAdapter, "model %q has no adapter %q", b.Model, b.Adapter)
+	if a, ok := state.Adapters[body.Adapter]; body.Adapter != "" && (!ok || a.Model != body.Model) {
+		return nil, clientError(http.StatusNotFound, CodeUnknownAdapter, "model %q has no adapter %q", body.Model, body.Adapter)
 	}
-	if b.MaxTokens != nil {
-		call.MaxTokens = *b.MaxTokens
+	if body.MaxTokens != nil {
+		call.MaxTokens = *body.MaxTokens
 	}
 	if call.MaxTokens < 1 || call.MaxTokens > maxMaxTokens {
-		return nil, callerFault(http.StatusBadRequest, CodeBadRequest,
+		return nil, clientError(http.StatusBadRequest, CodeBadRequest,
 			"max_tokens: found %d, wanted 1 to %d", call.MaxTokens, maxMaxTokens)
 	}
 	switch {
-	case chat && len(b.Messages) > 0:
-		call.Prompt = chatPrompt(b.Messages)
-	case !chat && b.Prompt != nil && *b.Prompt != "":
-		call.Prompt = *b.Prompt
+	case chat && len(body.Messages) > 0:
+		call.Prompt = chatPrompt(body.Messages)
+	case !chat && body.Prompt != nil && *body.Prompt != "":
+		call.Prompt = *body.Prompt
 	case chat:
-		return nil, callerFault(http.StatusBadRequest, CodeBadRequest, "messages: at least one is wanted")
+		return nil, clientError(http.StatusBadRequest, CodeBadRequest, "messages: at least one is wanted")
 	default:
-		return nil, callerFault(http.StatusBadRequest, CodeBadRequest, "prompt: a text is wanted")
+		return nil, clientError(http.StatusBadRequest, CodeBadRequest, "prompt: a text is wanted")
 	}
 	return call, nil
 }
 
 // chatPrompt joins messages into one prompt. A message's length goes before its
-// content, so that no content can pass for another message.
+// content, so that no content can imitate another message.
 func chatPrompt(messages []chatMessage) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -172,10 +172,10 @@
 	return b.String()
 }
 
-// scope is what must be equal for another request to share state with this
-// one, by the operator's rule.
-func (call *Call) scope(s *config.State, weights string) prompt.Scope {
-	rule, _ := s.RuleFor(call.Organisation.Name, call.Model)
+// scope returns what requests must have in common to share a KV cache under the
+// operator's rule.
+func (call *Call) scope(state *config.State, weights string) prompt.Scope {
+	rule, _ := state.RuleFor(call.Organisation.Name, call.Model)
 	return prompt.Scope{
 		Organisation: call.Organisation.Name,
 		Model:        call.Model,
--- a/service/entry/chunk.go
+++ b/service/entry/chunk.go
@@ -7,36 +7,36 @@
 )
 
 // chunkWriter writes the chunks of one stream. All chunks but the last differ
-// only in their text, so the rest is encoded once: encoding each afresh cost
-// more than everything else that a token costs here.
+// only in their text, so the rest is encoded once: encoding every chunk anew cost
+// more than all other work per token.
 type chunkWriter struct {
 	prefix []byte
 	suffix []byte
 }
 
-// textMark stands for the text while the rest is encoded.
-const textMark = "\x00"
+// textPlaceholder takes the place of the text while the rest is encoded.
+const textPlaceholder = "\x00"
 
 func newChunkWriter(r *Run) (*chunkWriter, error) {
-	body, err := json.Marshal(r.message(textMark, true, false))
+	body, err := json.Marshal(r.response(textPlaceholder, true, false))
 	if err != nil {
 		return nil, err
 	}
-	mark, err := json.Marshal(textMark)
+	quotedPlaceholder, err := json.Marshal(textPlaceholder)
 	if err != nil {
 		return nil, err
 	}
-	prefix, suffix, _ := bytes.Cut(body, mark)
+	prefix, suffix, _ := bytes.Cut(body, quotedPlaceholder)
 	return &chunkWriter{
 		prefix: append([]byte("data: "), prefix...),
 		suffix: append(bytes.Clone(suffix), "\n\n"...),
 	}, nil
 }
 
-// write sends one chunk on.
+// write writes one chunk and flushes it.
 func (c *chunkWriter) write(w *bufio.Writer, text string) error {
 	_, _ = w.Write(c.prefix) // Flush reports it.
-	if isPlain(text) {
+	if needsNoEscape(text) {
 		_ = w.WriteByte('"')       // Flush reports it.
 		_, _ = w.WriteString(text) // Flush reports it.
 		_ = w.WriteByte('"')       // Flush reports it.
@@ -51,8 +51,8 @@
 	return w.Flush()
 }
 
-// isPlain says whether a text is the same within JSON quotes.
-func isPlain(text string) bool {
+// needsNoEscape reports whether a text needs no escapes within JSON quotes.
+func needsNoEscape(text string) bool {
 	for i := range len(text) {
 		if b := text[i]; b < ' ' || b > '~' || b == '"' || b == '\\' {
 			return false
--- a/service/entry/dependencies.go
+++ b/service/entry/dependencies.go
@@ -12,14 +12,14 @@
 	"github.com/drumpath/drumpath/service/suspects"
 )
 
-// directory is what this package needs of the directory of kept state.
+// directory is the part of the directory of cached state that this package uses.
 type directory interface {
 	Observe(ctx context.Context, chain prompt.Chain) prompt.Match
 	Placed(chain prompt.Chain, engine string)
 	Stored(chain prompt.Chain, store string, o prompt.Object)
 }
 
-// upstreams is what this package needs of the upstreams' clients.
+// upstreams is the part of the upstreams' clients that this package uses.
 type upstreams interface {
 	Engine(name string) (*upstream.Engine, bool)
 	Store(name string) (config.Upstream, bool)
@@ -27,18 +27,18 @@
 	ExportTarget() (config.Upstream, bool)
 }
 
-// configuration is what this package needs of the configuration log.
+// configuration is the part of the configuration log that this package uses.
 type configuration interface {
 	State() *config.State
 }
 
-// loads takes in load reports that come with answers.
+// loads receives the load reports that come with answers.
 type loads interface {
 	Report(engine string, r upstream.LoadReport)
 	ReportStore(store string, r upstream.StoreLoad)
 }
 
-// Dependencies are what requests are run with.
+// Dependencies are the components that a Server uses.
 type Dependencies struct {
 	Settings     config.Settings
 	Log          *slog.Logger
--- a/service/entry/doc.go
+++ b/service/entry/doc.go
@@ -1,3 +1,3 @@
-// Package entry is the interface for callers: completions, plain services and
-// the addresses to use, over HTTP.
+// Package entry is the HTTP interface for clients: completions, calls to plain
+// services, and the list of addresses to use.
 package entry
--- a/service/entry/entries.go
+++ b/service/entry/entries.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// entriesGiven is how many addresses an answer has at most.
-	entriesGiven = 4
-	// headerDataHall is the caller's data hall, if it knows one.
+	// maxEntries bounds the addresses in an answer.
+	maxEntries = 4
+	// headerDataHall is the client's data hall, if it knows it.
 	headerDataHall = "Drumpath-Data-Hall"
 )
 
-// entriesAnswer says which addresses a caller should use, best first.
+// entriesAnswer lists the addresses that a client should use, best first.
 type entriesAnswer struct {
 	Entries []entryAddress `json:"entries"`
-	// MaxAgeMillis is how long the answer may be kept.
+	// MaxAgeMillis is how long the answer may be cached.
 	MaxAgeMillis int64 `json:"max_age_ms"`
 }
 
@@ -31,51 +31,50 @@
 	DataHall string         `json:"data_hall"`
 }
 
-// entries answers which addresses to use: those of the caller's data hall
-// first, and among them the same few for an organisation each time, so that
-// its prompts come back to nodes that have seen them. Leaving and drained nodes
-// are absent.
-func (s *Server) entries(c *fasthttp.RequestCtx) {
-	state := s.parts.State.State()
-	terms, f := parseTerms(c, state, "")
+// handleEntries answers with the addresses to use: nodes in the client's data hall
+// first, and always the same few for an organisation, so that its prompts return to
+// nodes that have seen them. Leaving and drained nodes are omitted.
+func (s *Server) handleEntries(c *fasthttp.RequestCtx) {
+	state := s.deps.State.State()
+	meta, f := parseRequestMeta(c, state, "")
 	if f != nil {
 		f.write(c)
 		return
 	}
-	hall := string(c.QueryArgs().Peek("data_hall"))
-	if hall == "" {
-		hall = string(c.Request.Header.Peek(headerDataHall))
+	dataHall := string(c.QueryArgs().Peek("data_hall"))
+	if dataHall == "" {
+		dataHall = string(c.Request.Header.Peek(headerDataHall))
 	}
-	var near, far []control.Member
-	for _, m := range s.parts.Members.Working() {
+	var sameHall, otherHalls []control.Member
+	for _, m := range s.deps.Members.Working() {
 		switch {
 		case state.Nodes[m.Name].Drained:
-		case m.DataHall == hall:
-			near = append(near, m)
+		case m.DataHall == dataHall:
+			sameHall = append(sameHall, m)
 		default:
-			far = append(far, m)
+			otherHalls = append(otherHalls, m)
 		}
 	}
-	duty := "entries/" + terms.Organisation.Name
-	ordered := control.Owners(near, duty, entriesGiven)
-	ordered = append(ordered, control.Owners(far, duty, entriesGiven-len(ordered))...)
+	ownerKey := "entries/" + meta.Organisation.Name
+	ordered := control.Owners(sameHall, ownerKey, maxEntries)
+	ordered = append(ordered, control.Owners(otherHalls, ownerKey, maxEntries-len(ordered))...)
 	answer := entriesAnswer{
 		Entries:      []entryAddress{},
-		MaxAgeMillis: s.parts.Settings.Entry.MaxAge.Std().Milliseconds(),
+		MaxAgeMillis: s.deps.Settings.Entry.MaxAge.Std().Milliseconds(),
 	}
 	for _, m := range ordered {
 		answer.Entries = append(answer.Entries, entryAddress{Address: m.Entry, DataHall: m.DataHall})
 	}
 	if len(answer.Entries) == 0 {
-		refusal(CodeNotReady, noUpstreamRetry, "no node takes new callers").write(c)
+		refusal(CodeNotReady, noUpstreamRetryAfter, "no node takes new callers").write(c)
 		return
 	}
 	body, err := json.Marshal(answer)
 	if err != nil {
-		s.parts.Log.Error("entries not encoded", "err", err)
+		s.deps.Log.Error("entries not encoded", "err", err)
 		return
 	}
-	maxAge := int(math.Floor(s.parts.Settings.Entry.MaxAge.Std().Seconds()))
+	maxAge := int(math.Floor(s.deps.Settings.Entry.MaxAge.Std().Seconds()))
 	c.Response.Header.Set(fasthttp.HeaderCacheControl, fmt.Sprintf("private, max-age=%d", maxAge))
 	c.SetStatusCode(http.StatusOK)
 	c.SetContentType(jsonType)
--- a/service/entry/export.go
+++ b/service/entry/export.go
@@ -14,21 +14,21 @@
 	exportWorkers = 8
 	exportQueue   = 256
 	exportTimeout = 30 * time.Second
-	// assumedTokenBytes and assumedLinkRate are used before an engine has
-	// reported.
+	// assumedTokenBytes is used until the engine has reported a load,
+	// assumedLinkRate always.
 	assumedTokenBytes = 1000
 	assumedLinkRate   = 100e6
 )
 
-// exporter copies kept state to stores in the background.
+// exporter copies KV caches from engines to stores in the background.
 type exporter struct {
-	parts *Dependencies
-	jobs  chan exportJob
-	wg    sync.WaitGroup
+	deps *Dependencies
+	jobs chan exportJob
+	wg   sync.WaitGroup
 
-	mu     sync.Mutex
-	going  map[prompt.Key]bool
-	closed bool
+	mu         sync.Mutex
+	inProgress map[prompt.Key]bool
+	closed     bool
 }
 
 type exportJob struct {
@@ -38,15 +38,15 @@
 	mark      prompt.Mark
 }
 
-func newExporter(p *Dependencies) *exporter {
-	e := &exporter{parts: p, jobs: make(chan exportJob, exportQueue), going: map[prompt.Key]bool{}}
+func newExporter(deps *Dependencies) *exporter {
+	e := &exporter{deps: deps, jobs: make(chan exportJob, exportQueue), inProgress: map[prompt.Key]bool{}}
 	for range exportWorkers {
-		e.wg.Go(e.work)
+		e.wg.Go(e.runWorker)
 	}
 	return e
 }
 
-// close finishes what is queued and waits.
+// close waits until the queued jobs are done.
 func (e *exporter) close() {
 	e.mu.Lock()
 	e.closed = true
@@ -55,17 +55,17 @@
 	e.wg.Wait()
 }
 
-// consider decides whether a finished run's prompt is worth exporting.
-func (e *exporter) consider(r *Run) {
-	if e.parts.Settings.Policy.Name != policyExports {
+// exportIfWorthwhile queues an export if a finished run's KV cache is worth it.
+func (e *exporter) exportIfWorthwhile(r *Run) {
+	if e.deps.Settings.Policy.Name != exportingPolicy {
 		return
 	}
-	report := e.parts.Fleet.ReportOf(r.decision.Replica)
+	report := e.deps.Fleet.ReportOf(r.decision.Replica)
 	tokenBytes := report.TokenBytes
 	if tokenBytes == 0 {
 		tokenBytes = assumedTokenBytes
 	}
-	mark, ok := e.parts.ExportPolicy.SelectMark(route.ExportInput{
+	mark, ok := e.deps.ExportPolicy.SelectMark(route.ExportInput{
 		Organisation: r.call.Organisation.Name,
 		Chain:        r.chain,
 		Match:        r.match,
@@ -84,43 +84,43 @@
 	})
 }
 
-// enqueue adds a job unless one for the same state is under way; a full queue
-// drops it, as the prompt will come again.
+// enqueue adds a job unless one for the same key is in progress. It drops the job if
+// the queue is full, as the prompt will come again.
 func (e *exporter) enqueue(j exportJob) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.closed || e.going[j.mark.Key] {
+	if e.closed || e.inProgress[j.mark.Key] {
 		return
 	}
 	select {
 	case e.jobs <- j:
-		e.going[j.mark.Key] = true
+		e.inProgress[j.mark.Key] = true
 	default:
 	}
 }
 
-func (e *exporter) work() {
+func (e *exporter) runWorker() {
 	for j := range e.jobs {
 		e.export(j)
 		e.mu.Lock()
-		delete(e.going, j.mark.Key)
+		delete(e.inProgress, j.mark.Key)
 		e.mu.Unlock()
 	}
 }
 
-// export copies one prompt's state. Links are not booked for it: exports give
-// way to imports, so they don't delay them, and their own time says little of a
+// export copies one prompt's KV cache. It books no link: exports yield to imports, so
+// they don't delay them, and for the same reason their duration says little about a
 // link.
 func (e *exporter) export(j exportJob) {
-	store, ok := e.parts.Upstreams.ExportTarget()
+	store, ok := e.deps.Upstreams.ExportTarget()
 	if !ok {
 		return
 	}
-	engine, ok := e.parts.Upstreams.Engine(j.replica)
+	engine, ok := e.deps.Upstreams.Engine(j.replica)
 	if !ok {
 		return
 	}
-	m := e.parts.Metrics
+	m := e.deps.Metrics
 	ctx, cancel := context.WithTimeout(context.Background(), exportTimeout)
 	defer cancel()
 	answer, err := engine.Export(ctx, upstream.ExportOrder{
@@ -132,15 +132,15 @@
 	})
 	if err != nil {
 		m.ExportsFailed.Add(1)
-		e.parts.Log.Info("export failed", "request", j.requestID, "store", store.Name, "err", err)
+		e.deps.Log.Info("export failed", "request", j.requestID, "store", store.Name, "err", err)
 		return
 	}
 	m.Exports.Add(1)
 	m.ExportedTokens.Add(int64(j.mark.Chunks) * prompt.ChunkTokens)
-	e.parts.Directory.Stored(j.chain, store.Name, answer.Object)
+	e.deps.Directory.Stored(j.chain, store.Name, answer.Object)
 }
 
-// marksUpTo is the marks of a chain's prefix.
+// marksUpTo returns the marks of a chain's first chunks.
 func marksUpTo(c prompt.Chain, chunks int) []prompt.Mark {
 	for i, m := range c.Marks {
 		if m.Chunks > chunks {
--- a/service/entry/failure.go
+++ b/service/entry/failure.go
@@ -13,20 +13,20 @@
 	"github.com/drumpath/drumpath/pkg/control"
 )
 
-// Ran says what is certain about whether a request ran.
+// Ran is what is certain about whether a request ran.
 type Ran string
 
-// What can be certain.
+// Values of Ran.
 const (
 	// NotRun: no byte of it reached an upstream, or the upstream said so.
 	NotRun Ran = "not_run"
-	// OutcomeUnknown: it may have run, and must not be repeated unseen.
+	// OutcomeUnknown: it may have run, and must not be repeated automatically.
 	OutcomeUnknown Ran = "outcome_unknown"
 	// Failed: it ran at least in part, and may be repeated.
 	Failed Ran = "failed"
 )
 
-// Failure is an answer other than the one asked for.
+// Failure is an error answer, or the replayed answer of an earlier run.
 type Failure struct {
 	Status     int           `json:"-"`
 	Code       string        `json:"code"`
@@ -34,14 +34,14 @@
 	Message    string        `json:"message"`
 	RequestID  string        `json:"request_id,omitempty"`
 	RetryAfter time.Duration `json:"-"`
-	// RetryAfterMillis is RetryAfter, for callers.
+	// RetryAfterMillis is RetryAfter in the JSON answer.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 
 	// replay is the recorded answer of an earlier run of the same request.
 	replay *control.Result
 }
 
-// Error gives code, certainty and message.
+// Error returns the code, what is certain, and the message.
 func (f *Failure) Error() string { return fmt.Sprintf("%s (%s): %s", f.Code, f.Ran, f.Message) }
 
 // failureBody is the JSON form of a failure.
@@ -49,36 +49,36 @@
 	Error *Failure `json:"error"`
 }
 
-// Codes of failures.
+// Failure codes.
 const (
-	CodeBadRequest   = "bad_request"
-	CodeTooLarge     = "too_large"
-	CodeUnauthorised = "unauthorised"
-	CodeNoModel      = "unknown_model"
-	CodeNoAdapter    = "unknown_adapter"
-	CodeNoService    = "unknown_service"
-	CodeNotFound     = "not_found"
-	CodeMethod       = "method_not_allowed"
-	CodeOverloaded   = "overloaded"
-	CodeRateLimited  = "rate_limited"
-	CodeNoUpstream   = "no_upstream"
-	CodeNoClaim      = "no_claim"
-	CodeClaimed      = "claimed_before"
-	CodeUpstream     = "upstream_failed"
-	CodeCutOff       = "cut_off"
-	CodeNotReady     = "not_ready"
-	CodeDeadline     = "deadline"
-	CodeGone         = "caller_gone"
-	CodeEndsEngines  = "ends_engines"
-	CodeSuspected    = "suspected"
+	CodeBadRequest       = "bad_request"
+	CodeTooLarge         = "too_large"
+	CodeUnauthorised     = "unauthorised"
+	CodeUnknownModel     = "unknown_model"
+	CodeUnknownAdapter   = "unknown_adapter"
+	CodeUnknownService   = "unknown_service"
+	CodeNotFound         = "not_found"
+	CodeMethodNotAllowed = "method_not_allowed"
+	CodeOverloaded       = "overloaded"
+	CodeRateLimited      = "rate_limited"
+	CodeNoUpstream       = "no_upstream"
+	CodeNoClaim          = "no_claim"
+	CodeClaimedBefore    = "claimed_before"
+	CodeUpstreamFailed   = "upstream_failed"
+	CodeCutOff           = "cut_off"
+	CodeNotReady         = "not_ready"
+	CodeDeadline         = "deadline"
+	CodeCallerGone       = "caller_gone"
+	CodeEndsEngines      = "ends_engines"
+	CodeSuspected        = "suspected"
 )
 
-// callerFault is a failure that is the caller's to mend.
-func callerFault(status int, code, format string, args ...any) *Failure {
+// clientError returns a failure caused by the request itself.
+func clientError(status int, code, format string, args ...any) *Failure {
 	return &Failure{Status: status, Code: code, Ran: NotRun, Message: fmt.Sprintf(format, args...)}
 }
 
-// refusal is a failure that says when to come back; the request did not run.
+// refusal returns a failure of a request that did not run and may be retried later.
 func refusal(code string, after time.Duration, format string, args ...any) *Failure {
 	status := http.StatusServiceUnavailable
 	if code == CodeRateLimited || code == CodeOverloaded {
@@ -93,7 +93,7 @@
 	}
 }
 
-// write answers a call with the failure.
+// write answers a request with the failure.
 func (f *Failure) write(c *fasthttp.RequestCtx) {
 	closing := c.Response.ConnectionClose()
 	c.Response.Reset()
@@ -117,7 +117,7 @@
 	if f.RequestID != "" {
 		c.Response.Header.Set(headerRequestID, f.RequestID)
 	}
-	_ = json.NewEncoder(c).Encode(failureBody{Error: f}) // The body is memory.
+	_ = json.NewEncoder(c).Encode(failureBody{Error: f}) // The body is in memory.
 }
 
 const jsonType = "application/json"
--- a/service/entry/imports.go
+++ b/service/entry/imports.go
@@ -10,18 +10,18 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// importKey names an import that requests can share.
+// importKey identifies an import that requests can share.
 type importKey struct {
 	replica string
 	object  prompt.Key
 	chunks  int
 }
 
-// importGroup lets requests for the same state on the same replica share one
+// importGroup lets requests for the same object on the same replica share one
 // import.
 type importGroup struct {
-	mu    sync.Mutex
-	going map[importKey]*sharedImport
+	mu         sync.Mutex
+	inProgress map[importKey]*sharedImport
 }
 
 type sharedImport struct {
@@ -29,80 +29,81 @@
 	ok   bool
 }
 
-func newImportGroup() *importGroup { return &importGroup{going: map[importKey]*sharedImport{}} }
+func newImportGroup() *importGroup { return &importGroup{inProgress: map[importKey]*sharedImport{}} }
 
-// join returns the import under way, or starts one that the caller must end.
-func (g *importGroup) join(key importKey) (s *sharedImport, first bool) {
+// join returns the import in progress, or registers a new one that the caller must
+// pass to end.
+func (g *importGroup) join(key importKey) (shared *sharedImport, first bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if s, ok := g.going[key]; ok {
-		return s, false
+	if shared, ok := g.inProgress[key]; ok {
+		return shared, false
 	}
-	s = &sharedImport{done: make(chan struct{})}
-	g.going[key] = s
-	return s, true
+	shared = &sharedImport{done: make(chan struct{})}
+	g.inProgress[key] = shared
+	return shared, true
 }
 
-func (g *importGroup) end(key importKey, s *sharedImport, ok bool) {
+func (g *importGroup) end(key importKey, shared *sharedImport, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s.ok = ok
-	delete(g.going, key)
-	close(s.done)
+	shared.ok = ok
+	delete(g.inProgress, key)
+	close(shared.done)
 }
 
-// fetch has the engine import kept state and says whether it has it now. It is
-// given up once recomputing is the better way.
-func (r *Run) fetch(engine *upstream.Engine, d route.Decision) bool {
-	key := importKey{replica: d.Replica, object: d.Import.Object.Key, chunks: d.Import.Chunks}
-	s, first := r.imports.join(key)
+// importState has the engine import a stored KV cache and reports whether that succeeded.
+// It gives up after the timeout, when recomputing is expected to be faster.
+func (r *Run) importState(engine *upstream.Engine, decision route.Decision) bool {
+	key := importKey{replica: decision.Replica, object: decision.Import.Object.Key, chunks: decision.Import.Chunks}
+	shared, first := r.imports.join(key)
 	if !first {
-		r.parts.Metrics.ImportsShared.Add(1)
+		r.deps.Metrics.ImportsShared.Add(1)
 		select {
-		case <-s.done:
-			return s.ok
-		case <-time.After(d.Import.Timeout):
+		case <-shared.done:
+			return shared.ok
+		case <-time.After(decision.Import.Timeout):
 			return false
 		case <-r.ctx.Done():
 			return false
 		}
 	}
-	ok := r.fetchAlone(engine, d)
-	r.imports.end(key, s, ok)
+	ok := r.importFromStore(engine, decision)
+	r.imports.end(key, shared, ok)
 	return ok
 }
 
-func (r *Run) fetchAlone(engine *upstream.Engine, d route.Decision) bool {
-	store, ok := r.parts.Upstreams.Store(d.Import.Store)
+func (r *Run) importFromStore(engine *upstream.Engine, decision route.Decision) bool {
+	store, ok := r.deps.Upstreams.Store(decision.Import.Store)
 	if !ok {
 		return false
 	}
-	m := r.parts.Metrics
+	m := r.deps.Metrics
 	m.Imports.Add(1)
 	start := time.Now()
-	booking := r.parts.Links.Book(d.Import.Store, d.Replica, d.Import.Bytes, start)
-	// The import may serve others too, so it does not end with this caller.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), d.Import.Timeout+importGrace)
+	booking := r.deps.Links.Book(decision.Import.Store, decision.Replica, decision.Import.Bytes, start)
+	// Other requests may share the import, so it outlives this request.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), decision.Import.Timeout+importGrace)
 	defer cancel()
 	answer, err := engine.Import(ctx, upstream.ImportOrder{
 		RequestID:  r.call.RequestID,
 		CacheSalt:  r.chain.Root,
 		Weights:    r.weights,
-		Object:     d.Import.Object,
-		Chunks:     d.Import.Chunks,
+		Object:     decision.Import.Object,
+		Chunks:     decision.Import.Chunks,
 		Store:      store.Address,
-		WaitMillis: max(1, d.Import.Timeout.Milliseconds()),
+		WaitMillis: max(1, decision.Import.Timeout.Milliseconds()),
 	})
 	now := time.Now()
 	if err == nil {
 		booking.End(answer.Bytes, now)
-		r.parts.Loads.ReportStore(d.Import.Store, answer.Store)
+		r.deps.Loads.ReportStore(decision.Import.Store, answer.Store)
 		m.ImportedTokens.Add(int64(answer.Chunks) * prompt.ChunkTokens)
 		return true
 	}
 	m.ImportsFailed.Add(1)
-	r.log.Info("import failed, recomputing", "store", d.Import.Store, "upstream", d.Replica, "err", err)
-	if now.Sub(start) >= d.Import.Timeout {
+	r.log.Info("import failed, recomputing", "store", decision.Import.Store, "upstream", decision.Replica, "err", err)
+	if now.Sub(start) >= decision.Import.Timeout {
 		booking.GiveUp(now)
 	} else {
 		booking.End(0, now)
@@ -110,5 +111,5 @@
 	return false
 }
 
-// importGrace is added to the wait for the engine's own giving up.
+// importGrace is added to the timeout so that the engine gives up first and answers.
 const importGrace = 200 * time.Millisecond
--- a/service/entry/metrics.go
+++ b/service/entry/metrics.go
@@ -2,18 +2,18 @@
 
 import "expvar"
 
-// Metrics are the counters of the entry interface; they are published under
-// "entry" by whoever makes them.
+// Metrics are the counters of the HTTP interface. Whoever creates them publishes
+// them under "entry".
 type Metrics struct {
 	Requests        expvar.Int
 	Answered        expvar.Int
 	Refused         expvar.Int
 	Failed          expvar.Int
 	Cut             expvar.Int
-	CallersGone     expvar.Int
+	ClientsGone     expvar.Int
 	Retries         expvar.Int
 	Resumed         expvar.Int
-	Crossed         expvar.Int
+	Mismatched      expvar.Int
 	Replayed        expvar.Int
 	PromptTokens    expvar.Int
 	CachedTokens    expvar.Int
@@ -35,10 +35,10 @@
 	v.Set("refused", &m.Refused)
 	v.Set("failed", &m.Failed)
 	v.Set("cut", &m.Cut)
-	v.Set("callers_gone", &m.CallersGone)
+	v.Set("callers_gone", &m.ClientsGone)
 	v.Set("retries", &m.Retries)
 	v.Set("resumed", &m.Resumed)
-	v.Set("crossed", &m.Crossed)
+	v.Set("crossed", &m.Mismatched)
 	v.Set("replayed", &m.Replayed)
 	v.Set("prompt_tokens", &m.PromptTokens)
 	v.Set("cached_tokens", &m.CachedTokens)
--- a/service/entry/once.go
+++ b/service/entry/once.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// claimWait bounds the wait for a claim; the caller is told at once that
-	// nothing ran, rather than late.
-	claimWait  = 1500 * time.Millisecond
-	voidWait   = time.Second
-	claimRetry = 2 * time.Second
+	// claimTimeout bounds the wait for a claim, so that the client soon learns that
+	// nothing ran.
+	claimTimeout    = 1500 * time.Millisecond
+	voidTimeout     = time.Second
+	claimRetryAfter = 2 * time.Second
 )
 
-// acquireClaim claims a request that must not be repeated, before any byte of
-// it goes upstream.
+// acquireClaim claims a request that must not run twice, before any byte of
+// it is sent upstream.
 func (r *Run) acquireClaim() *Failure {
 	if !r.call.Once {
 		return nil
 	}
-	claim, f := acquireClaim(r.ctx, r.parts, r.call.Terms)
+	claim, f := acquireClaim(r.ctx, r.deps, r.call.RequestMeta)
 	r.claim = claim
 	return f
 }
 
-func acquireClaim(ctx context.Context, parts *Dependencies, t Terms) (*control.Claim, *Failure) {
-	ctx, cancel := context.WithTimeout(ctx, claimWait)
+func acquireClaim(ctx context.Context, deps *Dependencies, meta RequestMeta) (*control.Claim, *Failure) {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	claim, err := parts.Claims.Acquire(ctx, t.Organisation.Name, t.Key)
+	claim, err := deps.Claims.Acquire(ctx, meta.Organisation.Name, meta.Key)
 	var taken *control.TakenError
 	switch {
 	case err == nil:
@@ -38,16 +38,16 @@
 	case errors.As(err, &taken):
 		return nil, claimedFailure(taken)
 	default:
-		return nil, refusal(CodeNoClaim, claimRetry, "a request that must not be repeated needs a claim: %v", err)
+		return nil, refusal(CodeNoClaim, claimRetryAfter, "a request that must not be repeated needs a claim: %v", err)
 	}
 }
 
-// claimedFailure answers a request that some node claimed before: it may have
-// run, so it must not be said that it did not.
+// claimedFailure answers a request that a node has already claimed. As it may have
+// run, the failure must not be NotRun.
 func claimedFailure(taken *control.TakenError) *Failure {
 	return &Failure{
 		Status:  statusConflict,
-		Code:    CodeClaimed,
+		Code:    CodeClaimedBefore,
 		Ran:     OutcomeUnknown,
 		Message: taken.Error(),
 		replay:  taken.Result,
@@ -56,16 +56,16 @@
 
 const statusConflict = 409
 
-// voidClaim gives a claim back if it is certain that nothing ran.
+// voidClaim releases the claim if it is certain that nothing ran.
 func (r *Run) voidClaim() {
 	if r.claim == nil || r.reached {
 		return
 	}
-	voidClaim(r.parts, r.claim)
+	voidClaim(r.deps, r.claim)
 }
 
-func voidClaim(parts *Dependencies, claim *control.Claim) {
-	ctx, cancel := context.WithTimeout(context.Background(), voidWait)
+func voidClaim(deps *Dependencies, claim *control.Claim) {
+	ctx, cancel := context.WithTimeout(context.Background(), voidTimeout)
 	defer cancel()
-	parts.Claims.Void(ctx, claim)
+	deps.Claims.Void(ctx, claim)
 }
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -15,54 +15,55 @@
 )
 
 const (
-	// noUpstreamRetry is when to come back if no replica may take a request.
-	noUpstreamRetry = time.Second
-	// mostUnreached is how many engines that can't be reached are tried for one request beyond
-	// what retries allow: each may take a connection's time.
-	mostUnreached = 8
+	// noUpstreamRetryAfter is the Retry-After if no replica can take a request.
+	noUpstreamRetryAfter = time.Second
+	// maxUnreachable is how many unreachable engines one request may try without spending the
+	// retry budget. It is bounded as each try may last as long as a connection attempt.
+	maxUnreachable = 8
 )
 
 // Run is one completion from admission to its last token.
 type Run struct {
-	parts   *Dependencies
+	deps    *Dependencies
 	call    *Call
 	ctx     context.Context
 	cancel  context.CancelFunc
 	log     *slog.Logger
 	imports *importGroup
 
-	place     *route.AdmissionTicket
-	claim     *control.Claim
-	weights   string
-	chain     prompt.Chain
-	match     prompt.Match
-	decision  route.Decision
-	exclude   []string
-	ticket    *route.InFlightRun
-	stream    *upstream.Stream
-	reached   bool // A byte of it may have reached an upstream.
-	unreached int  // Tries by which no byte did,
-	nobody    bool // and whether the last one was such.
-	first     upstream.Event
-	pending   bool // First has not been returned yet.
-	cached    int
-	source    string
-	tokens    int
-	resumedAt int // Tokens had at the last break.
-	done      bool
-	sent      time.Time // The attempt under way.
-	life      time.Time // The engine's start, as its answer told it.
-	watched   bool      // Another node has let it run, as engines have ended under its content.
+	admission        *route.AdmissionTicket
+	claim            *control.Claim
+	weights          string
+	chain            prompt.Chain
+	match            prompt.Match
+	decision         route.Decision
+	excluded         []string
+	inFlight         *route.InFlightRun
+	stream           *upstream.Stream
+	reached          bool // A byte of the request may have reached an upstream.
+	unreachableCount int  // Tries whose engine could not be reached.
+	lastUnreachable  bool // The last try was one of them.
+	firstEvent       upstream.Event
+	firstPending     bool // Next has not returned firstEvent yet.
+	cachedTokens     int
+	source           string
+	completionTokens int
+	tokensAtBreak    int // Tokens received when the stream last broke off.
+	done             bool
+	sentAt           time.Time // Start of the current attempt.
+	engineStarted    time.Time // As reported with the answer; zero if unknown.
+	mayRun           bool      // Suspects.MayRun permitted it, as engines have ended under its prompt.
 }
 
-// Source values say where a prompt's reused state came from.
+// Sources of a prompt's reused KV cache, as reported in the usage. SourceHot means that the
+// engine still had it.
 const (
 	SourceNone   = "recomputed"
 	SourceHot    = "hot"
 	SourceImport = "imported"
 )
 
-// start brings a run to its first token, or explains why not.
+// start runs the request up to its first token, or returns why it can't.
 func (r *Run) start() *Failure {
 	if f := r.admit(); f != nil {
 		return f
@@ -70,45 +71,45 @@
 	if f := r.acquireClaim(); f != nil {
 		return f
 	}
-	r.fixWeights()
+	r.selectWeights()
 	if f := r.connect(0); f != nil {
 		r.voidClaim()
 		return f
 	}
-	r.place.FirstToken(time.Now())
-	r.parts.Metrics.FirstTokenMicro.Add(time.Since(r.call.Received).Microseconds())
-	r.parts.Metrics.PromptTokens.Add(int64(r.chain.Tokens))
-	r.parts.Metrics.CachedTokens.Add(int64(r.cached))
+	r.admission.FirstToken(time.Now())
+	r.deps.Metrics.FirstTokenMicro.Add(time.Since(r.call.Received).Microseconds())
+	r.deps.Metrics.PromptTokens.Add(int64(r.chain.Tokens))
+	r.deps.Metrics.CachedTokens.Add(int64(r.cachedTokens))
 	return nil
 }
 
-// fixWeights sets the weight version for the rest of the run, and with it the
-// prompt's identity.
-func (r *Run) fixWeights() {
-	state := r.parts.State.State()
-	r.weights = r.parts.Fleet.ServedWeights(r.call.Model, state.Models[r.call.Model].Weights)
+// selectWeights fixes the weight version for the rest of the run. It is part of the
+// prompt's cache keys, so the cached state is looked up here too.
+func (r *Run) selectWeights() {
+	state := r.deps.State.State()
+	r.weights = r.deps.Fleet.ServedWeights(r.call.Model, state.Models[r.call.Model].Weights)
 	r.chain = prompt.NewChain(r.call.scope(state, r.weights), r.call.Prompt)
-	r.match = r.parts.Directory.Observe(r.ctx, r.chain)
+	r.match = r.deps.Directory.Observe(r.ctx, r.chain)
 }
 
-// admit waits for the organisation's turn.
+// admit waits until the organisation's share lets the request in.
 func (r *Run) admit() *Failure {
-	limit := r.call.Received.Add(r.parts.Settings.Limits.QueueWait.Std())
+	limit := r.call.Received.Add(r.deps.Settings.Limits.QueueWait.Std())
 	if d := r.call.Deadline; !d.IsZero() {
-		// What is let in at the last moment still has its way to go.
-		if d = d.Add(-r.parts.Admission.FirstTokenTime(r.call.Received)); d.Before(limit) {
+		// An admitted request still needs the time to its first token.
+		if d = d.Add(-r.deps.Admission.FirstTokenTime(r.call.Received)); d.Before(limit) {
 			limit = d
 		}
 	}
-	o := r.call.Organisation
+	organisation := r.call.Organisation
 	tenant := route.Tenant{
-		Name:            o.Name,
-		Share:           o.Share,
-		Concurrency:     o.Concurrency,
-		TokensPerSecond: o.TokensPerSecond,
+		Name:            organisation.Name,
+		Share:           organisation.Share,
+		Concurrency:     organisation.Concurrency,
+		TokensPerSecond: organisation.TokensPerSecond,
 	}
 	cost := float64(prompt.TokenCount(r.call.Prompt) + r.call.MaxTokens)
-	place, err := r.parts.Admission.Enqueue(tenant, cost, r.call.Priority, limit, time.Now())
+	admission, err := r.deps.Admission.Enqueue(tenant, cost, r.call.Priority, limit, time.Now())
 	var refused *route.RefusedError
 	if errors.As(err, &refused) {
 		if refused.Reason == route.RefusedOverload && !r.call.Deadline.IsZero() {
@@ -116,17 +117,17 @@
 		}
 		return admissionRefusal(refused)
 	}
-	r.place = place
+	r.admission = admission
 	timer := time.NewTimer(time.Until(limit))
 	defer timer.Stop()
 	select {
-	case <-place.Ready():
+	case <-admission.Ready():
 		return nil
 	case <-r.ctx.Done():
-		return goneFailure()
+		return clientGoneFailure()
 	case <-timer.C:
 	}
-	if refused, inside := place.GiveUp(time.Now()); !inside {
+	if refused, inside := admission.GiveUp(time.Now()); !inside {
 		return admissionRefusal(refused)
 	}
 	return nil
@@ -136,100 +137,100 @@
 	return refusal(string(e.Reason), e.RetryAfter, "%v", e)
 }
 
-func goneFailure() *Failure {
-	return &Failure{Status: statusCallerGone, Code: CodeGone, Ran: NotRun, Message: "the caller went away"}
+func clientGoneFailure() *Failure {
+	return &Failure{Status: statusClientGone, Code: CodeCallerGone, Ran: NotRun, Message: "the caller went away"}
 }
 
-// statusCallerGone is never seen by a caller; it is for logs.
-const statusCallerGone = 499
+// statusClientGone is never seen by a client; it is for logs.
+const statusClientGone = 499
 
-// connect tries replicas until one gives its first event. Resumed runs start
-// after the tokens that the caller has.
+// connect tries replicas until one returns its first event. Resumed runs start
+// after the tokens that the client already has.
 func (r *Run) connect(resumeAfter int) *Failure {
-	var last *Failure
+	var lastFailure *Failure
 	for {
-		if f := r.suspected(); f != nil {
+		if f := r.checkSuspected(); f != nil {
 			return f
 		}
-		f, again := r.attempt(resumeAfter)
+		f, retryable := r.attempt(resumeAfter)
 		if f == nil {
 			return nil
 		}
-		if last != nil && r.reached && f.Code == CodeNoUpstream {
-			// What went wrong before says more than that nobody is left.
-			return last
+		if lastFailure != nil && r.reached && f.Code == CodeNoUpstream {
+			// The earlier failure says more than that no replica is left.
+			return lastFailure
 		}
-		last = f
-		if !again || r.ctx.Err() != nil || !r.mayRetry() {
+		lastFailure = f
+		if !retryable || r.ctx.Err() != nil || !r.mayRetry() {
 			return f
 		}
-		r.parts.Metrics.Retries.Add(1)
+		r.deps.Metrics.Retries.Add(1)
 	}
 }
 
-// mayRetry says whether another replica may be tried after a failure. A try that reached
-// nobody takes no retry: it put load on no engine, and with some engines that have ended and
-// are still listed it would spend the retries of the whole node.
+// mayRetry reports whether another replica may be tried after a failure. An unreachable engine
+// doesn't spend the retry budget: the try put no load on any engine, and a few engines that
+// have ended but are still listed would use up the budget of the whole node.
 func (r *Run) mayRetry() bool {
-	if r.nobody && r.unreached <= mostUnreached {
+	if r.lastUnreachable && r.unreachableCount <= maxUnreachable {
 		return true
 	}
-	return r.parts.Retries.Take()
+	return r.deps.Retries.Take()
 }
 
-// attempt places and starts the run once; again says whether another replica
-// may be tried.
-func (r *Run) attempt(resumeAfter int) (f *Failure, again bool) {
+// attempt chooses a replica and starts the run there; retryable reports whether another
+// replica may be tried.
+func (r *Run) attempt(resumeAfter int) (f *Failure, retryable bool) {
 	now := time.Now()
-	d, err := r.parts.Policy.Place(&route.Request{
+	decision, err := r.deps.Policy.Place(&route.Request{
 		Model:    r.call.Model,
 		Weights:  r.weights,
-		DataHall: r.parts.Settings.Node.DataHall,
+		DataHall: r.deps.Settings.Node.DataHall,
 		Chain:    r.chain,
 		Match:    r.match,
-		Exclude:  r.exclude,
+		Exclude:  r.excluded,
 	}, now)
 	if err != nil {
-		return r.failure(refusal(CodeNoUpstream, noUpstreamRetry, "%v", err)), false
+		return r.withCertainty(refusal(CodeNoUpstream, noUpstreamRetryAfter, "%v", err)), false
 	}
-	if f := r.missesDeadline(d, now); f != nil && resumeAfter == 0 {
-		return r.failure(f), false
+	if f := r.checkDeadline(decision, now); f != nil && resumeAfter == 0 {
+		return r.withCertainty(f), false
 	}
-	engine, ok := r.parts.Upstreams.Engine(d.Replica)
+	engine, ok := r.deps.Upstreams.Engine(decision.Replica)
 	if !ok {
-		r.exclude = append(r.exclude, d.Replica)
-		return r.failure(refusal(CodeNoUpstream, noUpstreamRetry, "engine %s is gone", d.Replica)), true
+		r.excluded = append(r.excluded, decision.Replica)
+		return r.withCertainty(refusal(CodeNoUpstream, noUpstreamRetryAfter, "engine %s is gone", decision.Replica)), true
 	}
-	r.decision = d
+	r.decision = decision
 	r.source = SourceNone
-	if d.Cached > 0 {
+	if decision.Cached > 0 {
 		r.source = SourceHot
 	}
-	if d.Import != nil && r.fetch(engine, d) {
+	if decision.Import != nil && r.importState(engine, decision) {
 		r.source = SourceImport
 	}
-	r.parts.Directory.Placed(r.chain, d.Replica)
-	return r.send(engine, d, resumeAfter)
+	r.deps.Directory.Placed(r.chain, decision.Replica)
+	return r.send(engine, decision, resumeAfter)
 }
 
-// missesDeadline refuses at once what would come too late.
-func (r *Run) missesDeadline(d route.Decision, now time.Time) *Failure {
+// checkDeadline refuses a request whose first token is expected after its deadline.
+func (r *Run) checkDeadline(decision route.Decision, now time.Time) *Failure {
 	if r.call.Deadline.IsZero() {
 		return nil
 	}
-	late := now.Add(d.FirstToken()).Sub(r.call.Deadline)
+	late := now.Add(decision.FirstToken()).Sub(r.call.Deadline)
 	if late <= 0 {
 		return nil
 	}
-	return refusal(CodeDeadline, max(late, minLateRetry), "the first token would come %s too late", late.Round(time.Millisecond))
+	return refusal(CodeDeadline, max(late, minDeadlineRetryAfter), "the first token would come %s too late", late.Round(time.Millisecond))
 }
 
-const minLateRetry = 50 * time.Millisecond
+const minDeadlineRetryAfter = 50 * time.Millisecond
 
 // send starts the run on an engine and waits for its first event.
-func (r *Run) send(engine *upstream.Engine, d route.Decision, resumeAfter int) (f *Failure, again bool) {
-	r.ticket = r.parts.Fleet.Begin(d.Replica, d.Recompute, time.Now())
-	r.sent, r.life = boottime.Now(), time.Time{}
+func (r *Run) send(engine *upstream.Engine, decision route.Decision, resumeAfter int) (f *Failure, retryable bool) {
+	r.inFlight = r.deps.Fleet.Begin(decision.Replica, decision.Recompute, time.Now())
+	r.sentAt, r.engineStarted = boottime.Now(), time.Time{}
 	stream, err := engine.Run(r.ctx, upstream.RunRequest{
 		RequestID:   r.call.RequestID,
 		Model:       r.call.Model,
@@ -245,63 +246,63 @@
 		r.reached = true
 		r.stream = stream
 		if load, ok := stream.Load(); ok {
-			r.parts.Loads.Report(d.Replica, load)
-			r.life = time.UnixMilli(int64(load.Boot))
+			r.deps.Loads.Report(decision.Replica, load)
+			r.engineStarted = time.UnixMilli(int64(load.Boot))
 		}
-		r.first, err = stream.Next()
+		r.firstEvent, err = stream.Next()
 	}
 	if err == nil {
-		r.pending = true
-		r.ticket.FirstToken()
+		r.firstPending = true
+		r.inFlight.FirstToken()
 		if resumeAfter == 0 {
-			r.noteReuse(r.first.CachedTokens)
+			r.recordReuse(r.firstEvent.CachedTokens)
 		}
 		return nil, false
 	}
-	return r.sendFailed(d.Replica, err)
+	return r.handleRunError(decision.Replica, err)
 }
 
-// noteReuse takes over what the engine says it reused; what was expected of it
-// may have been evicted meanwhile.
-func (r *Run) noteReuse(cached int) {
-	r.cached = cached
+// recordReuse records how many tokens the engine reused; what it was expected to have
+// cached may have been evicted.
+func (r *Run) recordReuse(cached int) {
+	r.cachedTokens = cached
 	if cached == 0 {
 		r.source = SourceNone
 	}
 }
 
-// sendFailed sorts out why a run did not start.
-func (r *Run) sendFailed(replica string, err error) (f *Failure, again bool) {
-	r.exclude = append(r.exclude, replica)
-	r.nobody = false
+// handleRunError ends an attempt that failed and returns the failure to answer with.
+func (r *Run) handleRunError(replica string, err error) (f *Failure, retryable bool) {
+	r.excluded = append(r.excluded, replica)
+	r.lastUnreachable = false
 	r.endAttempt(outcomeOf(err, r.ctx.Err() != nil))
 	var notRun *upstream.NotRunError
-	var crossed *upstream.MismatchError
+	var mismatch *upstream.MismatchError
 	switch {
 	case errors.As(err, &notRun):
-		if r.nobody = notRun.Reason == upstream.ReasonUnreachable; r.nobody {
-			r.unreached++
+		if r.lastUnreachable = notRun.Reason == upstream.ReasonUnreachable; r.lastUnreachable {
+			r.unreachableCount++
 		}
 		r.log.Info("upstream did not run the request", "upstream", replica, "reason", notRun.Reason)
-		return r.failure(refusal(CodeNoUpstream, noUpstreamRetry, "%v", err)), true
-	case errors.As(err, &crossed):
-		r.parts.Metrics.Crossed.Add(1)
+		return r.withCertainty(refusal(CodeNoUpstream, noUpstreamRetryAfter, "%v", err)), true
+	case errors.As(err, &mismatch):
+		r.deps.Metrics.Mismatched.Add(1)
 		r.log.Error("answer of another request discarded", "upstream", replica, "err", err)
 	default:
 		r.log.Warn("upstream failed", "upstream", replica, "err", err)
-		r.noteLost(replica, err)
+		r.reportIfEnded(replica, err)
 	}
 	r.reached = true
-	f = r.failure(&Failure{Status: statusBadGateway, Code: CodeUpstream, Message: err.Error()})
+	f = r.withCertainty(&Failure{Status: statusBadGateway, Code: CodeUpstreamFailed, Message: err.Error()})
 	return f, !r.call.Once
 }
 
 const statusBadGateway = 502
 
-func outcomeOf(err error, gone bool) route.Outcome {
+func outcomeOf(err error, clientGone bool) route.Outcome {
 	var notRun *upstream.NotRunError
 	switch {
-	case gone:
+	case clientGone:
 		return route.OutcomeNeutral
 	case errors.As(err, &notRun) && notRun.Reason != upstream.ReasonUnreachable:
 		return route.OutcomeNeutral
@@ -310,8 +311,8 @@
 	}
 }
 
-// failure says what is certain of the run so far.
-func (r *Run) failure(f *Failure) *Failure {
+// withCertainty sets what is certain about whether the request ran.
+func (r *Run) withCertainty(f *Failure) *Failure {
 	switch {
 	case !r.reached:
 		f.Ran = NotRun
@@ -323,20 +324,20 @@
 	return f
 }
 
-// Next returns the next event of the answer; io.EOF follows the last one. A run
-// that breaks off is resumed on another replica where that is allowed.
+// Next returns the next event of the answer, and io.EOF after the last one. A run
+// that breaks off is resumed on another replica if that is allowed.
 func (r *Run) Next() (upstream.Event, *Failure, error) {
 	for {
-		ev, err := r.first, error(nil)
-		if !r.pending {
+		ev, err := r.firstEvent, error(nil)
+		if !r.firstPending {
 			ev, err = r.stream.Next()
 		}
-		r.pending = false
+		r.firstPending = false
 		if err == nil {
 			if ev.Done {
 				r.done = true
 			} else {
-				r.tokens++
+				r.completionTokens++
 			}
 			return ev, nil, nil
 		}
@@ -349,26 +350,26 @@
 	}
 }
 
-// resume goes on with a broken run elsewhere, or explains why it can't.
+// resume continues a broken run on another replica, or returns why it can't.
 func (r *Run) resume(err error) *Failure {
 	replica := r.decision.Replica
-	had := r.stream.Tokens()
-	if had > r.resumedAt {
-		// It came further, so the others may be tried again.
-		r.exclude = nil
+	received := r.stream.Tokens()
+	if received > r.tokensAtBreak {
+		// The run made progress, so replicas that failed earlier may be tried again.
+		r.excluded = nil
 	}
-	r.resumedAt = had
-	f, again := r.sendFailed(replica, err)
+	r.tokensAtBreak = received
+	f, retryable := r.handleRunError(replica, err)
 	f.Code = CodeCutOff
-	if !again || r.ctx.Err() != nil || !r.mayRetry() {
+	if !retryable || r.ctx.Err() != nil || !r.mayRetry() {
 		return f
 	}
-	if cut := r.connect(had); cut != nil {
-		cut.Code = CodeCutOff
-		return cut
+	if failure := r.connect(received); failure != nil {
+		failure.Code = CodeCutOff
+		return failure
 	}
-	r.parts.Metrics.Resumed.Add(1)
-	r.log.Info("run resumed", "from", replica, "on", r.decision.Replica, "tokens", had)
+	r.deps.Metrics.Resumed.Add(1)
+	r.log.Info("run resumed", "from", replica, "on", r.decision.Replica, "tokens", received)
 	return nil
 }
 
@@ -377,23 +378,23 @@
 		r.stream.Close()
 		r.stream = nil
 	}
-	if r.ticket != nil {
-		r.ticket.End(o, time.Now())
-		r.ticket = nil
+	if r.inFlight != nil {
+		r.inFlight.End(o, time.Now())
+		r.inFlight = nil
 	}
 }
 
-// Close ends the run, breaking it off upstream if it is not over.
+// Close ends the run and cancels it at the engine if it is not finished.
 func (r *Run) Close() {
 	outcome := route.OutcomeNeutral
 	if r.done {
 		outcome = route.OutcomeOK
-		r.parts.Retries.Success()
+		r.deps.Retries.Success()
 	}
 	r.endAttempt(outcome)
-	r.noteOver()
-	if r.place != nil {
-		r.place.Release(time.Now())
+	r.reportFinished()
+	if r.admission != nil {
+		r.admission.Release(time.Now())
 	}
 	r.cancel()
 }
--- a/service/entry/run_suspects.go
+++ b/service/entry/run_suspects.go
@@ -15,101 +15,104 @@
 )
 
 const (
-	// suspectedRetry is when to come back with a prompt while another of its content is
-	// under way: one that ends its engine does so within some hundred milliseconds.
-	suspectedRetry = 500 * time.Millisecond
-	// watchedMost is for how long a run of a watched prompt is waited for.
-	watchedMost = 10 * time.Second
-	// endLook bounds the look whether an engine still takes connections.
-	endLook = 300 * time.Millisecond
-	// unknownLife is in what time ends of an engine that has told no start count as one.
-	unknownLife = 10 * time.Second
-	// methodPrompt stands in a content's fingerprint for the HTTP method of other calls.
+	// suspectedRetryAfter is the Retry-After of a prompt while the same prompt is running
+	// elsewhere: one that ends its engine does so within some hundred milliseconds.
+	suspectedRetryAfter = 500 * time.Millisecond
+	// maxPermittedRun is how long a permitted run of a watched prompt keeps others waiting.
+	maxPermittedRun = 10 * time.Second
+	// endCheckTimeout bounds the check whether an engine still accepts connections.
+	endCheckTimeout = 300 * time.Millisecond
+	// unknownStartWindow is the time within which the ends of an engine with an unknown start
+	// time count as one.
+	unknownStartWindow = 10 * time.Second
+	// methodPrompt takes the place of the HTTP method in a prompt's fingerprint.
 	methodPrompt = "PROMPT"
 )
 
-// content names what the run asks and for whom.
-func (r *Run) content() site.Fingerprint {
+// fingerprint identifies the prompt, its model and its organisation.
+func (r *Run) fingerprint() site.Fingerprint {
 	return site.NewFingerprint(r.call.Organisation.Name, methodPrompt, r.call.Model, r.call.Adapter, []byte(r.call.Prompt))
 }
 
-func (r *Run) sketch() uint64 {
+func (r *Run) quickHash() uint64 {
 	return suspect.QuickHash(r.call.Organisation.Name, methodPrompt, r.call.Model, r.call.Adapter, []byte(r.call.Prompt))
 }
 
-// suspected refuses a prompt under which engines have ended. Without it one prompt went on
-// to all engines, six of six in the test.
-func (r *Run) suspected() *Failure {
-	s := r.parts.Suspects
-	if s.Empty() {
-		return nil // Nothing has to be hashed.
+// checkSuspected refuses a prompt under which engines have ended. Without it one such prompt
+// was retried until it had ended all engines, six of six in the test.
+func (r *Run) checkSuspected() *Failure {
+	suspects := r.deps.Suspects
+	if suspects.Empty() {
+		return nil // Saves hashing the prompt.
 	}
-	c := s.Case(r.content())
+	c := suspects.Case(r.fingerprint())
 	switch c.Verdict() {
 	case suspect.Blocked:
 		r.log.Warn("prompt blocked", "content", c.Content, "ends", len(c.Ends), "engines", c.Replicas())
-		return r.failure(&Failure{
-			Status:  statusEnds(r.reached),
+		return r.withCertainty(&Failure{
+			Status:  blockedStatus(r.reached),
 			Code:    CodeEndsEngines,
 			Message: fmt.Sprintf("%d engines ended under this prompt; it is not to be sent again", len(c.Ends)),
 		})
 	case suspect.Watched:
-		if r.watched {
-			return nil // It was let run and found its engine gone; asked again it would wait for itself.
+		if r.mayRun {
+			return nil // Asking again on a retry would wait for this very run.
 		}
-		if !s.MayRun(r.ctx, c.Content, watchedMost) {
-			return r.failure(refusal(CodeSuspected, suspectedRetry, "engines ended under this prompt, and another one like it is under way"))
+		if !suspects.MayRun(r.ctx, c.Content, maxPermittedRun) {
+			return r.withCertainty(refusal(CodeSuspected, suspectedRetryAfter, "engines ended under this prompt, and another one like it is under way"))
 		}
-		r.watched = true
+		r.mayRun = true
 	}
 	return nil
 }
 
-func statusEnds(reached bool) int {
+func blockedStatus(reached bool) int {
 	if reached {
 		return http.StatusBadGateway
 	}
 	return http.StatusBadRequest
 }
 
-// noteLost notes that an engine's answer was lost, and looks whether the engine has ended.
-func (r *Run) noteLost(replica string, err error) {
-	var broken *upstream.TruncatedError
-	if !errors.As(err, &broken) || r.sent.IsZero() {
+// reportIfEnded records the end of an engine if the answer was truncated and the engine no
+// longer accepts connections.
+func (r *Run) reportIfEnded(replica string, err error) {
+	var truncated *upstream.TruncatedError
+	if !errors.As(err, &truncated) || r.sentAt.IsZero() {
 		return
 	}
-	life := r.life
-	if life.IsZero() {
-		// It ended before it told its start; it takes longer to come back than this.
-		life = time.Now().Truncate(unknownLife)
+	started := r.engineStarted
+	if started.IsZero() {
+		// The engine ended before it reported its start. A restart takes longer than this
+		// window, so two starts are not counted as one.
+		started = time.Now().Truncate(unknownStartWindow)
 	}
-	run := suspects.LostRun{
-		Content:   r.content(),
-		QuickHash: r.sketch(),
+	lost := suspects.LostRun{
+		Content:   r.fingerprint(),
+		QuickHash: r.quickHash(),
 		Request:   r.call.RequestID,
 		Replica:   replica,
-		StartKey:  suspects.StartKeyOf(replica, life),
-		StartedAt: r.sent,
+		StartKey:  suspects.StartKeyOf(replica, started),
+		StartedAt: r.sentAt,
 		LostAt:    boottime.Now(),
 	}
-	engine, ok := r.parts.Upstreams.Engine(replica)
+	engine, ok := r.deps.Upstreams.Engine(replica)
 	if !ok || r.ctx.Err() != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.ctx, endLook)
+	ctx, cancel := context.WithTimeout(r.ctx, endCheckTimeout)
 	defer cancel()
 	if _, err := engine.Load(ctx); suspects.NotListening(err) {
-		r.parts.Suspects.RecordEnd(run, run.LostAt)
-		r.watched = false // Whoever let it run hears of that.
+		r.deps.Suspects.RecordEnd(lost, lost.LostAt)
+		r.mayRun = false // The node that permitted it learns of the end.
 	}
 }
 
-// noteOver tells what became of the run.
-func (r *Run) noteOver() {
+// reportFinished reports a finished run, or ends a permitted one that failed.
+func (r *Run) reportFinished() {
 	if r.done {
-		r.parts.Suspects.RecordFinish(r.sketch(), r.content, boottime.Now())
-	} else if r.watched {
-		r.parts.Suspects.EndRun(r.content())
+		r.deps.Suspects.RecordFinish(r.quickHash(), r.fingerprint, boottime.Now())
+	} else if r.mayRun {
+		r.deps.Suspects.EndRun(r.fingerprint())
 	}
-	r.watched = false
+	r.mayRun = false
 }
--- a/service/entry/run_test.go
+++ b/service/entry/run_test.go
@@ -24,7 +24,7 @@
 	"github.com/drumpath/drumpath/service/suspects"
 )
 
-// inOrder places a run on the first engine that has not failed it.
+// inOrder is a policy that chooses the first engine that is not excluded.
 type inOrder []string
 
 func (p inOrder) Place(q *route.Request, _ time.Time) (d route.Decision, err error) {
@@ -36,7 +36,7 @@
 	return d, route.ErrNoReplica
 }
 
-// engines are an upstreams with nothing but engines.
+// engines implements upstreams with engines only.
 type engines map[string]*upstream.Engine
 
 func (e engines) Engine(name string) (*upstream.Engine, bool) {
@@ -49,15 +49,15 @@
 	return nil, false
 }
 
-// knowsNothing is a directory of kept state without entries.
-type knowsNothing struct{}
+// emptyDirectory is a directory of cached state without entries.
+type emptyDirectory struct{}
 
-func (knowsNothing) Observe(context.Context, prompt.Chain) prompt.Match { return prompt.Match{} }
-func (knowsNothing) Placed(prompt.Chain, string)                        {}
-func (knowsNothing) Stored(prompt.Chain, string, prompt.Object)         {}
+func (emptyDirectory) Observe(context.Context, prompt.Chain) prompt.Match { return prompt.Match{} }
+func (emptyDirectory) Placed(prompt.Chain, string)                        {}
+func (emptyDirectory) Stored(prompt.Chain, string, prompt.Object)         {}
 
-// closedAddr is an address at which nothing listens.
-func closedAddr(t *testing.T) netip.AddrPort {
+// unusedAddr returns an address at which nothing listens.
+func unusedAddr(t *testing.T) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := ln.Addr().(*net.TCPAddr).AddrPort()
@@ -65,31 +65,28 @@
 	return addr
 }
 
-// Engines had ended, and the list still named them. A request that found their connections
-// refused one after the other was itself refused, 503 no_upstream, "unreachable", though others
-// served: each such try had taken one of the node's retries, and those were spent.
-//
-// What settled it: no engine ended beyond the third, and the refused request's lines are "upstream
-// did not run it", unreachable, as often as there were retries left.
-func TestTriesThatReachNobodyTakeNoRetries(t *testing.T) {
+// Guards against unreachable engines spending the retry budget. A request that tried several
+// engines that had ended but were still listed was refused with 503 no_upstream although other
+// engines were serving, because each refused connection had taken one of the node's retries.
+func TestUnreachableEnginesTakeNoRetries(t *testing.T) {
 	var reached atomic.Int64
-	serves := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == upstream.PathRun {
 			reached.Add(1)
 		}
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
-	defer serves.Close()
-	const ended = 3
-	list, placed := engines{}, inOrder{}
-	for i := range ended {
+	defer server.Close()
+	const endedEngines = 3
+	upstreams, placement := engines{}, inOrder{}
+	for i := range endedEngines {
 		name := fmt.Sprint("ended", i)
-		list[name] = upstream.NewEngine(name, closedAddr(t))
-		placed = append(placed, name)
+		upstreams[name] = upstream.NewEngine(name, unusedAddr(t))
+		placement = append(placement, name)
 	}
-	list["serves"] = upstream.NewEngine("serves", netip.MustParseAddrPort(serves.Listener.Addr().String()))
-	placed = append(placed, "serves", "another")
-	list["another"] = list["serves"]
+	upstreams["serves"] = upstream.NewEngine("serves", netip.MustParseAddrPort(server.Listener.Addr().String()))
+	placement = append(placement, "serves", "another")
+	upstreams["another"] = upstreams["serves"]
 
 	retries := route.NewRetryBudget(0)
 	for retries.Take() {
@@ -98,12 +95,12 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	members := control.NewMembers(self, time.Second, nil, rng)
 	r := &Run{
-		call: &Call{Terms: Terms{RequestID: "r"}},
+		call: &Call{RequestMeta: RequestMeta{RequestID: "r"}},
 		log:  slog.New(slog.DiscardHandler),
-		parts: &Dependencies{
-			Directory: knowsNothing{},
-			Upstreams: list,
-			Policy:    placed,
+		deps: &Dependencies{
+			Directory: emptyDirectory{},
+			Upstreams: upstreams,
+			Policy:    placement,
 			Fleet:     route.NewFleet(rng),
 			Retries:   retries,
 			Metrics:   &Metrics{},
@@ -113,6 +110,6 @@
 	r.ctx, r.cancel = context.WithCancel(t.Context())
 	defer r.cancel()
 	f := r.connect(0)
-	assert.Equal(t, f.Code, CodeUpstream, "%v", f)
-	assert.Equal(t, reached.Load(), int64(1), "what has reached an engine does take one")
+	assert.Equal(t, f.Code, CodeUpstreamFailed, "%v", f)
+	assert.Equal(t, reached.Load(), int64(1), "a request that reached an engine takes a retry")
 }
--- a/service/entry/server.go
+++ b/service/entry/server.go
@@ -20,46 +20,46 @@
 )
 
 const (
-	goneEvery   = 100 * time.Millisecond
-	idleTimeout = 30 * time.Second
-	closeEvery  = 10 * time.Millisecond
-	// policyExports is the policy under which state is exported; the baselines
-	// have no use for it.
-	policyExports = config.PolicyDrumpath
+	disconnectCheckInterval = 100 * time.Millisecond
+	idleTimeout             = 30 * time.Second
+	drainPollInterval       = 10 * time.Millisecond
+	// exportingPolicy is the only policy that exports KV caches; the baselines
+	// don't use exported ones.
+	exportingPolicy = config.PolicyDrumpath
 )
 
-// Server serves callers.
+// Server is the HTTP server for clients.
 type Server struct {
-	parts   *Dependencies
-	ln      net.Listener
-	http    *fasthttp.Server
-	exports *exporter
-	imports *importGroup
-	gone    *goneWatch
-	goneSub *timer.Subscription
-	wg      sync.WaitGroup
+	deps            *Dependencies
+	ln              net.Listener
+	http            *fasthttp.Server
+	exports         *exporter
+	imports         *importGroup
+	disconnects     *disconnectWatcher
+	disconnectTimer *timer.Subscription
+	wg              sync.WaitGroup
 
 	inFlight atomic.Int64
 }
 
 // NewServer listens at the settings' entry address.
-func NewServer(p *Dependencies, t *timer.Service) (s *Server, err error) {
+func NewServer(deps *Dependencies, timers *timer.Service) (s *Server, err error) {
 	defer func() { err = eris.Wrap(err, "entry server") }()
-	ln, err := net.Listen("tcp", p.Settings.Entry.Listen.String())
+	ln, err := net.Listen("tcp", deps.Settings.Entry.Listen.String())
 	if err != nil {
 		return nil, err
 	}
 	s = &Server{
-		parts:   p,
-		ln:      ln,
-		exports: newExporter(p),
-		imports: newImportGroup(),
-		gone:    newGoneWatch(),
+		deps:        deps,
+		ln:          ln,
+		exports:     newExporter(deps),
+		imports:     newImportGroup(),
+		disconnects: newDisconnectWatcher(),
 	}
-	s.goneSub = t.Subscribe(goneEvery, s.gone.check)
+	s.disconnectTimer = timers.Subscribe(disconnectCheckInterval, s.disconnects.cancelDisconnected)
 	s.http = &fasthttp.Server{
-		Handler:               limitBody(s.routes().Handler, int64(p.Settings.Entry.MaxBody)),
-		ErrorHandler:          handleError,
+		Handler:               limitBody(s.routes().Handler, int64(deps.Settings.Entry.MaxBody)),
+		ErrorHandler:          writeParseError,
 		NoDefaultServerHeader: true,
 		StreamRequestBody:     true,
 		IdleTimeout:           idleTimeout,
@@ -70,45 +70,45 @@
 
 func (s *Server) routes() *router.Router {
 	r := router.New()
-	r.POST("/v1/completions", func(c *fasthttp.RequestCtx) { s.completion(c, false) })
-	r.POST("/v1/chat/completions", func(c *fasthttp.RequestCtx) { s.completion(c, true) })
-	r.GET("/v1/entries", s.entries)
-	r.ANY("/v1/services/{path}", s.service)
-	r.ANY("/v1/services/{path}/{rest:*}", s.service)
-	r.GET("/healthz", s.health)
+	r.POST("/v1/completions", func(c *fasthttp.RequestCtx) { s.handleCompletion(c, false) })
+	r.POST("/v1/chat/completions", func(c *fasthttp.RequestCtx) { s.handleCompletion(c, true) })
+	r.GET("/v1/entries", s.handleEntries)
+	r.ANY("/v1/services/{path}", s.handleService)
+	r.ANY("/v1/services/{path}/{rest:*}", s.handleService)
+	r.GET("/healthz", s.handleHealth)
 	r.HandleMethodNotAllowed = true
 	r.MethodNotAllowed = func(c *fasthttp.RequestCtx) {
-		callerFault(http.StatusMethodNotAllowed, CodeMethod, "%s is not allowed here", c.Method()).write(c)
+		clientError(http.StatusMethodNotAllowed, CodeMethodNotAllowed, "%s is not allowed here", c.Method()).write(c)
 	}
 	r.NotFound = func(c *fasthttp.RequestCtx) {
-		callerFault(http.StatusNotFound, CodeNotFound, "there is nothing at %s", c.Path()).write(c)
+		clientError(http.StatusNotFound, CodeNotFound, "there is nothing at %s", c.Path()).write(c)
 	}
 	return r
 }
 
-// drainFactor times the largest body is read on before a body that is too large
-// is answered: a caller who is still sending would see a broken connection
+// drainFactor times the body limit is read and discarded before a body that is too
+// large is answered: a client that is still sending would see a broken connection
 // instead of the answer.
 const drainFactor = 8
 
-// limitBody reads bodies up to a size and refuses larger ones.
-func limitBody(next fasthttp.RequestHandler, most int64) fasthttp.RequestHandler {
+// limitBody reads the body and refuses one of more than maxBytes.
+func limitBody(next fasthttp.RequestHandler, maxBytes int64) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		stream := c.RequestBodyStream()
 		if stream == nil {
 			next(c)
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(stream, most+1))
+		body, err := io.ReadAll(io.LimitReader(stream, maxBytes+1))
 		if err != nil {
 			c.SetConnectionClose()
-			callerFault(http.StatusBadRequest, CodeBadRequest, "body: %v", err).write(c)
+			clientError(http.StatusBadRequest, CodeBadRequest, "body: %v", err).write(c)
 			return
 		}
-		if int64(len(body)) > most {
-			_, _ = io.CopyN(io.Discard, stream, drainFactor*most) // Whatever comes is refused.
+		if int64(len(body)) > maxBytes {
+			_, _ = io.CopyN(io.Discard, stream, drainFactor*maxBytes) // The request is refused either way.
 			c.SetConnectionClose()
-			callerFault(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body has more than %d bytes", most).write(c)
+			clientError(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body has more than %d bytes", maxBytes).write(c)
 			return
 		}
 		c.Request.SetBodyRaw(body)
@@ -116,12 +116,12 @@
 	}
 }
 
-// handleError answers what is not a request that could be read.
-func handleError(c *fasthttp.RequestCtx, err error) {
-	callerFault(http.StatusBadRequest, CodeBadRequest, "%v", err).write(c)
+// writeParseError answers a request that could not be parsed.
+func writeParseError(c *fasthttp.RequestCtx, err error) {
+	clientError(http.StatusBadRequest, CodeBadRequest, "%v", err).write(c)
 }
 
-// Addr is where the server listens.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() netip.AddrPort {
 	return s.ln.Addr().(*net.TCPAddr).AddrPort() // It listens on TCP.
 }
@@ -130,12 +130,12 @@
 func (s *Server) Start() {
 	s.wg.Go(func() {
 		if err := s.http.Serve(s.ln); err != nil {
-			s.parts.Log.Error("entry server failed", "err", err)
+			s.deps.Log.Error("entry server failed", "err", err)
 		}
 	})
 }
 
-// InFlight is how many requests are being served.
+// InFlight returns the number of requests being served.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
 // Drain waits until no request is being served, or ctx ends.
@@ -144,7 +144,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(closeEvery):
+		case <-time.After(drainPollInterval):
 		}
 	}
 	return nil
@@ -154,92 +154,92 @@
 func (s *Server) Close() {
 	_ = s.http.Shutdown() // The listener is closed either way.
 	s.wg.Wait()
-	s.goneSub.Close()
+	s.disconnectTimer.Close()
 	s.exports.close()
 }
 
-func (s *Server) health(c *fasthttp.RequestCtx) {
-	if s.parts.State.State().Version == 0 {
-		refusal(CodeNotReady, noUpstreamRetry, "no configuration yet").write(c)
+func (s *Server) handleHealth(c *fasthttp.RequestCtx) {
+	if s.deps.State.State().Version == 0 {
+		refusal(CodeNotReady, noUpstreamRetryAfter, "no configuration yet").write(c)
 	}
 }
 
-// terms reads the headers of a request and counts it.
-func (s *Server) terms(c *fasthttp.RequestCtx) (Terms, *Failure) {
-	s.parts.Metrics.Requests.Add(1)
+// requestMeta counts a request and reads its headers.
+func (s *Server) requestMeta(c *fasthttp.RequestCtx) (RequestMeta, *Failure) {
+	s.deps.Metrics.Requests.Add(1)
 	id := string(c.Request.Header.Peek(headerRequestID))
 	if id == "" || len(id) > maxKeyLength {
 		id = rand.Text()
 	}
-	return parseTerms(c, s.parts.State.State(), id)
+	return parseRequestMeta(c, s.deps.State.State(), id)
 }
 
-// fail answers with a failure and counts it.
+// fail counts a failure and answers with it.
 func (s *Server) fail(c *fasthttp.RequestCtx, f *Failure) {
 	switch {
 	case f.replay != nil:
-		s.parts.Metrics.Replayed.Add(1)
+		s.deps.Metrics.Replayed.Add(1)
 	case f.Ran == NotRun:
-		s.parts.Metrics.Refused.Add(1)
+		s.deps.Metrics.Refused.Add(1)
 	default:
-		s.parts.Metrics.Failed.Add(1)
+		s.deps.Metrics.Failed.Add(1)
 	}
 	f.write(c)
 }
 
-// callContext returns a context that ends when the caller goes away.
+// callContext returns a context that is canceled when the client disconnects.
 func (s *Server) callContext(c *fasthttp.RequestCtx) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
-	remove := s.gone.add(c.Conn(), cancel)
+	remove := s.disconnects.add(c.Conn(), cancel)
 	return ctx, func() {
 		remove()
 		cancel()
 	}
 }
 
-func (s *Server) leave() { s.inFlight.Add(-1) }
+func (s *Server) requestDone() { s.inFlight.Add(-1) }
 
-// completion serves one completion.
-func (s *Server) completion(c *fasthttp.RequestCtx, chat bool) {
+// handleCompletion serves a completion or a chat completion.
+func (s *Server) handleCompletion(c *fasthttp.RequestCtx, chat bool) {
 	s.inFlight.Add(1)
 	call, f := s.parse(c, chat)
 	if f != nil {
-		s.leave()
+		s.requestDone()
 		s.fail(c, f)
 		return
 	}
 	r := &Run{
-		parts:   s.parts,
+		deps:    s.deps,
 		call:    call,
 		imports: s.imports,
-		log:     s.parts.Log.With("request", call.RequestID, "organisation", call.Organisation.Name),
+		log:     s.deps.Log.With("request", call.RequestID, "organisation", call.Organisation.Name),
 	}
 	r.ctx, r.cancel = s.callContext(c)
 	if f := r.start(); f != nil {
 		r.Close()
-		s.leave()
+		s.requestDone()
 		f.RequestID = call.RequestID
 		s.fail(c, f)
 		return
 	}
 	c.Response.Header.Set(headerRequestID, call.RequestID)
 	if call.Stream {
-		s.answerStream(c, r)
+		s.sendStream(c, r)
 		return
 	}
-	defer s.leave()
+	defer s.requestDone()
 	defer r.Close()
-	s.answerWhole(c, r)
+	s.sendWhole(c, r)
 }
 
 func (s *Server) parse(c *fasthttp.RequestCtx, chat bool) (*Call, *Failure) {
-	state := s.parts.State.State()
+	state := s.deps.State.State()
 	if state.Version == 0 {
-		return nil, refusal(CodeNotReady, noUpstreamRetry, "no configuration yet")
+		return nil, refusal(CodeNotReady, noUpstreamRetryAfter, "no configuration yet")
 	}
-	terms, f := s.terms(c)
+	meta, f := s.requestMeta(c)
 	if f != nil {
 		return nil, f
 	}
-	return parseCall(c, state, terms, chat)
+	return parseCall(c, state, meta, chat)
 }
