--- a/service/operator/doc.go
+++ b/service/operator/doc.go
@@ -1,3 +1,3 @@
-// Package operator is the interface for operators: the query and command
-// language and the dump of a process's state.
+// Package operator is the interface for operators: it carries out scripts of the query
+// and command language.
 package operator
--- a/service/operator/explain.go
+++ b/service/operator/explain.go
@@ -13,7 +13,7 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// explain answers where a request would run now, and why; it leaves no trace in
+// explain answers where a request would run now, and why. It records no occurrence in
 // the directory.
 func (s *Service) explain(ctx context.Context, e *lang.Explain) (lang.Table, error) {
 	state := s.Log.State()
@@ -39,16 +39,16 @@
 	add("weights", scope.Weights)
 	add("reuse rule", ruleText(rule))
 	add("prompt tokens", strconv.Itoa(chain.Tokens))
-	for _, h := range match.Locations {
+	for _, location := range match.Locations {
 		kind := "hot on engine "
-		if h.Object != nil {
+		if location.Object != nil {
 			kind = "kept in store "
 		}
-		add(kind+h.Upstream, fmt.Sprintf("%d tokens", h.Tokens()))
+		add(kind+location.Upstream, fmt.Sprintf("%d tokens", location.Tokens()))
 	}
-	for _, sg := range match.Occurrences {
-		add(fmt.Sprintf("seen, first %d tokens", sg.Chunks*prompt.ChunkTokens),
-			fmt.Sprintf("%d times, last %s ago, mean gap %s", sg.Count, sg.Since, sg.Gap))
+	for _, o := range match.Occurrences {
+		add(fmt.Sprintf("seen, first %d tokens", o.Chunks*prompt.ChunkTokens),
+			fmt.Sprintf("%d times, last %s ago, mean gap %s", o.Count, o.Since, o.Gap))
 	}
 	d, err := s.Policy.Place(&route.Request{
 		Model:    e.Model,
--- a/service/operator/messages.go
+++ b/service/operator/messages.go
@@ -4,12 +4,12 @@
 	"github.com/drumpath/drumpath/pkg/lang"
 )
 
-// RunRequest asks for a script to be carried out.
+// RunRequest asks a node to run a script.
 type RunRequest struct {
 	Text string `json:"text"`
 }
 
-// RunAnswer has one result for each statement that was carried out.
+// RunAnswer has one result for each statement that was run.
 type RunAnswer struct {
 	Results []Result `json:"results"`
 }
@@ -17,14 +17,14 @@
 // Result is the result of one statement.
 type Result struct {
 	Table   *lang.Table `json:"table,omitempty"`
-	Version uint64      `json:"version,omitempty"` // Of the change.
-	// InForce says that every working node has the change; only with wait.
+	Version uint64      `json:"version,omitempty"` // Configuration version of the change.
+	// InForce says that every working node has the change; set only with wait.
 	InForce bool `json:"in_force,omitempty"`
-	// Error ends the script; earlier statements stay in force.
+	// Error ends the script; the changes of earlier statements stay in force.
 	Error *Error `json:"error,omitempty"`
 }
 
-// ErrorKind is the kind of an operator's error.
+// ErrorKind says why a statement failed.
 type ErrorKind string
 
 // Kinds of errors.
@@ -37,15 +37,15 @@
 	ErrorPlatform ErrorKind = "platform"
 )
 
-// Error is what an operator is told of a statement that failed.
+// Error is the error of a statement.
 type Error struct {
 	Kind    ErrorKind `json:"kind"`
 	Message string    `json:"message"`
-	// Winner is the version that won a conflict.
+	// Winner is the version of the change that won a conflict.
 	Winner uint64 `json:"winner,omitempty"`
 }
 
-// Error gives kind and message.
+// Error returns the kind and the message.
 func (e *Error) Error() string { return string(e.Kind) + ": " + e.Message }
 
 // RowsRequest asks a node for its own rows of a table.
--- a/service/operator/service.go
+++ b/service/operator/service.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	changeTimeout = 10 * time.Second
-	inForceWait   = 20 * time.Second
-	inForcePause  = 100 * time.Millisecond
+	changeTimeout       = 10 * time.Second
+	inForceTimeout      = 20 * time.Second
+	inForcePollInterval = 100 * time.Millisecond
 )
 
-// directory is what this package needs of the directory of kept state.
+// directory finds cached state of prompts.
 type directory interface {
 	Lookup(ctx context.Context, marks []prompt.Mark) prompt.Match
 }
 
-// configLog is what this package needs of the configuration log.
+// configLog is the configuration log.
 type configLog interface {
 	State() *config.State
 	Propose(ctx context.Context, cmd config.Command, ifVersion uint64) (uint64, error)
 	Recent(limit int) []control.Entry
 }
 
-// peers asks other nodes.
-type peers interface {
+// peerClient queries other nodes.
+type peerClient interface {
 	// Rows returns a node's own rows of a table.
 	Rows(ctx context.Context, m control.Member, table string) (lang.Table, error)
 	// Version returns a node's configuration version.
 	Version(ctx context.Context, m control.Member) (uint64, error)
 }
 
-// local is what only this node knows.
-type local interface {
+// localTables has this node's own rows of the tables that differ between nodes.
+type localTables interface {
 	// Rows returns this node's own rows of a table; ok is false if there is no
 	// such table.
 	Rows(table string) (t lang.Table, ok bool)
 }
 
-// Service carries out operators' scripts.
+// Service runs operators' scripts.
 type Service struct {
 	Settings  config.Settings
 	Log       configLog
@@ -54,15 +54,15 @@
 	Directory directory
 	Policy    route.Policy
 	Fleet     *route.Fleet
-	Peers     peers
-	Local     local
+	Peers     peerClient
+	Local     localTables
 }
 
-// Run carries out a script up to its first error.
+// Run runs a script up to its first error.
 func (s *Service) Run(ctx context.Context, req RunRequest) (a RunAnswer, err error) {
 	script, err := lang.Parse(req.Text)
 	if err != nil {
-		return RunAnswer{Results: []Result{{Error: operatorError(err)}}}, nil
+		return RunAnswer{Results: []Result{{Error: toOperatorError(err)}}}, nil
 	}
 	for _, st := range script.Statements {
 		r := s.statement(ctx, st)
@@ -84,30 +84,30 @@
 			t, err = st.Show.Run(t)
 		}
 		if err != nil {
-			return Result{Error: operatorError(err)}
+			return Result{Error: toOperatorError(err)}
 		}
 		return Result{Table: &t}
 	default:
 		t, err := s.explain(ctx, st.Explain)
 		if err != nil {
-			return Result{Error: operatorError(err)}
+			return Result{Error: toOperatorError(err)}
 		}
 		return Result{Table: &t}
 	}
 }
 
 func (s *Service) change(ctx context.Context, c *lang.Change) Result {
-	ctx, cancel := context.WithTimeout(ctx, changeTimeout+inForceWait)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout+inForceTimeout)
 	defer cancel()
-	proposeCtx, stop := context.WithTimeout(ctx, changeTimeout)
-	defer stop()
+	proposeCtx, cancelPropose := context.WithTimeout(ctx, changeTimeout)
+	defer cancelPropose()
 	var ifVersion uint64
 	if c.IfVersion != nil {
 		ifVersion = *c.IfVersion
 	}
 	version, err := s.Log.Propose(proposeCtx, c.Command(), ifVersion)
 	if err != nil {
-		return Result{Error: operatorError(err)}
+		return Result{Error: toOperatorError(err)}
 	}
 	r := Result{Version: version}
 	if c.Wait {
@@ -116,32 +116,32 @@
 	return r
 }
 
-// waitInForce waits until every working node has a version.
+// waitInForce waits until every working node has at least a configuration version.
 func (s *Service) waitInForce(ctx context.Context, version uint64) bool {
-	behind := s.Members.Working()
-	for len(behind) > 0 {
-		var still []control.Member
-		for _, m := range behind {
+	lagging := s.Members.Working()
+	for len(lagging) > 0 {
+		var stillLagging []control.Member
+		for _, m := range lagging {
 			have, err := s.Peers.Version(ctx, m)
 			if err != nil || have < version {
-				still = append(still, m)
+				stillLagging = append(stillLagging, m)
 			}
 		}
-		behind = still
-		if len(behind) == 0 {
+		lagging = stillLagging
+		if len(lagging) == 0 {
 			break
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(inForcePause):
+		case <-time.After(inForcePollInterval):
 		}
 	}
 	return true
 }
 
-// operatorError sorts an error into the kinds that operators are told.
-func operatorError(err error) *Error {
+// toOperatorError converts an error to one with an ErrorKind.
+func toOperatorError(err error) *Error {
 	var syntax *lang.SyntaxError
 	var query *lang.QueryError
 	var command *config.CommandError
--- a/service/operator/tables.go
+++ b/service/operator/tables.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	peerRowsTimeout = 2 * time.Second
-	peerRowsAtOnce  = 16
-	recentChanges   = 100
+	peerRowsTimeout    = 2 * time.Second
+	maxConcurrentPeers = 16
+	maxChangeRows      = 100
 )
 
-// configTables are the tables of the configuration, the same on every node.
+// configTables are the tables of the configuration, which are the same on every node.
 var configTables = map[string]func(*config.State) lang.Table{
 	"organisations": organisationTable,
 	"models":        modelTable,
@@ -40,7 +40,7 @@
 		return build(s.Log.State()), nil
 	}
 	if slices.Contains(nodeTables, name) {
-		return s.everywhere(ctx, name)
+		return s.tableFromAllNodes(ctx, name)
 	}
 	switch name {
 	case "nodes":
@@ -50,52 +50,52 @@
 	case "changes":
 		return s.changeTable(), nil
 	}
-	known := slices.Concat(slices.Sorted(maps.Keys(configTables)), nodeTables, []string{"nodes", "replicas", "changes"})
-	return lang.Table{}, &lang.QueryError{Message: fmt.Sprintf("no table %q; there are %s", name, strings.Join(known, ", "))}
+	tables := slices.Concat(slices.Sorted(maps.Keys(configTables)), nodeTables, []string{"nodes", "replicas", "changes"})
+	return lang.Table{}, &lang.QueryError{Message: fmt.Sprintf("no table %q; there are %s", name, strings.Join(tables, ", "))}
 }
 
-// everywhere gathers a table's rows from all working nodes; a node that does
-// not answer has a row that says so.
-func (s *Service) everywhere(ctx context.Context, name string) (lang.Table, error) {
+// tableFromAllNodes collects a table's rows from all working nodes. A node that does not
+// answer gets a row that says so.
+func (s *Service) tableFromAllNodes(ctx context.Context, name string) (lang.Table, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerRowsTimeout)
 	defer cancel()
 	members := s.Members.Working()
-	parts := make([]lang.Table, len(members))
+	memberTables := make([]lang.Table, len(members))
 	errs := make([]error, len(members))
-	slots := make(chan struct{}, peerRowsAtOnce)
+	semaphore := make(chan struct{}, maxConcurrentPeers)
 	var wg sync.WaitGroup
 	for i, m := range members {
 		wg.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			parts[i], errs[i] = s.rowsOf(ctx, m, name)
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			memberTables[i], errs[i] = s.memberRows(ctx, m, name)
 		})
 	}
 	wg.Wait()
 	all := lang.Table{Columns: []string{"node"}}
-	for _, part := range parts {
-		if len(part.Columns) > 0 {
-			all.Columns = append([]string{"node"}, part.Columns...)
+	for _, t := range memberTables {
+		if len(t.Columns) > 0 {
+			all.Columns = append([]string{"node"}, t.Columns...)
 			break
 		}
 	}
 	for i, m := range members {
-		for _, row := range parts[i].Rows {
+		for _, row := range memberTables[i].Rows {
 			all.Rows = append(all.Rows, append([]string{m.Name}, row...))
 		}
 		if errs[i] != nil {
-			silent := make([]string, len(all.Columns))
-			silent[0] = m.Name
-			if len(silent) > 1 {
-				silent[1] = "(no answer)"
+			noAnswerRow := make([]string, len(all.Columns))
+			noAnswerRow[0] = m.Name
+			if len(noAnswerRow) > 1 {
+				noAnswerRow[1] = "(no answer)"
 			}
-			all.Rows = append(all.Rows, silent)
+			all.Rows = append(all.Rows, noAnswerRow)
 		}
 	}
 	return all, nil
 }
 
-func (s *Service) rowsOf(ctx context.Context, m control.Member, name string) (lang.Table, error) {
+func (s *Service) memberRows(ctx context.Context, m control.Member, name string) (lang.Table, error) {
 	if m.Name == s.Settings.Node.Name {
 		t, _ := s.Local.Rows(name)
 		return t, nil
@@ -177,7 +177,7 @@
 
 func (s *Service) changeTable() lang.Table {
 	t := lang.Table{Columns: []string{"version", "node", "nonce", "command"}}
-	for _, e := range s.Log.Recent(recentChanges) {
+	for _, e := range s.Log.Recent(maxChangeRows) {
 		t.Rows = append(t.Rows, []string{strconv.FormatUint(e.Version, 10), e.Node, e.Nonce, e.Command.String()})
 	}
 	return t
