--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -281,7 +281,7 @@
 	{
 		"suspects: engines", "service/entry/run_suspects.go",
 		"	if s.Empty() {", "	if true || s.Empty() {",
-		scenarios, "TestDeadlyPrompts",
+		scenarios, "TestPromptsThatEndEngines",
 	},
 	{
 		"suspended: nothing is sent on before the node has heard", "service/gateway/suspension.go",
--- a/cmd/drumpath/cmds/check.go
+++ b/cmd/drumpath/cmds/check.go
@@ -8,8 +8,8 @@
 	"github.com/drumpath/drumpath/pkg/config"
 )
 
-const checkHelp = `Checks a settings file and lists every fault with its line, what was
-found and what is wanted. Nothing is started.
+const checkHelp = `Checks a settings file and lists every fault with its line, the value
+found and the value expected. It starts nothing.
 
 Examples:
   drumpath check -c node.json
@@ -38,8 +38,8 @@
 func (c *checkCommand) check() error {
 	if c.Gateway {
 		s, err := config.LoadGateway(c.Config)
-		if off := s.Disabled.Names(); err == nil && c.Strict && len(off) > 0 {
-			return eris.Errorf("%s: without: mechanisms are off: %s", c.Config, strings.Join(off, ", "))
+		if disabled := s.Disabled.Names(); err == nil && c.Strict && len(disabled) > 0 {
+			return eris.Errorf("%s: without: mechanisms are off: %s", c.Config, strings.Join(disabled, ", "))
 		}
 		return err
 	}
--- a/cmd/drumpath/cmds/ctl.go
+++ b/cmd/drumpath/cmds/ctl.go
@@ -14,8 +14,8 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-const ctlHelp = `Carries out statements of the query and command language, given as
-arguments, in a file, or on standard input.
+const ctlHelp = `Runs statements of the query and command language, given as arguments,
+in a file, or on standard input.
 
 Examples:
   drumpath ctl -n 127.0.0.1:9080 "show upstreams where kind = engine"
@@ -54,7 +54,7 @@
 		}
 		c.std.errorf("%v\n", r.Error)
 		if r.Error.Kind == operator.ErrorUnknown {
-			return &exitError{code: ExitUnknown}
+			return &exitError{code: ExitOutcomeUnknown}
 		}
 		return &exitError{code: ExitRefused}
 	}
@@ -93,9 +93,9 @@
 // printTable writes a table in columns.
 func (s stdio) printTable(t lang.Table) {
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, strings.Join(t.Columns, "\t")) // There is nowhere else to say it.
+	_, _ = fmt.Fprintln(w, strings.Join(t.Columns, "\t")) // A failed write can't be reported.
 	for _, row := range t.Rows {
-		_, _ = fmt.Fprintln(w, strings.Join(row, "\t")) // There is nowhere else to say it.
+		_, _ = fmt.Fprintln(w, strings.Join(row, "\t")) // A failed write can't be reported.
 	}
-	_ = w.Flush() // There is nowhere else to say it.
+	_ = w.Flush() // A failed write can't be reported.
 }
--- a/cmd/drumpath/cmds/doc.go
+++ b/cmd/drumpath/cmds/doc.go
@@ -1,2 +1,2 @@
-// Package cmds is the command tree of drumpath.
+// Package cmds has the commands of the drumpath program.
 package cmds
--- a/cmd/drumpath/cmds/dump.go
+++ b/cmd/drumpath/cmds/dump.go
@@ -7,7 +7,7 @@
 )
 
 const dumpHelp = `Shows the state of one process as JSON: members, configuration version,
-directory, links, queues, leases and what is in flight.
+directory, links, queues, leases and requests in flight.
 
 Example: drumpath dump -n 127.0.0.1:9080`
 
--- a/cmd/drumpath/cmds/explain.go
+++ b/cmd/drumpath/cmds/explain.go
@@ -9,20 +9,21 @@
 	"github.com/drumpath/drumpath/pkg/explain"
 )
 
-const explainHelp = `Reads log files of nodes, or standard input, and tells why a request ended
-as it did: its lines in order across nodes, what its nodes believed, and the
-cause in one sentence. Other text may stand before a line's JSON.
+const explainHelp = `Reads log files of nodes, or standard input, and explains why a request
+ended as it did: the last known state of the nodes and replicas that it
+used, its log lines from all nodes in order, and the cause in one sentence.
+Other text may precede the JSON of a line.
 
-Exit codes: 0 the request was answered, 1 the files can't be read, 6 it failed,
-7 no line names it.
+Exit codes: 0 the request was answered, 1 the files can't be read,
+6 the request failed, 7 no line names the request.
 
 Example: drumpath explain 9c41d07be2a35f68 node1.log node2.log`
 
 // Exit codes of explain.
 const (
-	// ExitRequestFailed: the request was not answered in good order.
+	// ExitRequestFailed: the request got no successful answer.
 	ExitRequestFailed = 6
-	// ExitRequestUnknown: no line names the request.
+	// ExitRequestUnknown: no log line names the request.
 	ExitRequestUnknown = 7
 )
 
@@ -45,7 +46,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = f.Close() }() // It was only read.
+		defer func() { _ = f.Close() }() // The file was only read.
 		inputs = append(inputs, f)
 	}
 	r, err := explain.Read(c.Args.ID, inputs...)
@@ -64,7 +65,7 @@
 }
 
 func (c *explainCommand) print(r *explain.Report) {
-	c.std.printf("What its nodes believed:\n")
+	c.std.printf("State before the request:\n")
 	c.printLines(r.Before)
 	c.std.printf("The request %s:\n", r.Request)
 	c.printLines(r.Lines)
--- a/cmd/drumpath/cmds/gateway.go
+++ b/cmd/drumpath/cmds/gateway.go
@@ -14,12 +14,12 @@
 	"github.com/drumpath/drumpath/service/gateway"
 )
 
-const gatewayHelp = `Runs a node on the users' platform: it forwards requests to the replicas
-that the platform lists, by the configuration that the operator keeps in
-the platform's store. It runs until SIGTERM or SIGINT, then serves on
-what still comes and finishes what is in flight.
+const gatewayHelp = `Runs a node on the hosting platform: it forwards requests to the replicas
+that the platform lists, according to the configuration that the operator
+keeps in the platform's store. It runs until SIGTERM or SIGINT. Then it
+still accepts new requests for a while, and finishes those in flight.
 
-The settings file is the one that the platform laid, unless -c names one.
+Without -c it uses the settings file that the platform provides.
 
 Example: drumpath gateway -c settings.json`
 
@@ -32,8 +32,8 @@
 
 // Execute implements flags.Commander.
 func (c *gatewayCommand) Execute([]string) error {
-	in := takeSignals() // First: a signal during the start would end the process.
-	defer in.close()
+	signals := notifySignals() // Must come first: a signal during startup would end the process.
+	defer signals.close()
 	path := c.Config
 	if path == "" {
 		path = platform.SettingsPath()
@@ -49,9 +49,9 @@
 	if err := level.UnmarshalText([]byte(s.Log.Level)); err != nil {
 		return err
 	}
-	lines := events.NewHandler(c.std.out, &level, s.Log.RoutinePerSecond)
-	defer lines.Close(closeLines)
-	log := slog.New(lines)
+	handler := events.NewHandler(c.std.out, &level, s.Log.RoutinePerSecond)
+	defer handler.Close(logFlushTimeout)
+	log := slog.New(handler)
 	g, err := gateway.New(s, gateway.Platform{
 		Store:   platform.NewStore(s.Platform.Store),
 		Engines: platform.NewEngines(),
@@ -62,29 +62,29 @@
 		return err
 	}
 	g.Start()
-	serveUntilStopped(g, path, log, in)
+	serveUntilStopped(g, path, log, signals)
 	g.Drain()
 	g.Close()
 	return nil
 }
 
-// closeLines is for how long the last lines are waited for: the output may take
-// nothing.
-const closeLines = 500 * time.Millisecond
+// logFlushTimeout is how long the gateway waits at exit until its last log lines are
+// written: the output may be blocked.
+const logFlushTimeout = 500 * time.Millisecond
 
-// rereadEvery is how often the settings file is looked at: it may change without
-// a signal.
-const rereadEvery = 5 * time.Second
+// settingsPollInterval is how often the settings file is read again, as it may change
+// without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// gatewaySignals are the signals to a gateway. A signal that finds its channel full
-// is dropped: a stop has a channel of its own, so that a series of reloads can't
-// have it lost while the settings file is slow to read.
+// gatewaySignals receives the signals to a gateway. A signal is dropped if its channel is
+// full, so stop signals have their own: while the settings file is slow to read, reload
+// signals can't fill it.
 type gatewaySignals struct {
 	stop   chan os.Signal
-	reload chan os.Signal // Holds one: it has the newest file read, whatever came.
+	reload chan os.Signal // Holds one signal: any number of them need one reload.
 }
 
-func takeSignals() gatewaySignals {
+func notifySignals() gatewaySignals {
 	s := gatewaySignals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(s.reload, syscall.SIGHUP)
@@ -96,16 +96,16 @@
 	signal.Stop(s.reload)
 }
 
-// serveUntilStopped returns at a signal to stop. Settings that have changed are
-// put in force; if they can't be used, those in force stay.
-func serveUntilStopped(g *gateway.Gateway, path string, log *slog.Logger, in gatewaySignals) {
-	t := time.NewTicker(rereadEvery)
+// serveUntilStopped returns at a stop signal. Until then it applies changed settings; if
+// they are not usable, the current ones stay in force.
+func serveUntilStopped(g *gateway.Gateway, path string, log *slog.Logger, signals gatewaySignals) {
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-in.stop:
+		case <-signals.stop:
 			return
-		case <-in.reload:
+		case <-signals.reload:
 			log.Info("settings reload requested", "file", path)
 		case <-t.C:
 		}
--- a/cmd/drumpath/cmds/gateway_test.go
+++ b/cmd/drumpath/cmds/gateway_test.go
@@ -26,32 +26,29 @@
 	"retry": {"share": %[2]s}
 }`
 
-// Symptom: a node told to stop went on until it was killed, and cut what it served.
-// Sequence: signals to read the settings again came in a series while the file was slow
-// to read; a signal to stop came behind them.
-// Cause: all signals shared a channel of four, and one that finds it full is dropped.
-// What settled it: five signals to reload, not taken yet, and a signal to stop: only
-// those to reload were in the channel.
-func TestSeriesOfReloadsDoesNotHideAStop(t *testing.T) {
-	in := takeSignals()
-	defer in.close()
-	const series = 5
-	for range series {
+// Guards against a stop signal that is lost behind reload signals while the settings file is
+// slow to read: all signals shared a channel of four, and a signal to a full channel is
+// dropped. The node went on until it was killed, which cut off its requests.
+func TestReloadSignalsDoNotDropAStopSignal(t *testing.T) {
+	signals := notifySignals()
+	defer signals.close()
+	const reloads = 5
+	for range reloads {
 		assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-		time.Sleep(10 * time.Millisecond) // The system joins those that come together.
+		time.Sleep(10 * time.Millisecond) // The kernel merges signals that are sent at once.
 	}
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	select {
-	case <-in.stop:
+	case <-signals.stop:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the stop was lost")
 	}
-	assert.Equal(t, len(in.reload), 1)
+	assert.Equal(t, len(signals.reload), 1)
 }
 
-// SIGHUP has the settings read again and ends nothing; only a signal to stop does.
-func TestSignalsOfAGateway(t *testing.T) {
-	ip := fmt.Sprintf("127.%d.201.1", 64+os.Getpid()%128) // No other test's.
+// Guards against SIGHUP ending the gateway instead of reloading its settings.
+func TestOnlyAStopSignalEndsTheGateway(t *testing.T) {
+	ip := fmt.Sprintf("127.%d.201.1", 64+os.Getpid()%128) // Not used by other tests.
 	path := filepath.Join(t.TempDir(), "settings.json")
 	write := func(share string) {
 		assert.NilError(t, os.WriteFile(path, []byte(fmt.Sprintf(gatewaySettings, ip, share)), 0o600))
@@ -70,24 +67,24 @@
 	assert.NilError(t, err)
 	g.Start()
 	write("0.3")
-	in := gatewaySignals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
-	round := func() {
-		in.reload <- syscall.SIGHUP
+	signals := gatewaySignals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+	reloadAndStop := func() {
+		signals.reload <- syscall.SIGHUP
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			serveUntilStopped(g, path, log, in)
+			serveUntilStopped(g, path, log, signals)
 		}()
-		for len(in.reload) > 0 {
+		for len(signals.reload) > 0 {
 			time.Sleep(time.Millisecond)
 		}
-		in.stop <- syscall.SIGTERM
+		signals.stop <- syscall.SIGTERM
 		<-ended
-		assert.Equal(t, len(in.stop), 0, "only the signal to stop has ended it")
+		assert.Equal(t, len(signals.stop), 0, "only the stop signal may end it")
 	}
-	round()
+	reloadAndStop()
 	write("much")
-	round()
+	reloadAndStop()
 	g.Close()
 	text := out.String()
 	assert.Equal(t, strings.Count(text, `msg="settings in force"`), 1)
@@ -95,7 +92,7 @@
 	assert.Equal(t, strings.Count(text, `msg="settings not usable, those in force stay"`), 1)
 }
 
-func TestStrictCheckRefusesMechanismsThatAreOff(t *testing.T) {
+func TestStrictCheckRejectsDisabledMechanisms(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	text := fmt.Sprintf(gatewaySettings, "127.0.0.1", "0.1")
 	text = strings.TrimSuffix(strings.TrimSpace(text), "}") + `, "without": {"saves": true, "held": true}}`
--- a/cmd/drumpath/cmds/load.go
+++ b/cmd/drumpath/cmds/load.go
@@ -11,9 +11,10 @@
 	"github.com/drumpath/drumpath/pkg/load"
 )
 
-const loadHelp = `Puts the load of a profile on a running system, without waiting for
-answers before it sends on, and reports what callers saw. It exits
-non-zero if an answer was lost or wrong.
+const loadHelp = `Sends the load of a profile to a running system and reports latencies and
+errors as callers see them. Requests are sent at the profile's rate, without
+waiting for earlier answers. The exit code is not 0 if an answer was lost or
+wrong.
 
 Examples:
   drumpath load -p _fixtures/corrib.load.json --entry 127.0.0.1:8080
--- a/cmd/drumpath/cmds/remote.go
+++ b/cmd/drumpath/cmds/remote.go
@@ -11,14 +11,14 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// remoteFlags say which node to ask.
+// remoteFlags select the node to call.
 type remoteFlags struct {
 	Node    string        `short:"n" long:"node" value-name:"ADDRESS" required:"true" description:"peer address of any node"`
 	Token   string        `short:"t" long:"token" env:"DRUMPATH_TOKEN" description:"operators' token"`
 	Timeout time.Duration `long:"timeout" default:"40s" description:"how long to wait for an answer"`
 }
 
-// call makes one operator's call to the node.
+// call connects to the node as an operator and makes one call.
 func (f remoteFlags) call(method string, params, result any) (err error) {
 	defer func() { err = eris.Wrapf(err, "node %s", f.Node) }()
 	addr, err := netip.ParseAddrPort(f.Node)
@@ -32,7 +32,7 @@
 		return err
 	}
 	err = conn.Call(ctx, method, params, result)
-	_ = conn.Close() // The answer is there.
+	_ = conn.Close() // The call has ended.
 	return err
 }
 
--- a/cmd/drumpath/cmds/serve.go
+++ b/cmd/drumpath/cmds/serve.go
@@ -12,10 +12,11 @@
 	"github.com/drumpath/drumpath/service/node"
 )
 
-const serveHelp = `Runs a node until SIGTERM or SIGINT, or until the platform's list has
-this VM as leaving. It then announces its stop, serves until no caller
-can still come, finishes what is in flight, and exits. A second signal
-ends it without waiting for requests; claims are still written.
+const serveHelp = `Runs a node until SIGTERM or SIGINT, or until the platform's list marks
+this VM as leaving. The node then announces its stop, keeps serving while
+callers may still have its address, finishes requests in flight, and exits.
+A second signal ends it without waiting for requests; claims are still
+written.
 
 Example: drumpath serve -c node.json`
 
@@ -24,7 +25,8 @@
 	std stdio
 }
 
-const leavingEvery = 500 * time.Millisecond
+// leavingPollInterval is how often the node checks whether its VM is leaving.
+const leavingPollInterval = 500 * time.Millisecond
 
 // Execute implements flags.Commander.
 func (c *serveCommand) Execute([]string) error {
@@ -60,7 +62,7 @@
 
 // waitForStop returns at the first signal, or when the VM is leaving.
 func waitForStop(n *node.Node, signals <-chan os.Signal) {
-	t := time.NewTicker(leavingEvery)
+	t := time.NewTicker(leavingPollInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/cmd/drumpath/cmds/try.go
+++ b/cmd/drumpath/cmds/try.go
@@ -19,10 +19,10 @@
 )
 
 const tryHelp = `Starts a node and small stand-ins of engines, a store and the platform
-in this process, on loopback. It sends a long prompt, has the engines
-forget it, sends it again, and prints for both the time to the first
-token, how much was recomputed, and where the rest came from. It exits
-non-zero if nothing was reused.
+services in this process, on loopback. It sends a long prompt, evicts it
+from the engines, sends it again, and prints for both requests the time to
+the first token, how many tokens were recomputed, and where the others came
+from. The exit code is not 0 if the prompt was not reused.
 
 Example: drumpath try --json`
 
@@ -49,14 +49,14 @@
 }
 
 const (
-	tryOrganisation = "corrib"
-	tryModel        = "m"
-	tryPromptBytes  = 64 << 10
-	tryKeptWait     = 10 * time.Second
-	tryPoll         = 20 * time.Millisecond
-	tryReusedShare  = 0.1
-	// Computing the prompt takes about 1.6 s and importing it 0.4 s, long enough
-	// that what else the machine does hardly matters.
+	tryOrganisation       = "corrib"
+	tryModel              = "m"
+	tryPromptBytes        = 64 << 10
+	tryConditionTimeout   = 10 * time.Second
+	tryPollInterval       = 20 * time.Millisecond
+	tryMaxRecomputedShare = 0.1
+	// At these rates computing the prompt takes about 1.6 s and importing it 0.4 s, long
+	// enough that other load on the machine hardly matters.
 	tryPrefillRate = 10_000
 	tryLinkRate    = 40e6
 )
@@ -76,7 +76,7 @@
 		report.First.print(c.std, "first")
 		report.Returning.print(c.std, "returning")
 	}
-	if float64(report.Returning.RecomputedTokens) >= tryReusedShare*float64(report.First.RecomputedTokens) {
+	if float64(report.Returning.RecomputedTokens) >= tryMaxRecomputedShare*float64(report.First.RecomputedTokens) {
 		c.std.errorf("the returning prompt was not reused\n")
 		return &exitError{code: ExitFailed}
 	}
@@ -111,7 +111,7 @@
 	defer n.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if err := setUp(ctx, n, site.Setup(tryModel, site.Engines[0].Stats().State.Weights, tryOrganisation)); err != nil {
+	if err := runStatements(ctx, n, site.Setup(tryModel, site.Engines[0].Stats().State.Weights, tryOrganisation)); err != nil {
 		return report, err
 	}
 	n.Loads.Poll(ctx)
@@ -119,21 +119,21 @@
 	if report.First, err = tryOnce(ctx, n.Entry.Addr(), text); err != nil {
 		return report, err
 	}
-	if err := waitKept(ctx, site); err != nil {
+	if err := waitSaved(ctx, site); err != nil {
 		return report, err
 	}
 	for _, e := range site.Engines {
 		e.Evict()
 	}
-	if err := waitForgotten(ctx, n); err != nil {
+	if err := waitEvicted(ctx, n); err != nil {
 		return report, err
 	}
 	report.Returning, err = tryOnce(ctx, n.Entry.Addr(), text)
 	return report, err
 }
 
-// setUp carries out a script on a node of this process.
-func setUp(ctx context.Context, n *node.Node, script string) error {
+// runStatements runs a script of statements on a node of this process.
+func runStatements(ctx context.Context, n *node.Node, script string) error {
 	a, err := n.Operator.Run(ctx, operator.RunRequest{Text: script})
 	if err != nil {
 		return err
@@ -146,18 +146,18 @@
 	return nil
 }
 
-// waitKept waits until a store has the prompt.
-func waitKept(ctx context.Context, site *standin.Site) error {
-	ctx, cancel := context.WithTimeout(ctx, tryKeptWait)
+// waitSaved waits until the store has the prompt.
+func waitSaved(ctx context.Context, site *standin.Site) error {
+	ctx, cancel := context.WithTimeout(ctx, tryConditionTimeout)
 	defer cancel()
-	return poll(ctx, "the prompt was not kept", func() bool { return site.Stores[0].Stats().Objects > 0 })
+	return poll(ctx, "the prompt was not saved to the store", func() bool { return site.Stores[0].Stats().Objects > 0 })
 }
 
-// waitForgotten waits until the node has heard that the engines hold nothing.
-func waitForgotten(ctx context.Context, n *node.Node) error {
-	ctx, cancel := context.WithTimeout(ctx, tryKeptWait)
+// waitEvicted waits until the node knows that the engines have evicted the prompt.
+func waitEvicted(ctx context.Context, n *node.Node) error {
+	ctx, cancel := context.WithTimeout(ctx, tryConditionTimeout)
 	defer cancel()
-	return poll(ctx, "the engines did not forget", func() bool {
+	return poll(ctx, "the node did not see the engines evict the prompt", func() bool {
 		for _, w := range n.Watches.Status() {
 			if w.Kind == "engine" && w.Entries > 0 {
 				return false
@@ -167,18 +167,19 @@
 	})
 }
 
+// poll waits until cond is true and fails with a message when ctx ends.
 func poll(ctx context.Context, failure string, cond func() bool) error {
 	for !cond() {
 		select {
 		case <-ctx.Done():
 			return eris.New(failure)
-		case <-time.After(tryPoll):
+		case <-time.After(tryPollInterval):
 		}
 	}
 	return nil
 }
 
-// tryOnce sends the prompt as a caller would, and verifies the answer.
+// tryOnce sends the prompt to the entry like a caller, and verifies the answer.
 func tryOnce(ctx context.Context, entry netip.AddrPort, text string) (r tryRun, err error) {
 	const tokens = 16
 	body, err := json.Marshal(map[string]any{"model": tryModel, "prompt": text, "max_tokens": tokens, "stream": true})
--- a/cmd/drumpath/main.go
+++ b/cmd/drumpath/main.go
@@ -1,5 +1,5 @@
-// Command drumpath routes prompts that return after long gaps to model engines
-// and to the state that was kept for them.
+// Command drumpath routes LLM prompts to engines. A prompt that is repeated after a long
+// time runs where its KV cache still is, or imports it from a store.
 package main
 
 import (
--- a/cmd/drumpath/main_test.go
+++ b/cmd/drumpath/main_test.go
@@ -21,8 +21,8 @@
 
 func TestScenarios(t *testing.T) { runScripts(t, "testdata") }
 
-// Prompts under which engines end.
-func TestDeadlyPrompts(t *testing.T) { runScripts(t, "testdata/deadly") }
+// These scenarios send prompts that end each engine that runs them.
+func TestPromptsThatEndEngines(t *testing.T) { runScripts(t, "testdata/ends_engines") }
 
 func runScripts(t *testing.T, dir string) {
 	testscript.Run(t, testscript.Params{
@@ -54,15 +54,16 @@
 	})
 }
 
-// countRuns adds up the runs of what contains a text.
+// countRuns adds up the runs of the requests that contain a text. It returns -1 if body is
+// not valid.
 func countRuns(body []byte, text string) int {
 	var runs map[string]int
 	if err := json.Unmarshal(body, &runs); err != nil {
 		return -1
 	}
 	n := 0
-	for what, times := range runs {
-		if strings.Contains(what, text) {
+	for request, times := range runs {
+		if strings.Contains(request, text) {
 			n += times
 		}
 	}
--- a/cmd/drumpath/scenario_test.go
+++ b/cmd/drumpath/scenario_test.go
@@ -19,26 +19,26 @@
 	"github.com/drumpath/drumpath/internal/standin"
 )
 
-// eventually is how long scenarios wait for a condition, far longer than it
-// should take, so that a slow machine gives the same verdict.
-const eventually = 60 * time.Second
+// awaitTimeout is how long scenarios wait for a condition. It is far longer than a
+// condition should take, so that a slow machine gets the same result.
+const awaitTimeout = 60 * time.Second
 
-// scenario is what one script has started.
+// scenario is the state of one script.
 type scenario struct {
-	mu      sync.Mutex
-	procs   map[string]*exec.Cmd
-	ended   map[string]chan struct{}
-	answers map[string]chan string
-	setup   string // Statements that tell drumpath of the site.
-	engines int
+	mu         sync.Mutex
+	procs      map[string]*exec.Cmd
+	ended      map[string]chan struct{}
+	answers    map[string]chan string
+	statements string // Configures the model and the upstreams.
+	engines    int
 }
 
 func newScenario() *scenario {
 	return &scenario{
-		procs:   map[string]*exec.Cmd{},
-		ended:   map[string]chan struct{}{},
-		answers: map[string]chan string{},
-		setup:   "create model m with weights w1;\n",
+		procs:      map[string]*exec.Cmd{},
+		ended:      map[string]chan struct{}{},
+		answers:    map[string]chan string{},
+		statements: "create model m with weights w1;\n",
 	}
 }
 
@@ -48,7 +48,7 @@
 	return ts.Value(scenarioKey{}).(*scenario)
 }
 
-// start runs a process in the background; the script's end kills it.
+// start runs a process in the background and kills it when the script ends.
 func (s *scenario) start(ts *testscript.TestScript, name string, args ...string) {
 	path := filepath.Join(strings.Split(ts.Getenv("PATH"), string(os.PathListSeparator))[0], args[0])
 	cmd := exec.Command(path, args[1:]...)
@@ -74,7 +74,7 @@
 	})
 }
 
-// cmdSite starts the platform's stand-ins.
+// cmdSite starts the stand-ins of the platform services.
 func cmdSite(ts *testscript.TestScript, _ bool, _ []string) {
 	s := scenarioOf(ts)
 	for _, kind := range []string{"table", "objects", "vms"} {
@@ -85,8 +85,8 @@
 	}
 }
 
-// cmdUpstream starts an upstream: upstream KIND NAME [JSON] [FIELDS]. Its
-// address is in the variable of its name.
+// cmdUpstream starts an upstream: upstream KIND NAME [JSON] [FIELDS]. It sets the
+// variable NAME to the upstream's address.
 func cmdUpstream(ts *testscript.TestScript, _ bool, args []string) {
 	s := scenarioOf(ts)
 	kind, name := args[0], args[1]
@@ -108,11 +108,11 @@
 	case "service":
 		fields += ", path pickups"
 	}
-	s.setup += fmt.Sprintf("create upstream %s with kind %s, data_hall north, address '%s'%s;\n", name, kind, addr, fields)
+	s.statements += fmt.Sprintf("create upstream %s with kind %s, data_hall north, address '%s'%s;\n", name, kind, addr, fields)
 }
 
-// cmdNodes starts nodes vm-1 to vm-N and waits until all know each other. Their
-// addresses are in ENTRYn and PEERn.
+// cmdNodes starts nodes and waits until all know each other: nodes NAME... It sets the
+// variables ENTRYn and PEERn to their addresses.
 func cmdNodes(ts *testscript.TestScript, _ bool, args []string) {
 	s := scenarioOf(ts)
 	n := len(args)
@@ -155,7 +155,8 @@
 	ts.Check(os.WriteFile(ts.MkAbs(name+".json"), []byte(text), 0o600))
 }
 
-// maxAge is how long callers keep an answer of /v1/entries: MAXAGE, or a second.
+// maxAge is how long callers may cache an answer of /v1/entries: the variable MAXAGE, or
+// one second.
 func maxAge(ts *testscript.TestScript) string {
 	if age := ts.Getenv("MAXAGE"); age != "" {
 		return age
@@ -163,11 +164,11 @@
 	return "1s"
 }
 
-// cmdSetup tells drumpath of the site, with organisations, through node 1, and
-// waits until each node sees the engines' loads.
+// cmdSetup configures the model, the upstreams and organisations through node 1, and waits
+// until each node has the loads of all engines: setup ORGANISATION...
 func cmdSetup(ts *testscript.TestScript, _ bool, args []string) {
 	s := scenarioOf(ts)
-	text := s.setup
+	text := s.statements
 	for _, o := range args {
 		text += fmt.Sprintf("create organisation %s with key 'key-%s';\n", o, o)
 	}
@@ -205,12 +206,12 @@
 	}
 }
 
-// cmdEnded waits until a process has ended by itself, with exit code 0.
+// cmdEnded waits until a process has ended with exit code 0: ended NAME.
 func cmdEnded(ts *testscript.TestScript, _ bool, args []string) {
 	s := scenarioOf(ts)
 	select {
 	case <-s.ended[args[0]]:
-	case <-time.After(eventually):
+	case <-time.After(awaitTimeout):
 		ts.Fatalf("%s has not ended", args[0])
 	}
 	if code := s.procs[args[0]].ProcessState.ExitCode(); code != 0 {
@@ -218,8 +219,8 @@
 	}
 }
 
-// cmdAwait repeats a command until its output has a text: await TEXT CMD ARGS.
-// With ! it waits until the output no longer has it.
+// cmdAwait repeats a command until its output contains a text: await TEXT CMD ARGS.
+// With ! it waits until the output no longer contains it.
 func cmdAwait(ts *testscript.TestScript, neg bool, args []string) {
 	await(ts, args[0], func() (string, bool) {
 		err := ts.Exec(args[1], args[2:]...)
@@ -228,18 +229,20 @@
 	})
 }
 
+// await waits until cond is true; cond also returns the output to show on a timeout.
 func await(ts *testscript.TestScript, what string, cond func() (string, bool)) {
 	var out string
-	for end := time.Now().Add(eventually); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		var ok bool
 		if out, ok = cond(); ok {
 			return
 		}
 	}
-	ts.Fatalf("never came true: %s; last output:\n%s", what, out)
+	ts.Fatalf("timed out waiting for: %s; last output:\n%s", what, out)
 }
 
-// cmdAwaitGet waits until a URL's body has a text: await-get TEXT URL.
+// cmdAwaitGet waits until a URL's body contains a text, or with ! no longer contains it:
+// await-get TEXT URL.
 func cmdAwaitGet(ts *testscript.TestScript, neg bool, args []string) {
 	await(ts, args[0], func() (string, bool) {
 		req, err := http.NewRequest(http.MethodGet, "http://"+args[1], nil)
@@ -255,8 +258,8 @@
 	})
 }
 
-// cmdExplained waits until the explanation of where a prompt would go has a
-// text, or with ! no longer has it: explained TEXT ORGANISATION FILE.
+// cmdExplained waits until the output of an explain statement for a prompt contains a text,
+// or with ! no longer contains it: explained TEXT ORGANISATION FILE.
 func cmdExplained(ts *testscript.TestScript, neg bool, args []string) {
 	text := strings.ReplaceAll(ts.ReadFile(args[2]), "'", "''")
 	await(ts, args[0], func() (string, bool) {
@@ -267,7 +270,7 @@
 
 // cmdRequest sends a request and writes its status, headers and body to the
 // file "answer": request [-bg NAME] ENTRY ORGANISATION PATH BODY [HEADER=VALUE...].
-// A BODY that starts with @ is a prompt file of a completion.
+// A BODY of the form @FILE requests a completion of the prompt in the file.
 func cmdRequest(ts *testscript.TestScript, _ bool, args []string) {
 	background := ""
 	if args[0] == "-bg" {
@@ -293,7 +296,7 @@
 	go func() { done <- send(req) }()
 }
 
-// send makes a request and describes the answer.
+// send sends a request and returns the answer as text.
 func send(req *http.Request) string {
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -313,17 +316,18 @@
 	ts.Check(os.WriteFile(ts.MkAbs("answer"), []byte(text), 0o600))
 }
 
-// cmdAnswer waits for a request that was sent in the background: answer NAME.
+// cmdAnswer waits for the answer of a request that was sent in the background and writes
+// it to the file "answer": answer NAME.
 func cmdAnswer(ts *testscript.TestScript, _ bool, args []string) {
 	select {
 	case text := <-scenarioOf(ts).answers[args[0]]:
 		writeAnswer(ts, text)
-	case <-time.After(eventually):
+	case <-time.After(awaitTimeout):
 		ts.Fatalf("no answer to %s", args[0])
 	}
 }
 
-// cmdFault switches a stand-in's faults: fault ADDRESS JSON.
+// cmdFault sets the faults of a stand-in: fault ADDRESS JSON.
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
 	resp, err := http.Post("http://"+args[0]+"/fault", "application/json", strings.NewReader(args[1]))
 	ts.Check(err)
@@ -333,20 +337,20 @@
 	}
 }
 
-// cmdRuns checks how often an upstream has run what contains a text: runs
+// cmdRuns checks how often an upstream has run requests that contain a text: runs
 // ADDRESS TEXT N.
 func cmdRuns(ts *testscript.TestScript, _ bool, args []string) {
-	if body, ok := ran(ts, args); !ok {
+	if body, ok := runsMatch(ts, args); !ok {
 		ts.Fatalf("%s did not run %s times: %s", args[1], args[2], body)
 	}
 }
 
 // cmdAwaitRuns waits until cmdRuns would pass.
 func cmdAwaitRuns(ts *testscript.TestScript, _ bool, args []string) {
-	await(ts, args[1]+" runs", func() (string, bool) { return ran(ts, args) })
+	await(ts, args[1]+" runs", func() (string, bool) { return runsMatch(ts, args) })
 }
 
-func ran(ts *testscript.TestScript, args []string) (body string, ok bool) {
+func runsMatch(ts *testscript.TestScript, args []string) (body string, ok bool) {
 	resp, err := http.Get("http://" + args[0] + "/runs")
 	ts.Check(err)
 	text, err := io.ReadAll(resp.Body)
@@ -355,7 +359,7 @@
 	return string(text), fmt.Sprint(countRuns(text, args[1])) == args[2]
 }
 
-// cmdPut puts a body to a URL: put URL BODY.
+// cmdPut sends a PUT request: put URL BODY.
 func cmdPut(ts *testscript.TestScript, _ bool, args []string) {
 	req, err := http.NewRequest(http.MethodPut, "http://"+args[0], strings.NewReader(args[1]))
 	ts.Check(err)
@@ -364,7 +368,7 @@
 	ts.Check(resp.Body.Close())
 }
 
-// cmdLong writes a file of a long text: long FILE WORD BYTES.
+// cmdLong writes a long text to a file: long FILE WORD BYTES.
 func cmdLong(ts *testscript.TestScript, _ bool, args []string) {
 	var n int
 	_, err := fmt.Sscan(args[2], &n)
