--- a/cmd/drumpath/scenario_test.go
+++ b/cmd/drumpath/scenario_test.go
@@ -350,6 +350,8 @@
 	await(ts, args[1]+" runs", func() (string, bool) { return runsMatch(ts, args) })
 }
 
+// runsMatch says whether an upstream has run requests that contain a text N times; args are
+// those of cmdRuns. It also returns all runs, as JSON.
 func runsMatch(ts *testscript.TestScript, args []string) (body string, ok bool) {
 	resp, err := http.Get("http://" + args[0] + "/runs")
 	ts.Check(err)
--- a/service/operator/service.go
+++ b/service/operator/service.go
@@ -24,7 +24,7 @@
 	Lookup(ctx context.Context, marks []prompt.Mark) prompt.Match
 }
 
-// configLog is the configuration log.
+// configLog has the configuration and its latest changes, and proposes new ones.
 type configLog interface {
 	State() *config.State
 	Propose(ctx context.Context, cmd config.Command, ifVersion uint64) (uint64, error)
--- a/service/peer/server.go
+++ b/service/peer/server.go
@@ -299,7 +299,7 @@
 }
 
 // reply sends an answer. A large one is announced first: encoding it takes long on a busy
-// machine, and without a sign of life the caller would give up and ask again.
+// machine, and a caller that receives nothing meanwhile would give up and ask again.
 func reply(ctx context.Context, c *jsonrpc2.Conn, id jsonrpc2.ID, result any) {
 	raw, encoded := result.(json.RawMessage)
 	if !encoded {
