--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	if err := n.store.Announce(ctx, site.TableNodes, n.self.Name, body); err != nil {
+	if err := n.store.PutUnconditionally(ctx, site.TableNodes, n.self.Name, body); err != nil {
 		return err
 	}
 	n.mu.Lock()
--- a/service/gateway/platform.go
+++ b/service/gateway/platform.go
@@ -18,8 +18,8 @@
 	// Put writes a row if it has the expected version; otherwise the error wraps
 	// site.ErrConflict.
 	Put(ctx context.Context, t site.Table, key string, value []byte, expected int64) (site.Listing, error)
-	// Announce writes a row whatever its version.
-	Announce(ctx context.Context, t site.Table, key string, value []byte) error
+	// PutUnconditionally writes a row whatever its version.
+	PutUnconditionally(ctx context.Context, t site.Table, key string, value []byte) error
 	// LastLargeResponse returns when a large response last began to arrive, zero if none
 	// has.
 	LastLargeResponse() time.Time
--- a/service/gateway/readers_test.go
+++ b/service/gateway/readers_test.go
@@ -73,9 +73,11 @@
 func (s *fakeTableStore) Put(context.Context, site.Table, string, []byte, int64) (site.Listing, error) {
 	return site.Listing{}, nil
 }
-func (s *fakeTableStore) Announce(context.Context, site.Table, string, []byte) error { return nil }
-func (s *fakeTableStore) LastLargeResponse() time.Time                               { return time.Time{} }
-func (s *fakeTableStore) Close()                                                     {}
+func (s *fakeTableStore) PutUnconditionally(context.Context, site.Table, string, []byte) error {
+	return nil
+}
+func (s *fakeTableStore) LastLargeResponse() time.Time { return time.Time{} }
+func (s *fakeTableStore) Close()                       {}
 
 func (s *fakeTableStore) count() int {
 	s.mu.Lock()
