--- a/service/gateway/exchange_needs.go
+++ b/service/gateway/exchange_needs.go
@@ -31,7 +31,7 @@
 		timeout = t
 	}
 	x.deadline = x.receivedAt.Add(timeout)
-	x.service = snapshot.Services[x.route.ServiceAt(xxhash.Sum64String(x.info.ID))]
+	x.service = snapshot.Services[x.route.ServiceByHash(xxhash.Sum64String(x.info.ID))]
 	if x.service == nil {
 		return retryLater(reasonNoReplica, noReplicaRetryAfter), false
 	}
@@ -117,7 +117,7 @@
 	if age > newWeightsPeriod {
 		x.pickInput.StalenessWeight = 1
 	}
-	orderWindow := x.g.conf().Orders.Within.Std() - orderWindowMargin
+	orderWindow := x.g.conf().Orders.MaxRolloutTime.Std() - orderWindowMargin
 	x.pickInput.MinVersion = x.g.siteState.WeightsBefore(x.pickInput.Model, now.Add(-orderWindow))
 }
 
