--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -231,7 +231,7 @@
 	{
 		"suspects: a node that starts waits for what is blocked", "service/gateway/exchange_suspects.go",
 		"	x.g.suspects.WaitLearned(ctx)\n", "",
-		"./internal/standin/onplatform", "TestNodeThatStartsWaitsForWhatIsBlocked",
+		"./internal/standin/onplatform", "TestStartingNodeWaitsForListOfBlockedRequests",
 	},
 	{
 		"suspects: only who knows tells a node that starts", "service/suspects/news.go",
@@ -276,7 +276,7 @@
 	{
 		"suspects: a block is kept", "service/suspects/kept.go",
 		"	if s.store == nil || s.register.Empty()", "	if true || s.register.Empty()",
-		"./internal/standin/onplatform", "TestNodeThatStartsKnowsWhatReplicasEndedUnder",
+		"./internal/standin/onplatform", "TestRestartedNodesStillBlockRequestThatEndsReplicas",
 	},
 	{
 		"suspects: engines", "service/entry/run_suspects.go",
@@ -291,7 +291,7 @@
 	{
 		"suspended: what is over is not sent again", "service/gateway/exchange.go",
 		"	x.g.checkSuspension()\n	if !x.g.synced() || boottime.Until(x.deadline) < minTimeLeft {", "	if boottime.Until(x.deadline) < minTimeLeft {",
-		"./internal/standin/onplatform", "TestRequestWhoseTimePassedWhileSuspendedIsNotSentAgain",
+		"./internal/standin/onplatform", "TestRequestExpiredDuringSuspensionIsNotRetried",
 	},
 	{
 		"suspended: leases", "pkg/rollout/lease.go",
@@ -316,7 +316,7 @@
 	{
 		"limits: an end is heard of", "service/ratelimit/limits.go",
 		"	if l.note(u, end, now) == quota.ChangeEnded {", "	if false && l.note(u, end, now) == quota.ChangeEnded {",
-		"./internal/standin/onplatform", "TestLimitHoldsForAsLongAsItIsNamed",
+		"./internal/standin/onplatform", "TestRateLimitFollowsLatestHeader",
 	},
 	{
 		"limits: what was left unused is not given out later", "pkg/quota/ledger.go",
@@ -346,7 +346,7 @@
 	{
 		"backoff: it is kept", "pkg/route/exclusion.go",
 		"		m.backoffUntil = until\n", "		_ = m\n",
-		"./internal/standin/onplatform", "TestReplicaThatAsksForBackoffGetsNoMoreOfThatNode",
+		"./internal/standin/onplatform", "TestNodeStopsSendingToReplicaThatAsksForBackoff",
 	},
 	{
 		"backoff: it outlasts its row", "pkg/route/pool.go",
@@ -361,6 +361,6 @@
 	{
 		"backoff: orders wait", "service/gateway/rollout_fleet.go",
 		"	return now.Sub(since) < s.within/2\n", "	_ = since\n	return false\n",
-		"./internal/standin/onplatform", "TestOrderOfWeightsWaitsForABackoff",
+		"./internal/standin/onplatform", "TestWeightsOrderWaitsForBackoff",
 	},
 }
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -76,5 +76,5 @@
 		s.gone = append(s.gone, r)
 	}
 	s.mu.Unlock()
-	s.store.Drop(onplatform.TableUpstreams, r.ID)
+	s.store.Delete(onplatform.TableUpstreams, r.ID)
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -38,7 +38,7 @@
 	{"store refuses", storeMode(onplatform.ModeRefusing)},
 	{"store silent", storeMode(onplatform.ModeSilent)},
 	{"store behind", storeMode(onplatform.ModeStale)},
-	{"store forgets", func(s *soak, _ *rand.Rand, _ time.Duration) { s.store.Forget() }},
+	{"store forgets", func(s *soak, _ *rand.Rand, _ time.Duration) { s.store.TruncateHistory() }},
 	{"store cut", (*soak).cutStore},
 	{"store resets", func(s *soak, rng *rand.Rand, _ time.Duration) { s.anyNode(rng).store.Reset() }},
 	{"store connections silent", func(s *soak, rng *rand.Rand, _ time.Duration) { silence(rng, s.anyNode(rng).store) }},
@@ -182,7 +182,7 @@
 	if old := s.swapReplica(rng); old != nil {
 		s.list(old, "draining")
 		time.Sleep(drainTime)
-		s.store.Drop(onplatform.TableUpstreams, old.ID)
+		s.store.Delete(onplatform.TableUpstreams, old.ID)
 		s.retire(old)
 	}
 }
@@ -192,7 +192,7 @@
 	if old := s.swapReplica(rng); old != nil {
 		old.proxy.Close()
 		time.Sleep(d)
-		s.store.Drop(onplatform.TableUpstreams, old.ID)
+		s.store.Delete(onplatform.TableUpstreams, old.ID)
 		s.retire(old)
 	}
 }
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -65,7 +65,7 @@
 	way := r.way.Load()
 	w = fieldWriter{w, r.hear(q, way == replicaRefuses)}
 	if way == replicaRefuses {
-		return onplatform.NotRun(503)(w, q)
+		return onplatform.NotExecuted(503)(w, q)
 	}
 	if strings.HasPrefix(q.Body, deadlyBody) {
 		time.Sleep(workTime)
--- a/internal/soak/told.go
+++ b/internal/soak/told.go
@@ -110,7 +110,7 @@
 	if old := s.swapReplica(rng); old != nil {
 		old.drains.Store(true)
 		time.Sleep(quietDrain)
-		s.store.Drop(onplatform.TableUpstreams, old.ID)
+		s.store.Delete(onplatform.TableUpstreams, old.ID)
 		s.retire(old)
 	}
 }
--- a/internal/standin/onplatform/configuration.go
+++ b/internal/standin/onplatform/configuration.go
@@ -43,8 +43,8 @@
 	MaxConns   int    `json:"max_conns"`
 }
 
-// configurationServices is how many services the routes of a Configuration share.
-const configurationServices = 12
+// serviceCount is how many services the routes of a Configuration share.
+const serviceCount = 12
 
 // NewConfiguration makes up a configuration with so many routes on so many hosts.
 // One with more routes begins with the same ones, as when routes are added.
@@ -54,27 +54,27 @@
 		Version: version,
 		Limits:  map[string]int{"max_header_bytes": 16384, "max_body_bytes": 4194304, "header_timeout_ms": 3000, "idle_timeout_ms": 15000},
 	}
-	for range configurationServices {
-		c.Services = append(c.Services, Service{Name: madeUp(r), HealthPath: "/healthz", MaxConns: 360})
+	for range serviceCount {
+		c.Services = append(c.Services, Service{Name: randomName(r), HealthPath: "/healthz", MaxConns: 360})
 	}
 	names := make([]string, hosts)
 	for i := range names {
-		names[i] = madeUp(r) + ".example"
+		names[i] = randomName(r) + ".example"
 	}
 	for range routes {
-		c.Routes = append(c.Routes, c.route(r, names[r.IntN(hosts)]))
+		c.Routes = append(c.Routes, c.randomRoute(r, names[r.IntN(hosts)]))
 	}
 	return c
 }
 
-func (c *Configuration) route(r *rand.Rand, host string) Route {
+func (c *Configuration) randomRoute(r *rand.Rand, host string) Route {
 	service := func() string { return c.Services[r.IntN(len(c.Services))].Name }
 	kinds := []string{"idempotent", "non_idempotent", "streaming"}
 	weight := 50 + r.IntN(50)
 	return Route{
-		Name:        madeUp(r),
+		Name:        randomName(r),
 		Host:        host,
-		Prefix:      "/" + madeUp(r) + "/" + madeUp(r) + "/",
+		Prefix:      "/" + randomName(r) + "/" + randomName(r) + "/",
 		Kind:        kinds[r.IntN(len(kinds))],
 		Timeout:     1000 + 500*r.IntN(20),
 		Target:      100 + 50*r.IntN(20),
@@ -86,8 +86,8 @@
 	}
 }
 
-// madeUp is a random name of two syllables and a number, as the platform's are.
-func madeUp(r *rand.Rand) string {
+// randomName is a random name of two syllables and a number, as the platform's are.
+func randomName(r *rand.Rand) string {
 	const consonants, vowels = "bcdfghjklmnpqrstvwxyz", "aeiou"
 	syllable := func() string {
 		return string([]byte{consonants[r.IntN(len(consonants))], vowels[r.IntN(len(vowels))]})
--- a/internal/standin/onplatform/drain_backoff_test.go
+++ b/internal/standin/onplatform/drain_backoff_test.go
@@ -14,81 +14,81 @@
 )
 
 const (
-	// drainTime is for how long after an answer that says that its replica drains requests
+	// drainDelay is for how long after an answer that says that its replica drains requests
 	// that came meanwhile may still reach it.
-	drainTime = 2 * time.Second
-	// backoffAfter is after how long a replica that asked for backoff gets no more than
+	drainDelay = 2 * time.Second
+	// backoffDelay is after how long a replica that asked for backoff gets no more than
 	// allowedInBackoff requests until its end.
-	backoffAfter     = 500 * time.Millisecond
-	allowedInBackoff = 2
+	backoffDelay = 500 * time.Millisecond
+	maxInBackoff = 2
 )
 
 // arrival is one request at a replica.
 type arrival struct {
-	node string
-	sent time.Time // By the client.
-	at   time.Time
+	node   string
+	sentAt time.Time // By the client.
+	at     time.Time
 }
 
-// backoffAsked is one answer that asks a node for backoff.
-type backoffAsked struct {
+// backoffRequest is one answer that asks a node for backoff.
+type backoffRequest struct {
 	node  string
 	from  time.Time
 	until time.Time
 }
 
-// speakingReplica says in its answers that it drains, or turns requests away and asks for backoff.
-type speakingReplica struct {
+// signallingReplica says in its answers that it drains, or turns requests away and asks for backoff.
+type signallingReplica struct {
 	*onplatform.Replica
 
-	mu       sync.Mutex
-	draining bool
-	value    string        // Of the backoff that is asked for, "" for none.
-	backoff  time.Duration // What it means.
-	told     map[string]time.Time
-	asked    []backoffAsked
-	came     []arrival
+	mu              sync.Mutex
+	draining        bool
+	retryAfter      string        // Of the backoff that is asked for, "" for none.
+	backoff         time.Duration // What it means.
+	firstTold       map[string]time.Time
+	backoffRequests []backoffRequest
+	arrived         []arrival
 }
 
-func (s *site) speaking(service, id string) *speakingReplica {
-	r := &speakingReplica{Replica: s.newReplica(id), told: map[string]time.Time{}}
+func (s *site) startSignallingReplica(service, id string) *signallingReplica {
+	r := &signallingReplica{Replica: s.newReplica(id), firstTold: map[string]time.Time{}}
 	r.Script(r.answer)
-	s.list(service, r.Replica, "ready", 1)
+	s.listReplica(service, r.Replica, "ready", 1)
 	return r
 }
 
-// drain has it say that it drains.
-func (r *speakingReplica) drain() {
+// startDraining has it say that it drains.
+func (r *signallingReplica) startDraining() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.draining = true
 }
 
-// backOff has it turn everything away and ask for backoff; with "" it serves again.
-func (r *speakingReplica) backOff(value string, d time.Duration) {
+// setBackoff has it turn everything away and ask for backoff; with "" it serves again.
+func (r *signallingReplica) setBackoff(value string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.value, r.backoff = value, d
+	r.retryAfter, r.backoff = value, d
 }
 
-func (r *speakingReplica) answer(w io.Writer, in *onplatform.Request) bool {
+func (r *signallingReplica) answer(w io.Writer, in *onplatform.Request) bool {
 	sent, err := strconv.ParseInt(in.Header.Get("X-Sent"), 10, 64)
 	if err != nil {
 		return false
 	}
 	node, now := in.Header.Get("X-Node"), time.Now()
 	r.mu.Lock()
-	r.came = append(r.came, arrival{node: node, sent: time.Unix(0, sent), at: now})
+	r.arrived = append(r.arrived, arrival{node: node, sentAt: time.Unix(0, sent), at: now})
 	fields, status, body := "Server-Stamp: s\r\n", 200, "from "+r.ID
 	if r.draining {
 		fields += "Server-Leaving: 1\r\n"
-		if r.told[node].IsZero() {
-			r.told[node] = now
+		if r.firstTold[node].IsZero() {
+			r.firstTold[node] = now
 		}
 	}
-	if r.value != "" {
-		fields, status, body = "Not-Executed: 1\r\nRetry-After: "+r.value+"\r\n", 503, ""
-		r.asked = append(r.asked, backoffAsked{node: node, from: now, until: now.Add(r.backoff)})
+	if r.retryAfter != "" {
+		fields, status, body = "Not-Executed: 1\r\nRetry-After: "+r.retryAfter+"\r\n", 503, ""
+		r.backoffRequests = append(r.backoffRequests, backoffRequest{node: node, from: now, until: now.Add(r.backoff)})
 	}
 	r.mu.Unlock()
 	time.Sleep(2 * time.Millisecond)
@@ -96,12 +96,12 @@
 	return err == nil
 }
 
-// lateToDrain counts the requests that clients sent a node too late for them to reach it.
-func (r *speakingReplica) lateToDrain() (n int) {
+// sentTooLate counts the requests that clients sent a node too late for them to reach it.
+func (r *signallingReplica) sentTooLate() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, a := range r.came {
-		if told := r.told[a.node]; !told.IsZero() && a.sent.Sub(told) > drainTime {
+	for _, a := range r.arrived {
+		if told := r.firstTold[a.node]; !told.IsZero() && a.sentAt.Sub(told) > drainDelay {
 			n++
 		}
 	}
@@ -109,114 +109,114 @@
 }
 
 // mostInBackoff is how many requests of one node came within one backoff at most.
-func (r *speakingReplica) mostInBackoff() (most int) {
+func (r *signallingReplica) maxDuringBackoff() (highest int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range r.asked {
+	for _, b := range r.backoffRequests {
 		n := 0
-		for _, a := range r.came {
-			if a.node == b.node && a.at.Sub(b.from) >= backoffAfter && a.at.Before(b.until) {
+		for _, a := range r.arrived {
+			if a.node == b.node && a.at.Sub(b.from) >= backoffDelay && a.at.Before(b.until) {
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-func (r *speakingReplica) arrivals() int {
+func (r *signallingReplica) arrivalCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.came)
+	return len(r.arrived)
 }
 
-// sentBy is the text of a request that names its node and when it is sent.
-func sentBy(method, target string) func(node string) string {
+// stampedRequest is the text of a request that names its node and when it is sent.
+func stampedRequest(method, target string) func(node string) string {
 	return func(node string) string {
 		return request(method, target, "", "X-Node: "+node, fmt.Sprintf("X-Sent: %d", time.Now().UnixNano()))
 	}
 }
 
-// promptBy is the same of a prompt; all share a prefix.
-func promptBy(node string) string {
+// stampedPrompt is the same of a prompt; all share a prefix.
+func stampedPrompt(node string) string {
 	return request("POST", "/prompt/x", "text", "X-Node: "+node, fmt.Sprintf("X-Sent: %d", time.Now().UnixNano()),
-		"Model: "+model, "Token-Usage: 900,10", fmt.Sprintf("Prefix-Hash: aa:500,b0:300,%x:100", requests.Add(1)))
+		"Model: "+model, "Token-Usage: 900,10", fmt.Sprintf("Prefix-Hash: aa:500,b0:300,%x:100", requestCount.Add(1)))
 }
 
-// loadEach sends each node rate requests a second that name it.
-func (s *site) loadEach(nodes []*node, rate float64, text func(node string) string) (end func() (statuses map[int]int, reasons map[string]int)) {
+// startLoadPerNode sends each node rate requests a second that name it.
+func (s *site) startLoadPerNode(nodes []*node, rate float64, text func(node string) string) (finish func() (statuses map[int]int, reasons map[string]int)) {
 	var loads []*load
 	for i, n := range nodes {
-		loads = append(loads, s.load([]*node{n}, rate, func() string { return text(fmt.Sprint(i)) }))
+		loads = append(loads, s.startLoad([]*node{n}, rate, func() string { return text(fmt.Sprint(i)) }))
 	}
 	return func() (map[int]int, map[string]int) {
 		statuses, reasons := map[int]int{}, map[string]int{}
 		for _, l := range loads {
-			for status, n := range l.end() {
+			for status, n := range l.finish() {
 				statuses[status] += n
 			}
 			for reason, n := range l.reasons {
 				reasons[reason] += n
 			}
-			assert.Equal(s.t, l.noRetry, 0)
+			assert.Equal(s.t, l.missingRetryAfter, 0)
 		}
 		return statuses, reasons
 	}
 }
 
-// spoken are the ways by which requests reach replicas.
-var spoken = map[string]struct {
+// requestKinds are the ways by which requests reach replicas.
+var requestKinds = map[string]struct {
 	service string
 	text    func(node string) string
 }{
-	"idempotent":                  {app, sentBy("GET", "/safe/x")},
-	"at most once":                {app, sentBy("POST", "/once/x")},
-	"streams that may be resumed": {app, sentBy("POST", "/resume/x")},
-	"prompts that share a prefix": {llm, promptBy},
+	"idempotent":                  {appService, stampedRequest("GET", "/safe/x")},
+	"at most once":                {appService, stampedRequest("POST", "/once/x")},
+	"streams that may be resumed": {appService, stampedRequest("POST", "/resume/x")},
+	"prompts that share a prefix": {llmService, stampedPrompt},
 }
 
 // A replica said in its answers that it drains, its row was still ready, and nodes went on sending.
 func TestDrainingReplicaIsSentNothingOnceItsAnswerSaysSo(t *testing.T) {
-	for name, c := range spoken {
+	for name, c := range requestKinds {
 		t.Run(name, func(t *testing.T) { // One after the other: each is a fleet under load.
 			s := newSite(t)
-			s.speaking(c.service, "free")
-			r := s.speaking(c.service, "draining")
-			nodes := s.nodes(3)
-			end := s.loadEach(nodes, 30, c.text)
+			s.startSignallingReplica(c.service, "free")
+			r := s.startSignallingReplica(c.service, "draining")
+			nodes := s.startNodes(3)
+			end := s.startLoadPerNode(nodes, 30, c.text)
 			time.Sleep(500 * time.Millisecond)
-			r.drain()
+			r.startDraining()
 			time.Sleep(time.Second)
-			s.list(c.service, r.Replica, "ready", 1) // Its row is written once more, and is no change of mind.
+			s.listReplica(c.service, r.Replica, "ready", 1) // Its row is written once more, and is no change of mind.
 			time.Sleep(2500 * time.Millisecond)
 			statuses, reasons := end()
 			t.Logf("answers %v, refused as %v", statuses, reasons)
-			assert.Equal(t, r.lateToDrain(), 0)
+			assert.Equal(t, r.sentTooLate(), 0)
 			assert.Equal(t, len(statuses), 1, "where others are free no request suffers: %v, refused as %v", statuses, reasons)
 		})
 	}
 }
 
 // A replica turned a node's requests away and asked for 3 s without any; it looked idle, and got more than before.
-func TestReplicaThatAsksForBackoffGetsNoMoreOfThatNode(t *testing.T) {
-	for name, c := range spoken {
+func TestNodeStopsSendingToReplicaThatAsksForBackoff(t *testing.T) {
+	for name, c := range requestKinds {
 		t.Run(name, func(t *testing.T) { // One after the other: each is a fleet under load.
 			s := newSite(t)
-			s.speaking(c.service, "free")
-			r := s.speaking(c.service, "busy")
-			end := s.loadEach(s.nodes(3), 30, c.text)
+			s.startSignallingReplica(c.service, "free")
+			r := s.startSignallingReplica(c.service, "busy")
+			end := s.startLoadPerNode(s.startNodes(3), 30, c.text)
 			time.Sleep(500 * time.Millisecond)
-			r.backOff("1.5", 1500*time.Millisecond)
+			r.setBackoff("1.5", 1500*time.Millisecond)
 			time.Sleep(3 * time.Second)
-			most := r.mostInBackoff()
-			r.backOff("", 0)
+			most := r.maxDuringBackoff()
+			r.setBackoff("", 0)
 			time.Sleep(2500 * time.Millisecond)
-			before := r.arrivals()
+			before := r.arrivalCount()
 			time.Sleep(time.Second)
-			after := r.arrivals() - before
+			after := r.arrivalCount() - before
 			statuses, reasons := end()
 			t.Logf("answers %v, refused as %v; %d in one backoff, %d a second behind it", statuses, reasons, most, after)
-			assert.Assert(t, most <= allowedInBackoff, "%d requests of one node within one backoff", most)
+			assert.Assert(t, most <= maxInBackoff, "%d requests of one node within one backoff", most)
 			assert.Assert(t, after >= 15, "%d of 90 requests a second behind it", after)
 			assert.Equal(t, len(statuses), 1, "where others are free no request suffers: %v, refused as %v", statuses, reasons)
 		})
@@ -227,28 +227,28 @@
 func TestRequestIsRefusedAtOnceWhereAllReplicasDrainOrAskForBackoff(t *testing.T) {
 	const backoff = 4 * time.Second
 	for name, c := range map[string]struct {
-		say    func(r *speakingReplica)
+		say    func(r *signallingReplica)
 		reason string
 		least  time.Duration // Until callers are to come back.
 	}{
-		"backoff": {func(r *speakingReplica) { r.backOff("4", backoff) }, "backoff", 3 * time.Second},
-		"drain":   {(*speakingReplica).drain, "draining", 0},
+		"backoff": {func(r *signallingReplica) { r.setBackoff("4", backoff) }, "backoff", 3 * time.Second},
+		"drain":   {(*signallingReplica).startDraining, "draining", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
-			replicas := []*speakingReplica{s.speaking(app, "a"), s.speaking(app, "b")}
-			n := s.node("n")
+			replicas := []*signallingReplica{s.startSignallingReplica(appService, "a"), s.startSignallingReplica(appService, "b")}
+			n := s.startReadyNode("n")
 			for _, r := range replicas {
 				c.say(r)
 			}
-			text := sentBy("GET", "/safe/x")
-			s.until("both have told the node", func() bool {
-				n.once(text("n"))
-				return replicas[0].arrivals() > 0 && replicas[1].arrivals() > 0
+			text := stampedRequest("GET", "/safe/x")
+			s.waitUntil("both have told the node", func() bool {
+				n.sendAndClose(text("n"))
+				return replicas[0].arrivalCount() > 0 && replicas[1].arrivalCount() > 0
 			})
-			begun := time.Now()
-			got := n.once(text("n"))
-			assert.Assert(t, time.Since(begun) < 500*time.Millisecond)
+			start := time.Now()
+			got := n.sendAndClose(text("n"))
+			assert.Assert(t, time.Since(start) < 500*time.Millisecond)
 			assert.Equal(t, got.status, 503)
 			assert.Equal(t, got.body, fmt.Sprintf(`{"error":%q}`, c.reason))
 			retry, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -259,17 +259,17 @@
 }
 
 // A value that no replica can mean took it away.
-func TestBackoffThatNobodyCanMeanTakesNoReplicaAway(t *testing.T) {
+func TestInvalidBackoffDoesNotDisableReplica(t *testing.T) {
 	for _, value := range []string{"0", "-3", "NaN", "inf", "1e9", "soon", "Wed, 02 Dec 2099 10:00:07 GMT"} {
 		t.Run(value, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t)
-			r := s.speaking(app, "only")
-			n := s.node("n")
-			r.backOff(value, 0)
-			n.once(sentBy("GET", "/safe/x")("n"))
-			r.backOff("", 0)
-			s.until("it serves again", func() bool { return n.once(sentBy("GET", "/safe/x")("n")).status == 200 })
+			r := s.startSignallingReplica(appService, "only")
+			n := s.startReadyNode("n")
+			r.setBackoff(value, 0)
+			n.sendAndClose(stampedRequest("GET", "/safe/x")("n"))
+			r.setBackoff("", 0)
+			s.waitUntil("it serves again", func() bool { return n.sendAndClose(stampedRequest("GET", "/safe/x")("n")).status == 200 })
 		})
 	}
 }
@@ -277,31 +277,31 @@
 // Each node sent a draining replica one more request before its own answer told it.
 func TestNodesTellEachOtherThatAReplicaDrains(t *testing.T) {
 	s := newSite(t)
-	s.speaking(app, "free")
-	r := s.speaking(app, "draining")
-	nodes := s.nodes(3)
-	r.drain()
-	text := sentBy("GET", "/safe/x")
-	s.until("one node is told", func() bool {
-		nodes[0].once(text("0"))
-		return r.arrivals() > 0
+	s.startSignallingReplica(appService, "free")
+	r := s.startSignallingReplica(appService, "draining")
+	nodes := s.startNodes(3)
+	r.startDraining()
+	text := stampedRequest("GET", "/safe/x")
+	s.waitUntil("one node is told", func() bool {
+		nodes[0].sendAndClose(text("0"))
+		return r.arrivalCount() > 0
 	})
 	time.Sleep(2 * time.Second) // For the word to come, also on a busy machine.
-	before := r.arrivals()
+	before := r.arrivalCount()
 	for _, n := range nodes {
 		for range 20 {
-			assert.Equal(t, n.once(text("x")).status, 200)
+			assert.Equal(t, n.sendAndClose(text("x")).status, 200)
 		}
 	}
-	assert.Equal(t, r.arrivals(), before)
+	assert.Equal(t, r.arrivalCount(), before)
 }
 
 // An order of weights and calls for events went to an engine that had asked for backoff.
-func TestOrderOfWeightsWaitsForABackoff(t *testing.T) {
+func TestWeightsOrderWaitsForBackoff(t *testing.T) {
 	s := newSite(t)
 	var mu sync.Mutex
 	var orders []time.Time
-	r := s.speaking(llm, "busy")
+	r := s.startSignallingReplica(llmService, "busy")
 	answer := r.answer
 	r.Script(func(w io.Writer, in *onplatform.Request) bool {
 		switch in.Target {
@@ -315,18 +315,18 @@
 		}
 		return answer(w, in)
 	})
-	n := s.node("n")
-	r.backOff("3", 3*time.Second)
-	n.once(promptBy("n"))
-	r.backOff("", 0)
-	assert.Equal(t, r.arrivals(), 1)
+	n := s.startReadyNode("n")
+	r.setBackoff("3", 3*time.Second)
+	n.sendAndClose(stampedPrompt("n"))
+	r.setBackoff("", 0)
+	assert.Equal(t, r.arrivalCount(), 1)
 	s.store.Put(onplatform.TableOperator, "version/"+model, map[string]any{"model": model, "config_version": 2})
-	s.until("the order is given", func() bool {
+	s.waitUntil("the order is given", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(orders) > 0
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	assert.Assert(t, orders[0].After(r.asked[0].until), "%v early", r.asked[0].until.Sub(orders[0]))
+	assert.Assert(t, orders[0].After(r.backoffRequests[0].until), "%v early", r.backoffRequests[0].until.Sub(orders[0]))
 }
--- a/internal/standin/onplatform/forward_test.go
+++ b/internal/standin/onplatform/forward_test.go
@@ -14,10 +14,10 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-func TestRequestArrivesAsItWasSent(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	s := newSite(t)
-	r := s.replica(app, "a")
-	n := s.node("n1")
+	r := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	body := strings.Repeat("x\r\n\x00", 10_000)
 	got := n.send(request("POST", "/once/../a//b%2F?q=1&&r=%20", body,
 		"X-Other: kept", "Deadline-Ms: 3000", "Tenant: forged", "Kv-From: 1.2.3.4:5/6", "Hold: h", "Pin-Ms: 9", "Kv-Backup: 1.2.3.4:5",
@@ -25,7 +25,7 @@
 	assert.Equal(t, got.status, 200)
 	assert.Equal(t, got.body, "from a")
 	assert.Equal(t, got.header.Get("Server-Stamp"), "s")
-	seen := r.Seen()
+	seen := r.Received()
 	assert.Equal(t, len(seen), 1)
 	in := seen[0]
 	assert.Equal(t, in.Method, "POST")
@@ -44,21 +44,21 @@
 
 func TestChunkedBodyArrivesWhole(t *testing.T) {
 	s := newSite(t)
-	r := s.replica(app, "a")
-	n := s.node("n1")
+	r := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	c := n.dial()
 	c.write("POST /once/x HTTP/1.1\r\nHost: " + host + "\r\nRequest-Id: chunked-1\r\nAuthorization: Bearer " + key +
 		"\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n")
 	assert.Equal(t, c.read().status, 100)
 	c.write("3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 	assert.Equal(t, c.read().status, 200)
-	assert.Equal(t, r.Seen()[0].Body, "abcde")
+	assert.Equal(t, r.Received()[0].Body, "abcde")
 }
 
 func TestSmuggledRequestsReachNoReplica(t *testing.T) {
 	s := newSite(t)
-	r := s.replica(app, "a")
-	n := s.node("n1")
+	r := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	inner := request("POST", "/once/smuggled", "")
 	for _, fields := range []string{
 		"Content-Length: 4\r\nTransfer-Encoding: chunked",
@@ -70,13 +70,13 @@
 		got := n.send("POST /once/x HTTP/1.1\r\nHost: " + host + "\r\nRequest-Id: outer\r\nAuthorization: Bearer " + key + "\r\n" + fields + "\r\n\r\n0\r\n\r\n" + inner)
 		assert.Equal(t, got.status, 400, fields)
 	}
-	assert.Equal(t, len(r.Seen()), 0)
+	assert.Equal(t, len(r.Received()), 0)
 }
 
 func TestOneConnectionCarriesManyRequests(t *testing.T) {
 	s := newSite(t)
-	s.replica(app, "a")
-	n := s.node("n1")
+	s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	c := n.dial()
 	c.write(request("GET", "/safe/1", "") + request("POST", "/once/2", "body")) // The second comes with the first.
 	assert.Equal(t, c.read().status, 200)
@@ -89,15 +89,15 @@
 	assert.Equal(t, c.read().body, "from a")
 }
 
-func TestWhoMayCome(t *testing.T) {
+func TestUnauthenticatedRequestsAreRefused(t *testing.T) {
 	s := newSite(t)
 	s.routes = append(s.routes, map[string]any{
-		"name": "open", "host": host, "path_prefix": "/open/", "kind": "idempotent", "timeout_ms": 1000, "service": app, "max_attempts": 1, "allow_anonymous": true,
+		"name": "open", "host": host, "path_prefix": "/open/", "kind": "idempotent", "timeout_ms": 1000, "service": appService, "max_attempts": 1, "allow_anonymous": true,
 	})
 	s.configure()
-	r := s.replica(app, "a")
-	n := s.node("n1")
-	s.until("the open route is there", func() bool { return n.send(request("GET", "/open/0", "")).status == 200 })
+	r := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
+	s.waitUntil("the open route is there", func() bool { return n.send(request("GET", "/open/0", "")).status == 200 })
 	bare := func(target, auth string) reply {
 		return n.send("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\nRequest-Id: who\r\nTenant: forged\r\n" + auth + "\r\n")
 	}
@@ -105,45 +105,45 @@
 	assert.Equal(t, bare("/safe/x", "Authorization: Bearer wrong\r\n").status, 401)
 	assert.Equal(t, bare("/safe/x", "Authorization: Basic "+key+"\r\n").status, 401)
 	assert.Equal(t, bare("/nowhere/x", "Authorization: Bearer "+key+"\r\n").status, 404)
-	before := len(r.Seen())
+	before := len(r.Received())
 	assert.Equal(t, bare("/open/x", "").status, 200)
-	assert.Equal(t, r.Seen()[before].Header.Get("Tenant"), "")
+	assert.Equal(t, r.Received()[before].Header.Get("Tenant"), "")
 }
 
-func TestLimitsOfWhatClientsSend(t *testing.T) {
+func TestOversizedOrMalformedRequestsAreRefused(t *testing.T) {
 	s := newSite(t)
-	r := s.replica(app, "a")
-	n := s.node("n1")
+	r := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	assert.Equal(t, n.send(request("POST", "/once/x", strings.Repeat("x", 1<<20+1))).status, 413)
 	assert.Equal(t, n.send(request("POST", "/once/x", "", "X: "+strings.Repeat("x", 5000))).status, 431)
 	assert.Equal(t, n.send("GARBAGE\r\n\r\n").status, 400)
 	assert.Equal(t, n.send("GET /safe/x HTTP/1.1\r\nHost: "+host+"\r\n\r\n").status, 400) // No id.
-	assert.Equal(t, len(r.Seen()), 0)
+	assert.Equal(t, len(r.Received()), 0)
 }
 
-func TestReplicaThatDidNotRunItIsReplaced(t *testing.T) {
+func TestRequestNotExecutedIsSentToAnotherReplica(t *testing.T) {
 	for _, status := range []int{503, 429, 421} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			s := newSite(t)
-			a, b := s.replica(app, "a"), s.replica(app, "b")
-			n := s.node("n1")
-			a.Script(onplatform.NotRun(status))
+			a, b := s.startReplica(appService, "a"), s.startReplica(appService, "b")
+			n := s.startReadyNode("n1")
+			a.Script(onplatform.NotExecuted(status))
 			for range 10 {
 				got := n.send(request("POST", "/once/x", "body"))
 				assert.Equal(t, got.status, 200)
 				assert.Equal(t, got.body, "from b")
 			}
-			assert.Equal(t, len(b.Seen()), 10)
+			assert.Equal(t, len(b.Received()), 10)
 		})
 	}
 }
 
-func TestRefusalByAllSaysWhenToComeBack(t *testing.T) {
+func TestRefusalByAllReplicasHasRetryAfter(t *testing.T) {
 	s := newSite(t)
 	for _, id := range []string{"a", "b"} {
-		s.replica(app, id).Script(onplatform.NotRun(503))
+		s.startReplica(appService, id).Script(onplatform.NotExecuted(503))
 	}
-	n := s.node("n1")
+	n := s.startReadyNode("n1")
 	got := n.send(request("POST", "/once/x", "body"))
 	assert.Equal(t, got.status, 503)
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -154,9 +154,9 @@
 
 // An answer that is lost leaves it open whether the request ran: one that may
 // run once only is not sent again, and nothing is promised.
-func TestLostAnswerOfWhatMayRunOnceOnly(t *testing.T) {
+func TestNonIdempotentRequestIsNotRetriedAfterLostAnswer(t *testing.T) {
 	for name, script := range map[string]onplatform.Script{
-		"closed":        onplatform.Cut,
+		"closed":        onplatform.CloseUnanswered,
 		"cut in head":   onplatform.Raw("HTTP/1.1 200 OK\r\nRequest-Id: %ID%\r\n", false),
 		"cut in body":   onplatform.Raw("HTTP/1.1 200 OK\r\nRequest-Id: %ID%\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nabc", false),
 		"not an answer": onplatform.Raw("\x00\x01\x02 what\r\n\r\n", false),
@@ -165,77 +165,77 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
-			a, b := s.replica(app, "a"), s.replica(app, "b")
-			n := s.node("n1")
+			a, b := s.startReplica(appService, "a"), s.startReplica(appService, "b")
+			n := s.startReadyNode("n1")
 			a.Script(script)
 			b.Script(script)
 			got := n.send(request("POST", "/once/x", "body"))
 			assert.Equal(t, got.status, 502)
 			assert.Equal(t, got.header.Get("Retry-After"), "")
-			assert.Equal(t, len(a.Seen())+len(b.Seen()), 1)
+			assert.Equal(t, len(a.Received())+len(b.Received()), 1)
 		})
 	}
 }
 
-func TestLostAnswerOfWhatMayRunAgain(t *testing.T) {
+func TestIdempotentRequestIsRetriedAfterLostAnswer(t *testing.T) {
 	s := newSite(t)
-	a, b := s.replica(app, "a"), s.replica(app, "b")
-	n := s.node("n1")
-	a.Script(onplatform.Cut)
+	a, b := s.startReplica(appService, "a"), s.startReplica(appService, "b")
+	n := s.startReadyNode("n1")
+	a.Script(onplatform.CloseUnanswered)
 	for range 6 {
 		assert.Equal(t, n.send(request("GET", "/safe/x", "")).body, "from b")
 	}
-	assert.Equal(t, len(b.Seen()), 6)
+	assert.Equal(t, len(b.Received()), 6)
 }
 
-func TestFailureOfAReplicaIsDeliveredIfNoOtherDoesBetter(t *testing.T) {
+func TestReplicaErrorIsDeliveredIfNoOtherReplicaSucceeds(t *testing.T) {
 	s := newSite(t)
-	a, b := s.replica(app, "a"), s.replica(app, "b")
-	n := s.node("n1")
+	a, b := s.startReplica(appService, "a"), s.startReplica(appService, "b")
+	n := s.startReadyNode("n1")
 	a.Script(onplatform.Failed)
 	b.Script(onplatform.Failed)
 	got := n.send(request("GET", "/safe/x", ""))
 	assert.Equal(t, got.status, 500)
 	assert.Equal(t, got.body, "oops")
 	assert.Equal(t, got.header.Get("Server-Stamp"), "s")
-	assert.Equal(t, len(a.Seen())+len(b.Seen()), 2)
+	assert.Equal(t, len(a.Received())+len(b.Received()), 2)
 	assert.Equal(t, n.send(request("POST", "/once/x", "body")).status, 500)
-	assert.Equal(t, len(a.Seen())+len(b.Seen()), 3)
+	assert.Equal(t, len(a.Received())+len(b.Received()), 3)
 }
 
 // What a replica says of its health is not asked for: it may be false either way,
 // also for some callers only. Its answers tell.
-func TestFalseHealthChangesNothing(t *testing.T) {
+func TestHealthEndpointIsIgnored(t *testing.T) {
 	s := newSite(t)
-	well := s.replica(app, "well") // Says that it is ill.
+	well := s.startReplica(appService, "well") // Says that it is ill.
 	well.Script(func(w io.Writer, r *onplatform.Request) bool {
 		if r.Target == "/healthz" {
-			return onplatform.NotRun(503)(w, r)
+			return onplatform.NotExecuted(503)(w, r)
 		}
 		return onplatform.OK("from well")(w, r)
 	})
-	ill := s.replica(app, "ill") // Says that it is well.
+	ill := s.startReplica(appService, "ill") // Says that it is well.
 	ill.Script(func(w io.Writer, r *onplatform.Request) bool {
 		if r.Target == "/healthz" {
 			return onplatform.OK("")(w, r)
 		}
 		return onplatform.Failed(w, r)
 	})
-	n := s.node("n1")
+	n := s.startReadyNode("n1")
 	for range 40 {
 		assert.Equal(t, n.send(request("POST", "/safe/x", "body")).body, "from well", "another replica is tried")
 	}
-	for _, r := range append(well.Seen(), ill.Seen()...) {
+	for _, r := range append(well.Received(), ill.Received()...) {
 		assert.Assert(t, r.Target != "/healthz", "probes are paid for")
 	}
-	assert.Assert(t, len(ill.Seen()) < 20, "it has been left out: %d", len(ill.Seen()))
+	assert.Assert(t, len(ill.Received()) < 20, "it has been left out: %d", len(ill.Received()))
 }
 
 func TestUnreachableReplicaIsReplaced(t *testing.T) {
 	s := newSite(t)
-	a := s.replica(app, "a")
-	s.replica(app, "b")
-	n := s.node("n1")
+	a := s.startReplica(appService, "a")
+	s.startReplica(appService, "b")
+	n := s.startReadyNode("n1")
 	a.Close() // Its entry stays.
 	for range 10 {
 		assert.Equal(t, n.send(request("POST", "/once/x", "body")).body, "from b")
@@ -243,10 +243,10 @@
 }
 
 // A surplus answer comes in the place of the next one.
-func TestAnswersOfOtherRequestsReachNobody(t *testing.T) {
+func TestAnswerToAnotherRequestIsNotDelivered(t *testing.T) {
 	s := newSite(t)
-	r := s.replica(app, "a")
-	n := s.node("n1")
+	r := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	surplus := "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nServer-Stamp: s\r\nContent-Length: 5\r\n\r\nother"
 	own := "HTTP/1.1 200 OK\r\nRequest-Id: %ID%\r\nServer-Stamp: s\r\nContent-Length: 3\r\n\r\nown"
 	r.Script(onplatform.Raw(surplus+own, true))
@@ -261,10 +261,10 @@
 	assert.Equal(t, n.send(request("POST", "/once/x", "body")).status, 502)
 }
 
-func TestSurplusBytesWhileAConnectionRests(t *testing.T) {
+func TestSurplusBytesOnIdleConnectionAreNotDelivered(t *testing.T) {
 	s := newSite(t)
-	r := s.replica(app, "a")
-	n := s.node("n1")
+	r := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	late := make(chan struct{})
 	r.Script(func(w io.Writer, in *onplatform.Request) bool {
 		onplatform.OK("own")(w, in)
@@ -282,30 +282,30 @@
 
 func TestEarlyAnswerToALongBody(t *testing.T) {
 	s := newSite(t)
-	r := s.replica(app, "a")
-	n := s.node("n1")
+	r := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	body := strings.Repeat("x", 1<<20)
 	r.Script(onplatform.OK("early"))
 	for range 3 {
 		assert.Equal(t, n.send(request("POST", "/once/x", body)).body, "early")
 	}
-	for _, in := range r.Seen() {
+	for _, in := range r.Received() {
 		assert.Equal(t, len(in.Body), len(body))
 	}
 }
 
-func TestSilentReplicaIsWaitedForNoLongerThanTheRouteAllows(t *testing.T) {
+func TestRouteTimeoutBoundsWaitForSilentReplica(t *testing.T) {
 	s := newSite(t)
-	a := s.replica(app, "a")
-	n := s.node("n1")
+	a := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	a.Script(onplatform.Hang)
 	got := n.send(request("GET", "/short/x", ""))
 	assert.Equal(t, got.status, 504) // It may have run, so nothing is promised.
 	assert.Equal(t, got.header.Get("Retry-After"), "")
-	in := a.Seen()[0]
-	s.until("the replica is told to stop", func() bool {
+	in := a.Received()[0]
+	s.waitUntil("the replica is told to stop", func() bool {
 		select {
-		case <-in.Gone:
+		case <-in.Disconnected:
 			return true
 		default:
 			return false
@@ -313,25 +313,25 @@
 	})
 }
 
-func TestClientThatLeavesHasTheReplicaStop(t *testing.T) {
+func TestClientDisconnectStopsReplica(t *testing.T) {
 	s := newSite(t)
-	a := s.replica(app, "a")
-	n := s.node("n1")
+	a := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	a.Script(onplatform.Hang)
 	c := n.dial()
 	c.write(request("POST", "/once/x", "body"))
-	s.until("the request is at the replica", func() bool { return len(a.Seen()) == 1 })
+	s.waitUntil("the request is at the replica", func() bool { return len(a.Received()) == 1 })
 	assert.NilError(t, c.conn.Close())
-	<-a.Seen()[0].Gone
+	<-a.Received()[0].Disconnected
 }
 
 func TestStreamArrivesWhole(t *testing.T) {
 	s := newSite(t)
-	a := s.replica(app, "a")
-	n := s.node("n1")
+	a := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	a.Script(onplatform.Events(1, 5, time.Millisecond, true))
 	got := n.send(request("POST", "/stream/x", "body"))
-	assert.Assert(t, !got.cut)
+	assert.Assert(t, !got.incomplete)
 	assert.Equal(t, got.body, events(1, 5))
 }
 
@@ -343,33 +343,33 @@
 	return b.String()
 }
 
-func TestStreamThatBreaksOffDoesNotLookWhole(t *testing.T) {
+func TestInterruptedStreamDoesNotLookComplete(t *testing.T) {
 	s := newSite(t)
-	a, b := s.replica(app, "a"), s.replica(app, "b")
-	n := s.node("n1")
+	a, b := s.startReplica(appService, "a"), s.startReplica(appService, "b")
+	n := s.startReadyNode("n1")
 	a.Script(onplatform.Events(1, 3, time.Millisecond, false))
 	b.Script(onplatform.Events(1, 3, time.Millisecond, false))
 	got := n.send(request("POST", "/stream/x", "body"))
-	assert.Assert(t, got.cut)
+	assert.Assert(t, got.incomplete)
 	assert.Equal(t, got.body, events(1, 3))
-	assert.Equal(t, len(a.Seen())+len(b.Seen()), 1)
+	assert.Equal(t, len(a.Received())+len(b.Received()), 1)
 }
 
-func TestUnframedStreamThatEndsInsideAnEventDoesNotLookWhole(t *testing.T) {
+func TestUnframedStreamCutInsideAnEventDoesNotLookComplete(t *testing.T) {
 	s := newSite(t)
-	a := s.replica(app, "a")
-	n := s.node("n1")
+	a := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	a.Script(onplatform.Raw("HTTP/1.1 200 OK\r\nRequest-Id: %ID%\r\nServer-Stamp: s\r\nContent-Type: text/event-stream\r\n\r\n"+events(1, 2)+"id: 3\nda", false))
 	got := n.send(request("POST", "/stream/x", "body"))
-	assert.Assert(t, got.cut)
+	assert.Assert(t, got.incomplete)
 	assert.Equal(t, got.body, events(1, 2))
 }
 
 // A resumable stream goes on at another replica behind the last whole event.
-func TestResumableStreamGoesOnElsewhere(t *testing.T) {
+func TestInterruptedStreamResumesAtAnotherReplica(t *testing.T) {
 	s := newSite(t)
-	a, b := s.replica(app, "a"), s.replica(app, "b")
-	n := s.node("n1")
+	a, b := s.startReplica(appService, "a"), s.startReplica(appService, "b")
+	n := s.startReadyNode("n1")
 	script := func(w io.Writer, in *onplatform.Request) bool {
 		if in.Header.Get("Last-Event-Id") == "" {
 			onplatform.Events(1, 3, time.Millisecond, false)(w, in)
@@ -382,24 +382,24 @@
 	a.Script(script)
 	b.Script(script)
 	got := n.send(request("POST", "/resume/x", "body"))
-	assert.Assert(t, !got.cut)
+	assert.Assert(t, !got.incomplete)
 	assert.Equal(t, got.body, events(1, 6))
-	assert.Equal(t, len(a.Seen()), 1)
-	assert.Equal(t, len(b.Seen()), 1)
+	assert.Equal(t, len(a.Received()), 1)
+	assert.Equal(t, len(b.Received()), 1)
 }
 
-func TestLimitsOfHowLongClientsTake(t *testing.T) {
+func TestSlowClientsAreTimedOut(t *testing.T) {
 	s := newSite(t)
 	s.limits["header_timeout_ms"] = 200
 	s.limits["idle_timeout_ms"] = 300
 	s.configure()
-	r := s.replica(app, "a")
-	n := s.node("n1")
+	r := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	head := n.dial()
 	head.write("POST /once/x HTTP/1.1\r\nHost: " + host + "\r\n") // The rest never comes.
 	got := head.read()
 	assert.Equal(t, got.status, 408)
-	assert.Assert(t, got.last)
+	assert.Assert(t, got.closing)
 	body := n.dial()
 	body.write("POST /once/x HTTP/1.1\r\nHost: " + host + "\r\nRequest-Id: slow\r\nDeadline-Ms: 200\r\nContent-Length: 9\r\n\r\nabc")
 	assert.Equal(t, body.read().status, 408)
@@ -408,5 +408,5 @@
 	assert.Equal(t, rest.read().status, 200)
 	_, err := rest.r.ReadByte()
 	assert.Assert(t, err == io.EOF, "a connection that rests too long is closed without a word")
-	assert.Equal(t, len(r.Seen()), 1)
+	assert.Equal(t, len(r.Received()), 1)
 }
--- a/internal/standin/onplatform/limit_test.go
+++ b/internal/standin/onplatform/limit_test.go
@@ -23,47 +23,47 @@
 
 const (
 	limitWindow = 4 * time.Second
-	// toldTime is after how long a node that was told of a limit keeps to it.
-	toldTime = 500 * time.Millisecond
-	// leastUsed is the part of what it names that a replica is to get where there is more.
-	leastUsed = 0.3
+	// limitDelay is after how long a node that was told of a limit keeps to it.
+	limitDelay = 500 * time.Millisecond
+	// minUsedShare is the part of what it names that a replica is to get where there is more.
+	minUsedShare = 0.3
 )
 
 // limitedReplica is a replica that names a limit in its answers.
 type limitedReplica struct {
 	*onplatform.Replica
 
-	mu    sync.Mutex
-	named string    // Empty for none.
-	since time.Time // When it first named the limit.
-	came  []time.Time
+	mu        sync.Mutex
+	limit     string    // Empty for none.
+	firstSent time.Time // When it first named the limit.
+	arrived   []time.Time
 }
 
-func (s *site) limited(service, id, named string) *limitedReplica {
+func (s *site) startLimitedReplica(service, id, limit string) *limitedReplica {
 	r := &limitedReplica{Replica: s.newReplica(id)}
-	r.name(named)
+	r.setLimit(limit)
 	r.Script(r.answer)
-	s.list(service, r.Replica, "ready", 1)
+	s.listReplica(service, r.Replica, "ready", 1)
 	return r
 }
 
-// name has it name a limit from now on.
-func (r *limitedReplica) name(limit string) {
+// setLimit has it name a limit from now on.
+func (r *limitedReplica) setLimit(limit string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.named, r.since, r.came = limit, time.Time{}, nil
+	r.limit, r.firstSent, r.arrived = limit, time.Time{}, nil
 }
 
 func (r *limitedReplica) answer(w io.Writer, in *onplatform.Request) bool {
 	r.mu.Lock()
 	now := time.Now()
-	r.came = append(r.came, now)
-	if r.since.IsZero() {
-		r.since = now
+	r.arrived = append(r.arrived, now)
+	if r.firstSent.IsZero() {
+		r.firstSent = now
 	}
 	field := ""
-	if r.named != "" {
-		field = "Server-Limit: " + r.named + "\r\n"
+	if r.limit != "" {
+		field = "Server-Limit: " + r.limit + "\r\n"
 	}
 	r.mu.Unlock()
 	time.Sleep(5 * time.Millisecond)
@@ -72,18 +72,18 @@
 	return err == nil
 }
 
-// worst is how many requests came in the worst 4 s, without those of the time in which the
+// countArrivals is how many requests came in the worst 4 s, without those of the time in which the
 // nodes had yet to be told, and in all from then on.
-func (r *limitedReplica) worst() (worst, all int) {
+func (r *limitedReplica) countArrivals() (worst, all int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, from := range r.came {
-		if from.Sub(r.since) < toldTime {
+	for i, from := range r.arrived {
+		if from.Sub(r.firstSent) < limitDelay {
 			continue
 		}
 		all++
 		n := 0
-		for _, at := range r.came[i:] {
+		for _, at := range r.arrived[i:] {
 			if at.Sub(from) < limitWindow {
 				n++
 			}
@@ -94,26 +94,26 @@
 }
 
 // assertKept holds what came within a time against a limit.
-func (r *limitedReplica) assertKept(t *testing.T, limit float64, within time.Duration) {
+func (r *limitedReplica) assertWithinLimit(t *testing.T, limit float64, duration time.Duration) {
 	t.Helper()
-	worst, all := r.worst()
+	worst, all := r.countArrivals()
 	t.Logf("%s: limit %g, %d in the worst 4 s, %d in all", r.ID, limit, worst, all)
 	assert.Check(t, float64(worst) <= 1.5*limit*limitWindow.Seconds()+5, "%s: limit %g, %d in 4 s", r.ID, limit, worst)
-	assert.Check(t, float64(all) >= leastUsed*limit*(within-toldTime).Seconds(), "%s: limit %g, %d in all", r.ID, limit, all)
+	assert.Check(t, float64(all) >= minUsedShare*limit*(duration-limitDelay).Seconds(), "%s: limit %g, %d in all", r.ID, limit, all)
 }
 
 // load is requests that keep coming at some nodes.
 type load struct {
-	mu       sync.Mutex
-	statuses map[int]int
-	reasons  map[string]int // Of refusals.
-	noRetry  int            // Refusals that don't say when to come back.
-	stop     chan struct{}
-	wg       sync.WaitGroup
+	mu                sync.Mutex
+	statuses          map[int]int
+	reasons           map[string]int // Of refusals.
+	missingRetryAfter int            // Refusals that don't say when to come back.
+	stop              chan struct{}
+	wg                sync.WaitGroup
 }
 
-// load sends each node rate requests a second.
-func (s *site) load(nodes []*node, rate float64, text func() string) *load {
+// startLoad sends each node rate requests a second.
+func (s *site) startLoad(nodes []*node, rate float64, text func() string) *load {
 	l := &load{statuses: map[int]int{}, reasons: map[string]int{}, stop: make(chan struct{})}
 	for _, n := range nodes {
 		l.wg.Go(func() {
@@ -125,14 +125,14 @@
 					return
 				case <-tick.C:
 				}
-				l.wg.Go(func() { l.note(n.once(text())) })
+				l.wg.Go(func() { l.record(n.sendAndClose(text())) })
 			}
 		})
 	}
 	return l
 }
 
-func (l *load) note(got reply) {
+func (l *load) record(got reply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.statuses[got.status]++
@@ -140,21 +140,21 @@
 		l.reasons[got.body]++
 	}
 	if got.status == 503 && got.header.Get("Retry-After") == "" {
-		l.noRetry++
+		l.missingRetryAfter++
 	}
 }
 
-// end ends the load and tells how many answers had which status.
-func (l *load) end() map[int]int {
+// finish ends the load and tells how many answers had which status.
+func (l *load) finish() map[int]int {
 	close(l.stop)
 	l.wg.Wait()
 	return l.statuses
 }
 
 func TestReplicaGetsNoMoreThanItNamesFromAllNodes(t *testing.T) {
-	const playTime = 7 * time.Second
-	sharing := func() string { return prompt("b0") }
-	of := func(method, target string) func() string {
+	const loadTime = 7 * time.Second
+	sharedPrompt := func() string { return prompt("b0") }
+	plainRequest := func(method, target string) func() string {
 		return func() string { return request(method, target, "") }
 	}
 	for name, c := range map[string]struct {
@@ -165,31 +165,31 @@
 		rate     float64 // Requests a second at each node.
 		text     func() string
 	}{
-		"idempotent":                  {5, 5, app, []float64{1.7}, 24, of("GET", "/safe/x")},
-		"at most once, two limited":   {5, 4, app, []float64{1, 6.5}, 24, of("POST", "/once/x")},
-		"prompts that share a prefix": {5, 2, llm, []float64{1.7, 1}, 20, sharing},
-		"sixteen nodes":               {16, 3, app, []float64{1}, 8, of("GET", "/safe/x")},
-		"little load":                 {5, 1, app, []float64{0.4}, 1, of("GET", "/safe/x")},
-		"all of them limited":         {5, 0, app, []float64{3, 3, 3}, 23, of("GET", "/safe/x")},
-		"one that takes much":         {5, 1, app, []float64{60}, 20, of("GET", "/safe/x")},
+		"idempotent":                  {5, 5, appService, []float64{1.7}, 24, plainRequest("GET", "/safe/x")},
+		"at most once, two limited":   {5, 4, appService, []float64{1, 6.5}, 24, plainRequest("POST", "/once/x")},
+		"prompts that share a prefix": {5, 2, llmService, []float64{1.7, 1}, 20, sharedPrompt},
+		"sixteen nodes":               {16, 3, appService, []float64{1}, 8, plainRequest("GET", "/safe/x")},
+		"little load":                 {5, 1, appService, []float64{0.4}, 1, plainRequest("GET", "/safe/x")},
+		"all of them limited":         {5, 0, appService, []float64{3, 3, 3}, 23, plainRequest("GET", "/safe/x")},
+		"one that takes much":         {5, 1, appService, []float64{60}, 20, plainRequest("GET", "/safe/x")},
 	} {
 		t.Run(name, func(t *testing.T) { // One after the other: each is a fleet under load.
 			s := newSite(t)
 			for i := range c.replicas {
-				s.limited(c.service, fmt.Sprintf("free%d", i), "")
+				s.startLimitedReplica(c.service, fmt.Sprintf("free%d", i), "")
 			}
 			var limited []*limitedReplica
 			for i, limit := range c.limits {
-				limited = append(limited, s.limited(c.service, fmt.Sprintf("limited%d", i), fmt.Sprint(limit)))
+				limited = append(limited, s.startLimitedReplica(c.service, fmt.Sprintf("limited%d", i), fmt.Sprint(limit)))
 			}
-			l := s.load(s.nodes(c.nodes), c.rate, c.text)
-			time.Sleep(playTime)
-			got := l.end()
+			l := s.startLoad(s.startNodes(c.nodes), c.rate, c.text)
+			time.Sleep(loadTime)
+			got := l.finish()
 			t.Logf("answers %v, refused as %v", got, l.reasons)
 			for i, r := range limited {
-				r.assertKept(t, c.limits[i], playTime)
+				r.assertWithinLimit(t, c.limits[i], loadTime)
 			}
-			assert.Equal(t, l.noRetry, 0)
+			assert.Equal(t, l.missingRetryAfter, 0)
 			if c.replicas > 0 {
 				assert.Equal(t, len(got), 1, "where others are free no request suffers: %v, refused as %v", got, l.reasons)
 			}
@@ -200,48 +200,48 @@
 
 // What a replica names may change, and end; all nodes go by it then, also those that have
 // sent it nothing since.
-func TestLimitHoldsForAsLongAsItIsNamed(t *testing.T) {
+func TestRateLimitFollowsLatestHeader(t *testing.T) {
 	s := newSite(t)
-	s.limited(app, "free", "")
-	r := s.limited(app, "limited", "8")
-	l := s.load(s.nodes(4), 15, func() string { return request("GET", "/safe/x", "") })
-	defer l.end()
-	play := func(named string, limit float64, d time.Duration) {
-		r.name(named)
+	s.startLimitedReplica(appService, "free", "")
+	r := s.startLimitedReplica(appService, "limited", "8")
+	l := s.startLoad(s.startNodes(4), 15, func() string { return request("GET", "/safe/x", "") })
+	defer l.finish()
+	checkFor := func(named string, limit float64, d time.Duration) {
+		r.setLimit(named)
 		time.Sleep(d)
-		r.assertKept(t, limit, d)
+		r.assertWithinLimit(t, limit, d)
 	}
-	play("8", 8, 5*time.Second)
-	play("0.5", 0.5, 6*time.Second)
-	play("much", 0.5, 5*time.Second) // What can't be read changes nothing.
-	play("8", 8, 6*time.Second)
-	r.name("")
+	checkFor("8", 8, 5*time.Second)
+	checkFor("0.5", 0.5, 6*time.Second)
+	checkFor("much", 0.5, 5*time.Second) // What can't be read changes nothing.
+	checkFor("8", 8, 6*time.Second)
+	r.setLimit("")
 	time.Sleep(3 * time.Second)
 	r.mu.Lock()
-	begun := len(r.came)
+	before := len(r.arrived)
 	r.mu.Unlock()
 	time.Sleep(2 * time.Second)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	assert.Assert(t, len(r.came)-begun >= 30, "of 120 requests %d came in 2 s", len(r.came)-begun)
+	assert.Assert(t, len(r.arrived)-before >= 30, "of 120 requests %d came in 2 s", len(r.arrived)-before)
 }
 
 // A replica that names nothing at all, or more than there is, is not lost for good.
-func TestLimitThatNobodyCanMeanTakesNoReplicaAway(t *testing.T) {
+func TestUnusableRateLimitDoesNotDisableReplicaForGood(t *testing.T) {
 	t.Parallel()
 	for _, named := range []string{"0", "1e9", "-3", "inf", "NaN", "", "much"} {
 		t.Run(named, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t)
-			r := s.limited(app, "limited", named)
-			l := s.load(s.nodes(2), 10, func() string { return request("GET", "/safe/x", "") })
-			defer l.end()
+			r := s.startLimitedReplica(appService, "limited", named)
+			l := s.startLoad(s.startNodes(2), 10, func() string { return request("GET", "/safe/x", "") })
+			defer l.finish()
 			time.Sleep(2 * time.Second)
-			r.name("")
+			r.setLimit("")
 			time.Sleep(6 * time.Second)
-			before := len(r.Seen())
+			before := len(r.Received())
 			time.Sleep(time.Second)
-			assert.Assert(t, len(r.Seen())-before >= 10, "%d of 20 requests", len(r.Seen())-before)
+			assert.Assert(t, len(r.Received())-before >= 10, "%d of 20 requests", len(r.Received())-before)
 		})
 	}
 }
--- a/internal/standin/onplatform/replica.go
+++ b/internal/standin/onplatform/replica.go
@@ -18,8 +18,8 @@
 	Target string
 	Header http.Header
 	Body   string
-	// Gone is closed when the connection has ended.
-	Gone <-chan struct{}
+	// Disconnected is closed when the connection has ended.
+	Disconnected <-chan struct{}
 }
 
 // ID is the request's name.
@@ -34,12 +34,12 @@
 	ID string
 	ln net.Listener
 
-	mu     sync.Mutex
-	script Script
-	seen   []*Request
-	conns  map[net.Conn]struct{}
-	closed bool
-	wg     sync.WaitGroup
+	mu       sync.Mutex
+	script   Script
+	received []*Request
+	conns    map[net.Conn]struct{}
+	closed   bool
+	wg       sync.WaitGroup
 }
 
 // NewReplica starts a replica that answers 200 to everything.
@@ -75,15 +75,15 @@
 	r.script = s
 }
 
-// Seen lists the requests that came, but for those of the platform's own paths.
-func (r *Replica) Seen() []*Request {
+// Received lists the requests that came, but for those of the platform's own paths.
+func (r *Replica) Received() []*Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*Request(nil), r.seen...)
+	return append([]*Request(nil), r.received...)
 }
 
-// Conns is how many connections are open.
-func (r *Replica) Conns() int {
+// OpenConns is how many connections are open.
+func (r *Replica) OpenConns() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.conns)
@@ -122,106 +122,106 @@
 		if err != nil {
 			return
 		}
-		gone := make(chan struct{})
-		next := make(chan struct{})
+		disconnected := make(chan struct{})
+		peeked := make(chan struct{})
 		go func() {
 			if _, err := b.Peek(1); err != nil {
-				close(gone)
+				close(disconnected)
 			}
-			close(next)
+			close(peeked)
 		}()
-		in := &Request{Method: req.Method, Target: req.RequestURI, Header: req.Header, Body: string(body), Gone: gone}
+		in := &Request{Method: req.Method, Target: req.RequestURI, Header: req.Header, Body: string(body), Disconnected: disconnected}
 		r.mu.Lock()
 		if !strings.HasPrefix(in.Target, "/-/") {
-			r.seen = append(r.seen, in)
+			r.received = append(r.received, in)
 		}
 		script := r.script
 		r.mu.Unlock()
 		if !script(conn, in) {
 			return
 		}
-		<-next
+		<-peeked
 	}
 }
 
 // OK answers 200 with a body.
 func OK(body string) Script {
 	return func(w io.Writer, r *Request) bool {
-		write(w, Head(r, 200, len(body))+body)
+		writeText(w, Head(r, 200, len(body))+body)
 		return true
 	}
 }
 
-// NotRun answers that the request was not run.
-func NotRun(status int) Script {
+// NotExecuted answers that the request was not run.
+func NotExecuted(status int) Script {
 	return func(w io.Writer, r *Request) bool {
-		write(w, fmt.Sprintf("HTTP/1.1 %d X\r\nRequest-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", status, r.ID()))
+		writeText(w, fmt.Sprintf("HTTP/1.1 %d X\r\nRequest-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", status, r.ID()))
 		return true
 	}
 }
 
 // Failed answers 500 after running the request.
 func Failed(w io.Writer, r *Request) bool {
-	write(w, Head(r, 500, 4)+"oops")
+	writeText(w, Head(r, 500, 4)+"oops")
 	return true
 }
 
 // Hang reads the request and never answers.
 func Hang(_ io.Writer, r *Request) bool {
-	<-r.Gone
+	<-r.Disconnected
 	return false
 }
 
 // After answers as another script does once begin is closed.
-func After(begin <-chan struct{}, s Script) Script {
+func After(start <-chan struct{}, s Script) Script {
 	return func(w io.Writer, r *Request) bool {
 		select {
-		case <-begin:
+		case <-start:
 			return s(w, r)
-		case <-r.Gone:
+		case <-r.Disconnected:
 			return false
 		}
 	}
 }
 
-// Cut closes the connection without an answer.
-func Cut(io.Writer, *Request) bool { return false }
+// CloseUnanswered closes the connection without an answer.
+func CloseUnanswered(io.Writer, *Request) bool { return false }
 
 // Raw writes text, with %ID% for the request's name, and keeps the connection if
 // keep is set.
-func Raw(text string, keep bool) Script {
+func Raw(text string, keepOpen bool) Script {
 	return func(w io.Writer, r *Request) bool {
-		write(w, strings.ReplaceAll(text, "%ID%", r.ID()))
-		return keep
+		writeText(w, strings.ReplaceAll(text, "%ID%", r.ID()))
+		return keepOpen
 	}
 }
 
 // Events streams events of the given numbers, with a pause after each, and ends
 // the stream if whole is set.
-func Events(from, to int, pause time.Duration, whole bool) Script {
+func Events(from, to int, pause time.Duration, complete bool) Script {
 	return func(w io.Writer, r *Request) bool {
 		events := make([]string, 0, to-from+1)
 		for i := from; i <= to; i++ {
 			events = append(events, fmt.Sprintf("id: %d\ndata: piece %d\n\n", i, i))
 		}
-		return Stream(events, pause, whole)(w, r)
+		return Stream(events, pause, complete)(w, r)
 	}
 }
 
 // Stream streams events, with a pause after each, and ends the stream if whole is
 // set.
-func Stream(events []string, pause time.Duration, whole bool) Script {
+func Stream(events []string, pause time.Duration, complete bool) Script {
 	return func(w io.Writer, r *Request) bool {
-		write(w, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nServer-Stamp: s\r\nRequest-Id: "+r.ID()+
+		writeText(w, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nServer-Stamp: s\r\nRequest-Id: "+r.ID()+
 			"\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, event := range events {
-			write(w, fmt.Sprintf("%x\r\n%s\r\n", len(event), event))
+			writeText(w, fmt.Sprintf("%x\r\n%s\r\n", len(event), event))
 			time.Sleep(pause)
 		}
-		if whole {
-			write(w, "0\r\n\r\n")
+		if complete {
+			writeText(w, "0\r\n\r\n")
 		}
-		return whole
+		return complete
 	}
 }
 
@@ -230,6 +230,6 @@
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nServer-Stamp: s\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n", status, r.ID(), length)
 }
 
-func write(w io.Writer, text string) {
+func writeText(w io.Writer, text string) {
 	_, _ = io.WriteString(w, text) // A caller that has gone needs none.
 }
--- a/internal/standin/onplatform/poison_test.go
+++ b/internal/standin/onplatform/requests_ending_replicas_test.go
@@ -29,89 +29,89 @@
 // the same content.
 
 const (
-	// deadly ends each replica that runs it, popular is asked again and again.
-	deadly  = "a body that ends replicas"
-	popular = "a body that many callers send"
-	// backTime is after how long a replica that has ended is back, under a new ID.
-	backTime = 300 * time.Millisecond
-	// settleTime is within what all nodes are to have heard of an end. Operators allow
+	// crashBody ends each replica that runs it, popular is asked again and again.
+	crashBody   = "a body that ends replicas"
+	popularBody = "a body that many callers send"
+	// restartDelay is after how long a replica that has ended is back, under a new ID.
+	restartDelay = 300 * time.Millisecond
+	// blockDelay is within what all nodes are to have heard of an end. Operators allow
 	// some seconds.
-	settleTime = 500 * time.Millisecond
-	// pauseTime is after how long a caller that was refused comes again.
-	pauseTime = 5 * time.Millisecond
-	mostEnded = 5 // Three, and those that were under way meanwhile.
+	blockDelay = 500 * time.Millisecond
+	// retryPause is after how long a caller that was refused comes again.
+	retryPause = 5 * time.Millisecond
+	maxEnded   = 5 // Three, and those that were under way meanwhile.
 )
 
 // fleet is a service whose replicas end under one request and come back.
 type fleet struct {
 	s *site
 
-	mu      sync.Mutex
-	next    int
-	live    map[string]*onplatform.Replica
-	arrived []time.Time // When the deadly request reached a replica.
-	ended   []time.Time // When a replica ended under it.
-	wg      sync.WaitGroup
+	mu            sync.Mutex
+	lastID        int
+	live          map[string]*onplatform.Replica
+	crashArrivals []time.Time // When the deadly request reached a replica.
+	crashes       []time.Time // When a replica ended under it.
+	wg            sync.WaitGroup
 }
 
-func (s *site) fleet(replicas int) *fleet {
+func (s *site) newFleet(replicas int) *fleet {
 	f := &fleet{s: s, live: map[string]*onplatform.Replica{}}
 	s.t.Cleanup(f.wg.Wait)
 	for range replicas {
-		f.start()
+		f.startReplica()
 	}
 	return f
 }
 
-// start starts one more replica, and lists it.
-func (f *fleet) start() {
+// startReplica starts one more replica, and lists it.
+func (f *fleet) startReplica() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next++
-	r := f.s.newReplica(fmt.Sprintf("r%d", f.next))
+	f.lastID++
+	r := f.s.newReplica(fmt.Sprintf("r%d", f.lastID))
 	r.Script(f.script(r))
 	f.live[r.ID] = r
-	f.s.put(r, row(app, r, nil))
+	f.s.putRow(r, replicaRow(appService, r, nil))
 }
 
 // script runs requests for a while. The deadly one ends its replica, if it is of the
 // organisation org-one.
 func (f *fleet) script(r *onplatform.Replica) onplatform.Script {
 	return func(w io.Writer, in *onplatform.Request) bool {
-		if in.Body != deadly || in.Header.Get("Tenant") != "org-one" {
+		if in.Body != crashBody || in.Header.Get("Tenant") != "org-one" {
 			time.Sleep(30 * time.Millisecond)
 			return onplatform.Events(1, 1, 0, true)(w, in)
 		}
 		f.mu.Lock()
-		f.arrived = append(f.arrived, time.Now())
+		f.crashArrivals = append(f.crashArrivals, time.Now())
 		f.mu.Unlock()
 		time.Sleep(20 * time.Millisecond)
-		f.end(r, true)
+		f.stopReplica(r, true)
 		return false
 	}
 }
 
 // end has a replica end and another one start in its place some time later.
-func (f *fleet) end(r *onplatform.Replica, deadly bool) {
+func (f *fleet) stopReplica(r *onplatform.Replica, crashed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.live[r.ID] == nil {
 		return
 	}
 	delete(f.live, r.ID)
-	if deadly {
-		f.ended = append(f.ended, time.Now())
+	if crashed {
+		f.crashes = append(f.crashes, time.Now())
 	}
 	f.wg.Go(func() {
 		r.Close()
-		time.Sleep(backTime)
-		f.start()
-		f.s.store.Drop(onplatform.TableUpstreams, r.ID)
+		time.Sleep(restartDelay)
+		f.startReplica()
+		f.s.store.Delete(onplatform.TableUpstreams, r.ID)
 	})
 }
 
-// endSome ends some replicas that have nothing to do with any request.
-func (f *fleet) endSome(n int) {
+// stopSome ends some replicas that have nothing to do with any request.
+func (f *fleet) stopSome(n int) {
 	f.mu.Lock()
 	var some []*onplatform.Replica
 	for _, r := range f.live {
@@ -121,47 +121,49 @@
 	}
 	f.mu.Unlock()
 	for _, r := range some {
-		f.end(r, false)
+		f.stopReplica(r, false)
 	}
 }
 
 // counts tells how many replicas ended under the deadly request, and how often it reached
 // one later than settleTime after the third.
-func (f *fleet) counts() (ended, later int) {
+func (f *fleet) counts() (crashes, lateArrivals int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.ended) < 3 {
-		return len(f.ended), 0
+	if len(f.crashes) < 3 {
+		return len(f.crashes), 0
 	}
-	for _, at := range f.arrived {
-		if at.After(f.ended[2].Add(settleTime)) {
-			later++
+	for _, at := range f.crashArrivals {
+		if at.After(f.crashes[2].Add(blockDelay)) {
+			lateArrivals++
 		}
 	}
-	return len(f.ended), later
+	return len(f.crashes), lateArrivals
 }
 
-// once sends one request on a connection that it closes: many of them are sent.
-func (n *node) once(text string) reply {
+// sendAndClose sends one request on a connection that it closes: many of them are sent.
+func (n *node) sendAndClose(text string) reply {
 	c := n.dial()
 	defer func() { _ = c.conn.Close() }() // The answer has been read.
 	c.write(text)
 	return c.read()
 }
 
-// deadlyAt sends the deadly request to a node.
-func (n *node) deadlyAt() reply { return n.once(request("POST", "/resume/x", deadly)) }
+// sendCrashRequest sends the deadly request to a node.
+func (n *node) sendCrashRequest() reply {
+	return n.sendAndClose(request("POST", "/resume/x", crashBody))
+}
 
-// repeat has a caller send the deadly request again and again, at one node after the
+// repeatCrashRequest has a caller send the deadly request again and again, at one node after the
 // other.
-func (s *site) repeat(nodes []*node, d time.Duration) (answers map[string]int) {
+func (s *site) repeatCrashRequest(nodes []*node, d time.Duration) (answers map[string]int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	answers = map[string]int{}
-	begun := time.Now()
-	for i := 0; time.Since(begun) < d; i++ {
+	start := time.Now()
+	for i := 0; time.Since(start) < d; i++ {
 		wg.Go(func() {
-			got := nodes[i%len(nodes)].deadlyAt()
+			got := nodes[i%len(nodes)].sendCrashRequest()
 			mu.Lock()
 			defer mu.Unlock()
 			answers[fmt.Sprint(got.status, " ", got.body)]++
@@ -172,13 +174,13 @@
 	return answers
 }
 
-func (s *site) nodes(n int) (list []*node) {
+func (s *site) startNodes(n int) (list []*node) {
 	for i := range n {
-		list = append(list, s.node(fmt.Sprintf("n%d", i)))
+		list = append(list, s.startReadyNode(fmt.Sprintf("n%d", i)))
 	}
-	s.until("each node names all to callers", func() bool {
+	s.waitUntil("each node names all to callers", func() bool {
 		for _, n := range list {
-			if strings.Count(n.addrs(), ":8001") != len(list) {
+			if strings.Count(n.resolve(), ":8001") != len(list) {
 				return false
 			}
 		}
@@ -189,8 +191,8 @@
 
 func TestRequestThatEndsReplicasIsStoppedByAllNodes(t *testing.T) {
 	s := newSite(t)
-	f := s.fleet(8)
-	nodes := s.nodes(3)
+	f := s.newFleet(8)
+	nodes := s.startNodes(3)
 	var served, failed atomic.Int64
 	stop := make(chan struct{})
 	var others sync.WaitGroup
@@ -202,62 +204,62 @@
 					return
 				default:
 				}
-				body := popular
+				body := popularBody
 				if j%2 == 0 {
 					body = fmt.Sprintf("body %d of node %d", j, i)
 				}
-				if n.once(request("POST", "/resume/x", body)).status == 200 {
+				if n.sendAndClose(request("POST", "/resume/x", body)).status == 200 {
 					served.Add(1)
 				} else {
 					failed.Add(1)
-					time.Sleep(pauseTime)
+					time.Sleep(retryPause)
 				}
 			}
 		})
 	}
-	answers := s.repeat(nodes, 4*time.Second)
+	answers := s.repeatCrashRequest(nodes, 4*time.Second)
 	close(stop)
 	others.Wait()
 	ended, later := f.counts()
 	t.Logf("%d replicas ended, %d arrivals later, answers %v; others: %d served, %d failed", ended, later, answers, served.Load(), failed.Load())
-	assert.Assert(t, ended <= mostEnded, "%d replicas ended", ended)
+	assert.Assert(t, ended <= maxEnded, "%d replicas ended", ended)
 	assert.Equal(t, later, 0, "arrivals at replicas once all nodes can know")
 	const final = `400 {"error":"ends_replicas"}`
 	assert.Assert(t, answers[final] > 0, "its caller gets a final answer: %v", answers)
 	assert.Assert(t, served.Load() > 100 && failed.Load()*50 < served.Load(), "%d served, %d failed", served.Load(), failed.Load())
 	for _, n := range nodes {
-		got := n.send(request("POST", "/resume/x", popular))
+		got := n.send(request("POST", "/resume/x", popularBody))
 		assert.Equal(t, got.status, 200, "what is often under way is served: %s", got.body)
-		got = n.send(strings.Replace(request("POST", "/resume/x", deadly), "Bearer "+key, "Bearer key-two", 1))
+		got = n.send(strings.Replace(request("POST", "/resume/x", crashBody), "Bearer "+key, "Bearer key-two", 1))
 		assert.Equal(t, got.status, 200, "another organisation is not concerned: %s", got.body)
 	}
 }
 
 // A node that starts knows nothing of what replicas ended under before, and when all nodes
 // have started anew, none does.
-func TestNodeThatStartsKnowsWhatReplicasEndedUnder(t *testing.T) {
+func TestRestartedNodesStillBlockRequestThatEndsReplicas(t *testing.T) {
 	s := newSite(t)
-	f := s.fleet(8)
-	nodes := s.nodes(2)
-	s.repeat(nodes, 2*time.Second)
+	f := s.newFleet(8)
+	nodes := s.startNodes(2)
+	s.repeatCrashRequest(nodes, 2*time.Second)
 	ended, _ := f.counts()
 	for i := range 3 { // Replicas have come back; the nodes start anew one by one, then all.
-		late := s.node(fmt.Sprintf("late%d", i))
+		late := s.startReadyNode(fmt.Sprintf("late%d", i))
 		for range 3 {
-			late.deadlyAt()
+			late.sendCrashRequest()
 		}
-		late.end()
+		late.close()
 	}
 	for _, n := range nodes {
-		n.end()
+		n.close()
 	}
-	for _, n := range s.nodes(2) {
+	for _, n := range s.startNodes(2) {
 		for range 3 {
-			n.deadlyAt()
+			n.sendCrashRequest()
 		}
 	}
 	after, _ := f.counts()
-	assert.Assert(t, ended <= mostEnded, "%d replicas ended", ended)
+	assert.Assert(t, ended <= maxEnded, "%d replicas ended", ended)
 	assert.Equal(t, after, ended, "replicas that ended under nodes that had started later")
 }
 
@@ -265,44 +267,44 @@
 // took it in some milliseconds before it had read what is blocked. Beside other work on the
 // machine "4 replicas ended" where 3 had before the start, in each of two runs; here the
 // store tells the nodes' table late. Where nobody tells a node in time it serves without.
-func TestNodeThatStartsWaitsForWhatIsBlocked(t *testing.T) {
-	const late = 500 * time.Millisecond
+func TestStartingNodeWaitsForListOfBlockedRequests(t *testing.T) {
+	const readDelay = 500 * time.Millisecond
 	s := newSite(t)
-	f := s.fleet(8)
-	nodes := s.nodes(2)
-	s.repeat(nodes, 2*time.Second)
+	f := s.newFleet(8)
+	nodes := s.startNodes(2)
+	s.repeatCrashRequest(nodes, 2*time.Second)
 	ended, _ := f.counts()
 	for _, n := range nodes {
-		n.end()
+		n.close()
 	}
-	s.store.SlowRead(onplatform.TableNodes, late)
-	n := s.node("late")
-	begun := time.Now()
-	got := n.deadlyAt()
+	s.store.DelayRead(onplatform.TableNodes, readDelay)
+	n := s.startReadyNode("late")
+	start := time.Now()
+	got := n.sendCrashRequest()
 	assert.Equal(t, got.status, 400, "%s", got.body)
 	after, _ := f.counts()
 	assert.Equal(t, after, ended, "replicas that ended under a node that had started later")
-	t.Logf("answered after %v", time.Since(begun))
-	n.end()
+	t.Logf("answered after %v", time.Since(start))
+	n.close()
 
-	s.store.SlowRead(onplatform.TableNodes, time.Minute)
-	n = s.node("untold")
-	begun = time.Now()
-	got = n.once(request("POST", "/resume/x", popular))
+	s.store.DelayRead(onplatform.TableNodes, time.Minute)
+	n = s.startReadyNode("untold")
+	start = time.Now()
+	got = n.sendAndClose(request("POST", "/resume/x", popularBody))
 	assert.Equal(t, got.status, 200, "%s", got.body)
-	assert.Assert(t, time.Since(begun) < 2*time.Second, "%v", time.Since(begun))
-	begun = time.Now()
-	got = n.once(request("POST", "/resume/x", popular))
+	assert.Assert(t, time.Since(start) < 2*time.Second, "%v", time.Since(start))
+	start = time.Now()
+	got = n.sendAndClose(request("POST", "/resume/x", popularBody))
 	assert.Equal(t, got.status, 200, "%s", got.body)
-	assert.Assert(t, time.Since(begun) < 500*time.Millisecond, "only the first ones wait: %v", time.Since(begun))
+	assert.Assert(t, time.Since(start) < 500*time.Millisecond, "only the first ones wait: %v", time.Since(start))
 }
 
 // Replicas that end by themselves, many at once and several times, have many requests
 // under way, and what callers ask most often is always among them.
-func TestPopularRequestIsServedWhileReplicasEndByThemselves(t *testing.T) {
+func TestPopularRequestIsNotBlockedWhenReplicasEndByThemselves(t *testing.T) {
 	s := newSite(t)
-	f := s.fleet(9)
-	nodes := s.nodes(3)
+	f := s.newFleet(9)
+	nodes := s.startNodes(3)
 	statuses := map[int]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -316,20 +318,20 @@
 						return
 					default:
 					}
-					got := n.once(request("POST", "/resume/x", popular))
+					got := n.sendAndClose(request("POST", "/resume/x", popularBody))
 					mu.Lock()
 					statuses[got.status]++
 					mu.Unlock()
 					if got.status != 200 {
-						time.Sleep(pauseTime)
+						time.Sleep(retryPause)
 					}
 				}
 			})
 		}
 	}
 	for range 8 {
-		time.Sleep(backTime + 50*time.Millisecond)
-		f.endSome(4)
+		time.Sleep(restartDelay + 50*time.Millisecond)
+		f.stopSome(4)
 	}
 	close(stop)
 	wg.Wait()
@@ -345,8 +347,8 @@
 				f.mu.Unlock()
 			}
 		}()
-		s.until("it is served everywhere", func() bool {
-			last = n.send(request("POST", "/resume/x", popular))
+		s.waitUntil("it is served everywhere", func() bool {
+			last = n.send(request("POST", "/resume/x", popularBody))
 			return last.status == 200
 		})
 	}
@@ -354,24 +356,26 @@
 
 // Replicas that leave as planned may cut what is still in flight there at the end of their
 // time. A long answer may meet several of those, one after the other, in a release.
-func TestPlannedEndsOfReplicasSpeakAgainstNoRequest(t *testing.T) {
+func TestPlannedReplicaShutdownMakesNoRequestSuspect(t *testing.T) {
 	for name, leave := range map[string]func(s *site, r *onplatform.Replica){
-		"says that it leaves": func(s *site, r *onplatform.Replica) { s.put(r, row(app, r, map[string]any{"state": "draining"})) },
-		"its entry goes":      func(s *site, r *onplatform.Replica) { s.store.Drop(onplatform.TableUpstreams, r.ID) },
+		"says that it leaves": func(s *site, r *onplatform.Replica) {
+			s.putRow(r, replicaRow(appService, r, map[string]any{"state": "draining"}))
+		},
+		"its entry goes": func(s *site, r *onplatform.Replica) { s.store.Delete(onplatform.TableUpstreams, r.ID) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
-			n := s.start("n1")
+			n := s.startNode("n1")
 			for i := range 4 {
 				r := s.newReplica(fmt.Sprint("leaving", i))
 				r.Script(onplatform.Hang)
-				s.put(r, row(app, r, nil))
-				s.until("it is known", n.isReady)
+				s.putRow(r, replicaRow(appService, r, nil))
+				s.waitUntil("it is known", n.isReady)
 				c := n.dial()
-				s.until("a request is in flight there", func() bool {
-					c.write(request("POST", "/resume/x", popular))
+				s.waitUntil("a request is in flight there", func() bool {
+					c.write(request("POST", "/resume/x", popularBody))
 					time.Sleep(workTime)
-					if len(r.Seen()) > 0 {
+					if len(r.Received()) > 0 {
 						return true
 					}
 					got := c.read()
@@ -379,16 +383,16 @@
 					return false
 				})
 				leave(s, r)
-				s.until("the node knows that it leaves", func() bool {
-					return n.once(request("GET", "/safe/x", "", "Deadline-Ms: 300")).status == 503
+				s.waitUntil("the node knows that it leaves", func() bool {
+					return n.sendAndClose(request("GET", "/safe/x", "", "Deadline-Ms: 300")).status == 503
 				})
 				r.Close()
 				assert.Equal(t, c.read().status, 502)
-				s.store.Drop(onplatform.TableUpstreams, r.ID)
+				s.store.Delete(onplatform.TableUpstreams, r.ID)
 			}
 			stays := s.newReplica("stays")
-			s.put(stays, row(app, stays, nil))
-			s.until("it is served", func() bool { return n.once(request("POST", "/resume/x", popular)).status == 200 })
+			s.putRow(stays, replicaRow(appService, stays, nil))
+			s.waitUntil("it is served", func() bool { return n.sendAndClose(request("POST", "/resume/x", popularBody)).status == 200 })
 		})
 	}
 }
--- a/internal/standin/onplatform/shift_test.go
+++ b/internal/standin/onplatform/rows_test.go
@@ -14,8 +14,8 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// row is a replica's row as it writes it itself, with some fields replaced.
-func row(service string, r *onplatform.Replica, fields map[string]any) map[string]any {
+// replicaRow is a replica's row as it writes it itself, with some fields replaced.
+func replicaRow(service string, r *onplatform.Replica, fields map[string]any) map[string]any {
 	w := onplatform.UpstreamRow(service, r.Addr(), 8, "ready")
 	w["born"] = 1_700_000_000_000
 	for k, v := range fields {
@@ -28,7 +28,7 @@
 	return w
 }
 
-func (s *site) put(r *onplatform.Replica, w map[string]any) {
+func (s *site) putRow(r *onplatform.Replica, w map[string]any) {
 	s.store.Put(onplatform.TableUpstreams, r.ID, w)
 }
 
@@ -41,55 +41,55 @@
 
 // reaches says whether any of some requests reaches a replica.
 func (n *node) reaches(r *onplatform.Replica) bool {
-	before := len(r.Seen())
+	before := len(r.Received())
 	for range 20 {
 		n.send(request("GET", "/safe/x", ""))
 	}
-	return len(r.Seen()) > before
+	return len(r.Received()) > before
 }
 
 // Symptom: operators evacuated a data hall, and requests went on to its replicas.
 // Sequence: two halls serve, the node's own first; the row of the evacuation is written,
 // and taken back later.
 // Cause: nodes did not know of such rows.
-func TestEvacuatedHallGetsNothingUntilItIsTakenBack(t *testing.T) {
+func TestEvacuatedHallGetsNoRequestsUntilRestored(t *testing.T) {
 	s := newSite(t)
 	a, b := s.newReplica("a"), s.newReplica("b")
-	s.put(a, row(app, a, nil))
-	s.put(b, row(app, b, map[string]any{"zone": "hall-b"}))
-	n := s.node("n1")
-	s.until("its own hall serves", func() bool { return n.reaches(a) })
+	s.putRow(a, replicaRow(appService, a, nil))
+	s.putRow(b, replicaRow(appService, b, map[string]any{"zone": "hall-b"}))
+	n := s.startReadyNode("n1")
+	s.waitUntil("its own hall serves", func() bool { return n.reaches(a) })
 	s.store.Put(onplatform.TableOperator, "evacuate/hall-a", map[string]any{})
-	s.until("the evacuated hall gets nothing", func() bool { return !n.reaches(a) && n.reaches(b) })
+	s.waitUntil("the evacuated hall gets nothing", func() bool { return !n.reaches(a) && n.reaches(b) })
 	s.store.Put(onplatform.TableOperator, "evacuate/hall-b", "what it says does not matter")
-	s.until("nobody is left", func() bool {
+	s.waitUntil("nobody is left", func() bool {
 		got := n.send(request("GET", "/safe/x", ""))
 		return got.status == 503 && got.body == `{"error":"evacuated"}`
 	})
-	s.store.Forget() // The whole table is read again.
-	s.store.Drop(onplatform.TableOperator, "evacuate/hall-b")
-	s.until("the hall that was taken back serves", func() bool { return n.reaches(b) })
+	s.store.TruncateHistory() // The whole table is read again.
+	s.store.Delete(onplatform.TableOperator, "evacuate/hall-b")
+	s.waitUntil("the hall that was taken back serves", func() bool { return n.reaches(b) })
 	assert.Assert(t, !n.reaches(a))
-	s.store.Drop(onplatform.TableOperator, "evacuate/hall-a")
-	s.until("so does the other", func() bool { return n.reaches(a) })
+	s.store.Delete(onplatform.TableOperator, "evacuate/hall-a")
+	s.waitUntil("so does the other", func() bool { return n.reaches(a) })
 }
 
 // A bad row never takes a good one away.
-func TestBadRowBesideAnEvacuationChangesNothing(t *testing.T) {
+func TestInvalidRowDoesNotUndoEvacuation(t *testing.T) {
 	s := newSite(t)
 	a, b := s.newReplica("a"), s.newReplica("b")
-	s.put(a, row(app, a, nil))
-	s.put(b, row(app, b, map[string]any{"zone": "hall-b"}))
-	n := s.node("n1")
+	s.putRow(a, replicaRow(appService, a, nil))
+	s.putRow(b, replicaRow(appService, b, map[string]any{"zone": "hall-b"}))
+	n := s.startReadyNode("n1")
 	s.store.Put(onplatform.TableOperator, "evacuate/hall-a", map[string]any{})
-	s.until("the evacuated hall gets nothing", func() bool { return !n.reaches(a) && n.reaches(b) })
+	s.waitUntil("the evacuated hall gets nothing", func() bool { return !n.reaches(a) && n.reaches(b) })
 	s.store.Put(onplatform.TableOperator, "evacuate/", map[string]any{})
 	s.store.Put(onplatform.TableOperator, "evacuate/nowhere", map[string]any{})
 	s.store.Put(onplatform.TableOperator, "config", "no JSON")
-	s.store.Drop(onplatform.TableUpstreams, "b")
+	s.store.Delete(onplatform.TableUpstreams, "b")
 	c := s.newReplica("c")
-	s.put(c, row(app, c, map[string]any{"zone": "hall-b"}))
-	s.until("what came behind them is used", func() bool { return n.send(request("GET", "/safe/x", "")).body == "from c" })
+	s.putRow(c, replicaRow(appService, c, map[string]any{"zone": "hall-b"}))
+	s.waitUntil("what came behind them is used", func() bool { return n.send(request("GET", "/safe/x", "")).body == "from c" })
 	assert.Assert(t, !n.reaches(a))
 }
 
@@ -97,8 +97,8 @@
 // Sequence: a good row, then one under the same key in which a field is missing or of
 // another type.
 // Cause: the last good row stayed, and fields that were missing counted as nothing.
-func TestSpoiltRowNamesNoReplica(t *testing.T) {
-	for name, spoilt := range map[string]map[string]any{
+func TestReplicaWithInvalidRowGetsNoRequests(t *testing.T) {
+	for name, invalid := range map[string]map[string]any{
 		"no service":         {"service": nil},
 		"service of numbers": {"service": 7},
 		"no address":         {"addr": nil},
@@ -123,15 +123,15 @@
 			t.Parallel()
 			s := newSite(t)
 			a, b := s.newReplica("a"), s.newReplica("b")
-			s.put(a, row(app, a, nil))
-			s.put(b, row(app, b, nil))
-			n := s.node("n1")
-			s.until("both serve", func() bool { return n.reaches(a) && n.reaches(b) })
-			s.put(b, row(app, b, spoilt))
-			s.until("the spoilt one gets nothing", func() bool { return !n.reaches(b) })
+			s.putRow(a, replicaRow(appService, a, nil))
+			s.putRow(b, replicaRow(appService, b, nil))
+			n := s.startReadyNode("n1")
+			s.waitUntil("both serve", func() bool { return n.reaches(a) && n.reaches(b) })
+			s.putRow(b, replicaRow(appService, b, invalid))
+			s.waitUntil("the spoilt one gets nothing", func() bool { return !n.reaches(b) })
 			assert.Assert(t, n.reaches(a), "the other one holds")
-			s.put(b, row(app, b, nil))
-			s.until("it is back with a good row", func() bool { return n.reaches(b) })
+			s.putRow(b, replicaRow(appService, b, nil))
+			s.waitUntil("it is back with a good row", func() bool { return n.reaches(b) })
 		})
 	}
 }
@@ -140,60 +140,60 @@
 // lost, and refused each request.
 // Sequence: it answers on version 2; it starts again and its row says version 1.
 // Cause: what answers had told counted as newer than the row, whichever start it was of.
-func TestReplicaThatHasStartedAgainHasTheWeightsOfItsRow(t *testing.T) {
+func TestRestartedReplicaHasTheWeightsOfItsRow(t *testing.T) {
 	s := newSite(t)
 	e := s.newReplica("e")
 	models := func(version int) []map[string]any {
 		return []map[string]any{{"name": model, "config_version": version}}
 	}
-	s.put(e, row(llm, e, map[string]any{"models": models(1)}))
+	s.putRow(e, replicaRow(llmService, e, map[string]any{"models": models(1)}))
 	e.Script(onplatform.Raw("HTTP/1.1 200 OK\r\nServer-Stamp: s\r\nRequest-Id: %ID%\r\nVersions: 2\r\nContent-Length: 2\r\n\r\nok", true))
-	n := s.node("n1")
+	n := s.startReadyNode("n1")
 	expected := func() string {
 		n.send(request("POST", "/prompt/x", "b", "Model: "+model, "Prefix-Hash: p1:100,p2:50", "Token-Usage: 150,10"))
-		seen := e.Seen()
+		seen := e.Received()
 		if len(seen) == 0 {
 			return ""
 		}
 		return seen[len(seen)-1].Header.Get("Expect-Version")
 	}
-	s.until("its answers tell of version 2", func() bool { return expected() == "2" })
+	s.waitUntil("its answers tell of version 2", func() bool { return expected() == "2" })
 	e.Script(onplatform.OK("ok"))
-	s.put(e, row(llm, e, map[string]any{"models": models(1), "born": 1_700_000_009_000}))
-	s.until("the new start has version 1", func() bool { return expected() == "1" })
-	s.put(e, row(llm, e, map[string]any{"models": models(2), "born": 1_700_000_000_000}))
-	s.replica(app, "later")
-	s.until("later rows are heard", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
+	s.putRow(e, replicaRow(llmService, e, map[string]any{"models": models(1), "born": 1_700_000_009_000}))
+	s.waitUntil("the new start has version 1", func() bool { return expected() == "1" })
+	s.putRow(e, replicaRow(llmService, e, map[string]any{"models": models(2), "born": 1_700_000_000_000}))
+	s.startReplica(appService, "later")
+	s.waitUntil("later rows are heard", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
 	assert.Equal(t, expected(), "1", "a row of an older start is void")
 }
 
 // Symptom: a replica that had come back cold got more requests in a second than it bears.
 // Sequence: four nodes, a cold replica beside a warm one, more load than both are to get.
 // Cause: its row's word of that was a price only.
-func TestColdReplicaGetsNoMoreThanItBears(t *testing.T) {
+func TestColdReplicaGetsNoMoreThanItsColdRate(t *testing.T) {
 	s := newSite(t)
-	s.cold = map[string]any{"cold_s": 3.0, "cold_per_s": 10.0}
+	s.appFields = map[string]any{"cold_s": 3.0, "cold_per_s": 10.0}
 	s.configure()
 	a := s.newReplica("a")
 	var mu sync.Mutex
-	var came []time.Time
+	var arrived []time.Time
 	a.Script(func(w io.Writer, r *onplatform.Request) bool {
 		mu.Lock()
-		came = append(came, time.Now())
+		arrived = append(arrived, time.Now())
 		mu.Unlock()
 		return onplatform.OK("from a")(w, r)
 	})
-	s.put(a, row(app, a, map[string]any{"cold_left_ms": 3000}))
+	s.putRow(a, replicaRow(appService, a, map[string]any{"cold_left_ms": 3000}))
 	var nodes []*node
 	for i := range 4 {
-		nodes = append(nodes, s.node(fmt.Sprintf("n%d", i)))
+		nodes = append(nodes, s.startReadyNode(fmt.Sprintf("n%d", i)))
 	}
-	begun := time.Now()
+	start := time.Now()
 	var served, refused atomic.Int64
 	var wg sync.WaitGroup
 	for _, n := range nodes {
 		wg.Go(func() {
-			for time.Since(begun) < 2*time.Second {
+			for time.Since(start) < 2*time.Second {
 				switch got := n.send(request("GET", "/safe/x", "")); got.status {
 				case 200:
 					served.Add(1)
@@ -211,10 +211,10 @@
 	mu.Lock()
 	defer mu.Unlock()
 	const bound = 15 // 10 a second, times 1.5.
-	for i := range came {
+	for i := range arrived {
 		n := 0
-		for _, at := range came[i:] {
-			if at.Sub(came[i]) < time.Second {
+		for _, at := range arrived[i:] {
+			if at.Sub(arrived[i]) < time.Second {
 				n++
 			}
 		}
@@ -227,17 +227,17 @@
 // Symptom: requests ran outside the regions that operators allow.
 // Sequence: replicas in two regions; a route with homes, an organisation with others.
 // Cause: nodes did not read where requests may run.
-func TestRequestsWithHomesFindNoReplicaElsewhere(t *testing.T) {
+func TestRequestsRunOnlyInAllowedRegions(t *testing.T) {
 	s := newSite(t)
 	s.regions = `{"hall-a": "one", "hall-b": "two", "hall-c": "three"}`
 	s.tenants = append(s.tenants, map[string]any{"name": "at-home", "api_keys": []string{"key-home"}, "allowed_regions": []string{"two"}})
-	homed := map[string]any{"name": "homed", "host": host, "path_prefix": "/homed/", "kind": "idempotent", "timeout_ms": 4000, "service": app, "max_attempts": 2, "allowed_regions": []string{"two", "three"}}
-	s.routes = append(s.routes, homed)
+	regionalRoute := map[string]any{"name": "homed", "host": host, "path_prefix": "/homed/", "kind": "idempotent", "timeout_ms": 4000, "service": appService, "max_attempts": 2, "allowed_regions": []string{"two", "three"}}
+	s.routes = append(s.routes, regionalRoute)
 	s.configure()
 	a, b := s.newReplica("a"), s.newReplica("b")
-	s.put(a, row(app, a, nil))
-	n := s.node("n1")
-	refused := func(text string) {
+	s.putRow(a, replicaRow(appService, a, nil))
+	n := s.startReadyNode("n1")
+	assertRefused := func(text string) {
 		got := n.send(text)
 		assert.Equal(t, got.status, 503)
 		assert.Equal(t, got.body, `{"error":"outside_homes"}`)
@@ -247,20 +247,20 @@
 		return strings.Replace(request("GET", target, ""), "Bearer "+key, "Bearer key-home", 1)
 	}
 	assert.Equal(t, n.send(request("GET", "/safe/x", "")).status, 200)
-	refused(request("GET", "/homed/x", ""))
-	refused(asOrganisation("/safe/x"))
-	s.put(b, row(app, b, map[string]any{"zone": "hall-b"}))
+	assertRefused(request("GET", "/homed/x", ""))
+	assertRefused(asOrganisation("/safe/x"))
+	s.putRow(b, replicaRow(appService, b, map[string]any{"zone": "hall-b"}))
 	for _, text := range []func() string{
 		func() string { return request("GET", "/homed/x", "") },
 		func() string { return asOrganisation("/safe/x") },
 		func() string { return asOrganisation("/homed/x") },
 	} {
-		s.until("the replica at home serves", func() bool { return n.send(text()).body == "from b" })
+		s.waitUntil("the replica at home serves", func() bool { return n.send(text()).body == "from b" })
 	}
-	homed["allowed_regions"] = []string{"three"}
+	regionalRoute["allowed_regions"] = []string{"three"}
 	s.configure()
-	s.until("route and organisation have no region in common", func() bool {
+	s.waitUntil("route and organisation have no region in common", func() bool {
 		return n.send(asOrganisation("/homed/x")).body == `{"error":"outside_homes"}`
 	})
-	assert.Equal(t, len(a.Seen()), 1)
+	assert.Equal(t, len(a.Received()), 1)
 }
--- a/internal/standin/onplatform/site_test.go
+++ b/internal/standin/onplatform/site_test.go
@@ -28,27 +28,27 @@
 )
 
 const (
-	host    = "boards.example"
-	key     = "key-one"
-	app     = "app"
-	llm     = "llm"
-	model   = "m0"
-	waitFor = 20 * time.Second // A bound on conditions, not a time that is measured.
+	host        = "boards.example"
+	key         = "key-one"
+	appService  = "app"
+	llmService  = "llm"
+	model       = "m0"
+	waitTimeout = 20 * time.Second // A bound on conditions, not a time that is measured.
 )
 
 // site is a deployment of stand-ins, and the nodes before it.
 type site struct {
-	t       *testing.T
-	store   *onplatform.Store
-	version int
-	routes  []map[string]any
-	tenants []map[string]any
-	limits  map[string]any
-	cold    map[string]any   // Further fields of the service app.
-	regions string           // Of data halls, as JSON; "" for none.
-	extra   []map[string]any // Further services.
-	log     *slog.Logger
-	way     *netproxy.Proxy // To the store, nil for none.
+	t             *testing.T
+	store         *onplatform.Store
+	version       int
+	routes        []map[string]any
+	tenants       []map[string]any
+	limits        map[string]any
+	appFields     map[string]any   // Further fields of the service app.
+	regions       string           // Of data halls, as JSON; "" for none.
+	extraServices []map[string]any // Further services.
+	log           *slog.Logger
+	storeProxy    *netproxy.Proxy // To the store, nil for none.
 }
 
 func newSite(t *testing.T) *site {
@@ -57,13 +57,13 @@
 	t.Cleanup(store.Close)
 	s := &site{t: t, store: store, log: slog.New(slog.DiscardHandler)}
 	s.routes = []map[string]any{
-		{"name": "once", "host": host, "path_prefix": "/once/", "kind": "non_idempotent", "timeout_ms": 4000, "target_latency_ms": 150, "service": app, "max_attempts": 1, "priority": 2},
-		{"name": "safe", "host": host, "path_prefix": "/safe/", "kind": "idempotent", "timeout_ms": 4000, "target_latency_ms": 150, "service": app, "max_attempts": 2, "priority": 2},
-		{"name": "resume", "host": host, "path_prefix": "/resume/", "kind": "streaming", "timeout_ms": 6000, "target_latency_ms": 300, "service": app, "max_attempts": 2, "resumable": true},
-		{"name": "stream", "host": host, "path_prefix": "/stream/", "kind": "streaming", "timeout_ms": 6000, "target_latency_ms": 300, "service": app, "max_attempts": 1},
-		{"name": "short", "host": host, "path_prefix": "/short/", "kind": "idempotent", "timeout_ms": 300, "target_latency_ms": 100, "service": app, "max_attempts": 2},
-		{"name": "prompt", "host": host, "path_prefix": "/prompt/", "kind": "streaming", "timeout_ms": 4000, "target_latency_ms": 500, "service": llm, "max_attempts": 1, "sticky": true},
-		{"name": "patient", "host": host, "path_prefix": "/patient/", "kind": "streaming", "timeout_ms": 60000, "target_latency_ms": 500, "service": llm, "max_attempts": 1, "sticky": true},
+		{"name": "once", "host": host, "path_prefix": "/once/", "kind": "non_idempotent", "timeout_ms": 4000, "target_latency_ms": 150, "service": appService, "max_attempts": 1, "priority": 2},
+		{"name": "safe", "host": host, "path_prefix": "/safe/", "kind": "idempotent", "timeout_ms": 4000, "target_latency_ms": 150, "service": appService, "max_attempts": 2, "priority": 2},
+		{"name": "resume", "host": host, "path_prefix": "/resume/", "kind": "streaming", "timeout_ms": 6000, "target_latency_ms": 300, "service": appService, "max_attempts": 2, "resumable": true},
+		{"name": "stream", "host": host, "path_prefix": "/stream/", "kind": "streaming", "timeout_ms": 6000, "target_latency_ms": 300, "service": appService, "max_attempts": 1},
+		{"name": "short", "host": host, "path_prefix": "/short/", "kind": "idempotent", "timeout_ms": 300, "target_latency_ms": 100, "service": appService, "max_attempts": 2},
+		{"name": "prompt", "host": host, "path_prefix": "/prompt/", "kind": "streaming", "timeout_ms": 4000, "target_latency_ms": 500, "service": llmService, "max_attempts": 1, "sticky": true},
+		{"name": "patient", "host": host, "path_prefix": "/patient/", "kind": "streaming", "timeout_ms": 60000, "target_latency_ms": 500, "service": llmService, "max_attempts": 1, "sticky": true},
 	}
 	s.tenants = []map[string]any{{"name": "org-one", "api_keys": []string{key}}, {"name": "org-two", "api_keys": []string{"key-two"}, "isolated": true}}
 	s.limits = map[string]any{"max_header_bytes": 4096, "max_body_bytes": 1 << 20, "header_timeout_ms": 3000, "idle_timeout_ms": 15000}
@@ -75,40 +75,40 @@
 func (s *site) configure() {
 	s.version++
 	services := []map[string]any{
-		s.app(),
-		{"name": llm, "health_path": "/healthz", "max_conns": 100, "engine": map[string]any{
+		s.appConfig(),
+		{"name": llmService, "health_path": "/healthz", "max_conns": 100, "engine": map[string]any{
 			"slots": 8, "kv_capacity_tokens": 40000, "kv_token_bytes": 1000, "link_mbps": 10000.0, "managed": true,
 			"models": []map[string]any{{"name": model}},
 		}},
 	}
 	s.store.Put(onplatform.TableOperator, "config", map[string]any{
-		"config_version": s.version, "routes": s.routes, "services": append(services, s.extra...), "limits": s.limits, "tenants": s.tenants,
+		"config_version": s.version, "routes": s.routes, "services": append(services, s.extraServices...), "limits": s.limits, "tenants": s.tenants,
 	})
 }
 
-func (s *site) app() map[string]any {
-	v := map[string]any{"name": app, "health_path": "/healthz", "max_conns": 100}
-	maps.Copy(v, s.cold)
+func (s *site) appConfig() map[string]any {
+	v := map[string]any{"name": appService, "health_path": "/healthz", "max_conns": 100}
+	maps.Copy(v, s.appFields)
 	return v
 }
 
-// replica starts a replica of a service and lists it.
-func (s *site) replica(service, id string) *onplatform.Replica {
+// startReplica starts a replica of a service and lists it.
+func (s *site) startReplica(service, id string) *onplatform.Replica {
 	r, err := onplatform.NewReplica(id)
 	assert.NilError(s.t, err)
 	s.t.Cleanup(r.Close)
-	s.list(service, r, "ready", 1)
+	s.listReplica(service, r, "ready", 1)
 	return r
 }
 
-func (s *site) list(service string, r *onplatform.Replica, state string, weights int) {
-	s.listAt(service, r, r.Addr(), state, weights)
+func (s *site) listReplica(service string, r *onplatform.Replica, state string, weights int) {
+	s.listReplicaAt(service, r, r.Addr(), state, weights)
 }
 
-// listAt lists a replica that is reached at another address.
-func (s *site) listAt(service string, r *onplatform.Replica, addr netip.AddrPort, state string, weights int) {
+// listReplicaAt lists a replica that is reached at another address.
+func (s *site) listReplicaAt(service string, r *onplatform.Replica, addr netip.AddrPort, state string, weights int) {
 	row := onplatform.UpstreamRow(service, addr, 8, state)
-	if service == llm {
+	if service == llmService {
 		row["models"] = []map[string]any{{"name": model, "config_version": weights}}
 	}
 	s.store.Put(onplatform.TableUpstreams, r.ID, row)
@@ -116,8 +116,8 @@
 
 var nextIP atomic.Int32
 
-// freeIP is a loopback address that no other test uses.
-func freeIP() string {
+// uniqueIP is a loopback address that no other test uses.
+func uniqueIP() string {
 	n := nextIP.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, 1+n/200, 1+n%200)
 }
@@ -125,18 +125,18 @@
 // node is one node under test.
 type node struct {
 	*gateway.Gateway
-	s     *site
-	entry string
-	ready string
-	dir   string
-	stop  sync.Once
+	site      *site
+	entry     string
+	ready     string
+	directory string
+	closeOnce sync.Once
 }
 
 func (s *site) settings(name string) config.GatewaySettings {
-	ip := freeIP()
+	ip := uniqueIP()
 	store := s.store.Addr()
-	if s.way != nil {
-		store = s.way.Addr()
+	if s.storeProxy != nil {
+		store = s.storeProxy.Addr()
 	}
 	text := fmt.Sprintf(`{
 		"node": {"name": %q, "data_hall": "hall-a"},
@@ -154,10 +154,10 @@
 	return settings
 }
 
-// start starts a node without waiting for it to be ready.
-func (s *site) start(name string) *node { return s.startWith(s.settings(name)) }
+// startNode starts a node without waiting for it to be ready.
+func (s *site) startNode(name string) *node { return s.startNodeWith(s.settings(name)) }
 
-func (s *site) startWith(settings config.GatewaySettings) *node {
+func (s *site) startNodeWith(settings config.GatewaySettings) *node {
 	g, err := gateway.New(settings, gateway.Platform{
 		Store:   platform.NewStore(settings.Platform.Store),
 		Engines: platform.NewEngines(),
@@ -166,23 +166,23 @@
 	}, s.log)
 	assert.NilError(s.t, err)
 	n := &node{
-		Gateway: g,
-		s:       s,
-		entry:   settings.Entry.Listen.String(),
-		ready:   settings.Entry.Ready.String(),
-		dir:     settings.Entry.Directory.String(),
+		Gateway:   g,
+		site:      s,
+		entry:     settings.Entry.Listen.String(),
+		ready:     settings.Entry.Ready.String(),
+		directory: settings.Entry.Directory.String(),
 	}
-	s.t.Cleanup(n.end)
+	s.t.Cleanup(n.close)
 	g.Start()
 	return n
 }
 
-func (n *node) end() { n.stop.Do(n.Close) }
+func (n *node) close() { n.closeOnce.Do(n.Close) }
 
-// node starts a node and waits until it has heard of the site.
-func (s *site) node(name string) *node {
-	n := s.start(name)
-	s.until("ready", func() bool { return n.isReady() })
+// startReadyNode starts a node and waits until it has heard of the site.
+func (s *site) startReadyNode(name string) *node {
+	n := s.startNode(name)
+	s.waitUntil("ready", func() bool { return n.isReady() })
 	return n
 }
 
@@ -195,22 +195,22 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// until waits for a condition.
-func (s *site) until(what string, ok func() bool) {
+// waitUntil waits for a condition.
+func (s *site) waitUntil(what string, ok func() bool) {
 	s.t.Helper()
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		if ok() {
 			return poll.Success()
 		}
 		return poll.Continue("waiting until %s", what)
-	}, poll.WithTimeout(waitFor), poll.WithDelay(10*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(10*time.Millisecond))
 }
 
-var requests atomic.Int64
+var requestCount atomic.Int64
 
 // request is the text of a request with an id of its own.
 func request(method, target, body string, fields ...string) string {
-	id := fmt.Sprintf("r-%d", requests.Add(1))
+	id := fmt.Sprintf("r-%d", requestCount.Add(1))
 	head := []string{
 		method + " " + target + " HTTP/1.1", "Host: " + host, "Request-Id: " + id, "Authorization: Bearer " + key,
 	}
@@ -226,10 +226,10 @@
 	status int
 	header http.Header
 	body   string
-	// cut says that the answer broke off, or never came.
-	cut bool
-	// last says that the node ends the connection.
-	last bool
+	// incomplete says that the answer broke off, or never came.
+	incomplete bool
+	// closing says that the node ends the connection.
+	closing bool
 }
 
 // client is one connection of a client.
@@ -241,10 +241,10 @@
 
 func (n *node) dial() *client {
 	conn, err := net.Dial("tcp", n.entry)
-	assert.NilError(n.s.t, err)
-	n.s.t.Cleanup(func() { _ = conn.Close() })
-	assert.NilError(n.s.t, conn.SetDeadline(time.Now().Add(waitFor)))
-	return &client{t: n.s.t, conn: conn, r: bufio.NewReader(conn)}
+	assert.NilError(n.site.t, err)
+	n.site.t.Cleanup(func() { _ = conn.Close() })
+	assert.NilError(n.site.t, conn.SetDeadline(time.Now().Add(waitTimeout)))
+	return &client{t: n.site.t, conn: conn, r: bufio.NewReader(conn)}
 }
 
 func (c *client) write(text string) {
@@ -255,11 +255,11 @@
 func (c *client) read() reply {
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		return reply{cut: true}
+		return reply{incomplete: true}
 	}
 	defer closeBody(resp)
 	body, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, header: resp.Header, body: string(body), cut: err != nil, last: resp.Close}
+	return reply{status: resp.StatusCode, header: resp.Header, body: string(body), incomplete: err != nil, closing: resp.Close}
 }
 
 // send sends one request on a connection of its own.
@@ -269,15 +269,15 @@
 	return c.read()
 }
 
-// addrs asks a node where to go.
-func (n *node) addrs() string {
-	resp, err := http.Get("http://" + n.dir + platform.PathResolve + "?name=" + host + "&zone=hall-a")
+// resolve asks a node where to go.
+func (n *node) resolve() string {
+	resp, err := http.Get("http://" + n.directory + platform.PathResolve + "?name=" + host + "&zone=hall-a")
 	if err != nil {
 		return ""
 	}
 	defer closeBody(resp)
 	body, err := io.ReadAll(resp.Body)
-	assert.NilError(n.s.t, err)
+	assert.NilError(n.site.t, err)
 	return string(body)
 }
 
--- a/internal/standin/onplatform/stop_test.go
+++ b/internal/standin/onplatform/stop_test.go
@@ -15,19 +15,19 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// lookedQuiet is when a stop has long had nothing to wait for but a request that
+// quietTime is when a stop has long had nothing to wait for but a request that
 // is still being read.
-const lookedQuiet = 2 * time.Second
+const quietTime = 2 * time.Second
 
 // workTime is how long replicas of these tests work on a request.
 const workTime = 100 * time.Millisecond
 
-// slowly answers after the replica has worked for a while, unless the caller goes.
-func slowly(begun func()) onplatform.Script {
+// slowAnswer answers after the replica has worked for a while, unless the caller goes.
+func slowAnswer(onStart func()) onplatform.Script {
 	return func(w io.Writer, r *onplatform.Request) bool {
-		begun()
+		onStart()
 		select {
-		case <-r.Gone:
+		case <-r.Disconnected:
 			return false
 		case <-time.After(workTime):
 		}
@@ -56,10 +56,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
-			a := s.replica(app, "a")
-			n := s.node("n1")
-			begun := make(chan struct{})
-			a.Script(slowly(func() { close(begun) }))
+			a := s.startReplica(appService, "a")
+			n := s.startReadyNode("n1")
+			started := make(chan struct{})
+			a.Script(slowAnswer(func() { close(started) }))
 			c := n.dial()
 			c.write(text[:sent])
 			time.Sleep(workTime) // They have been read.
@@ -67,16 +67,16 @@
 			go func() {
 				defer close(ended)
 				n.Drain()
-				<-begun
-				n.end()
+				<-started
+				n.close()
 			}()
-			time.Sleep(lookedQuiet)
+			time.Sleep(quietTime)
 			c.write(text[sent:])
-			<-begun
+			<-started
 			got := c.read()
-			assert.Assert(t, !got.cut, "a replica has begun on it")
+			assert.Assert(t, !got.incomplete, "a replica has started on it")
 			assert.Equal(t, got.body, "whole")
-			assert.Assert(t, got.last, "the connection is not to be used again")
+			assert.Assert(t, got.closing, "the connection is not to be used again")
 			<-ended
 		})
 	}
@@ -84,100 +84,100 @@
 
 // A stop ends rests and takes no connection any more when callers have had the time to
 // hear of it; it does not wait for a request where there is none.
-func TestStoppedNodeTakesNoConnection(t *testing.T) {
+func TestStoppedNodeRefusesConnections(t *testing.T) {
 	s := newSite(t)
-	a := s.replica(app, "a")
-	n := s.node("n1")
-	rests := n.dial()
-	begun := time.Now()
+	a := s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
+	idle := n.dial()
+	start := time.Now()
 	n.Drain()
-	assert.Assert(t, time.Since(begun) < lookedQuiet)
-	assert.Assert(t, rests.read().cut)
+	assert.Assert(t, time.Since(start) < quietTime)
+	assert.Assert(t, idle.read().incomplete)
 	_, err := net.Dial("tcp", n.entry)
 	assert.ErrorContains(t, err, "refused")
-	n.end()
-	assert.Equal(t, len(a.Seen()), 0)
+	n.close()
+	assert.Equal(t, len(a.Received()), 0)
 }
 
 // A request of which the rest never comes holds a stop no longer than its time allows.
-func TestStopEndsThoughARequestNeverBecomesWhole(t *testing.T) {
+func TestIncompleteRequestDoesNotDelayStopPastGrace(t *testing.T) {
 	s := newSite(t)
-	s.replica(app, "a")
-	n := s.node("n1")
+	s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
 	c := n.dial()
 	c.write("POST /once/x HTTP/1.1\r\nHost: " + host + "\r\nRequest-Id: slow\r\nContent-Length: 9\r\n\r\nabc")
-	begun := time.Now()
+	start := time.Now()
 	n.Drain()
-	n.end()
-	assert.Assert(t, time.Since(begun) < 5*time.Second, "its grace period")
-	assert.Assert(t, c.read().cut)
+	n.close()
+	assert.Assert(t, time.Since(start) < 5*time.Second, "its grace period")
+	assert.Assert(t, c.read().incomplete)
 }
 
 // The stops of a busy site.
 const (
-	stopNodes   = 3
-	stopClients = 24 // Of each node.
-	stopApart   = 300 * time.Millisecond
-	mostPause   = 250 * time.Millisecond // Before a request, and within one.
-	shortWork   = 15 * time.Millisecond
+	stoppedNodes   = 3
+	clientsPerNode = 24 // Of each node.
+	stopInterval   = 300 * time.Millisecond
+	maxPause       = 250 * time.Millisecond // Before a request, and within one.
+	shortWorkTime  = 15 * time.Millisecond
 )
 
 // The test above puts the bytes where they did harm; here chance does, over whole stops
 // that overlap, while clients go on, on kept connections and on new ones, with requests
 // of which a part comes later. Whatever a replica has begun is answered.
-func TestStopsCutNothingThatAReplicaHasBegun(t *testing.T) {
+func TestOverlappingStopsCutNoStartedRequest(t *testing.T) {
 	s := newSite(t)
-	a := s.replica(app, "a")
+	a := s.startReplica(appService, "a")
 	a.Script(func(w io.Writer, r *onplatform.Request) bool {
-		time.Sleep(shortWork)
+		time.Sleep(shortWorkTime)
 		return onplatform.OK("whole")(w, r)
 	})
 	var answered sync.Map
 	var clients, stops sync.WaitGroup
-	nodes := make([]*node, stopNodes)
+	nodes := make([]*node, stoppedNodes)
 	for i, name := range []string{"n1", "n2", "n3"} {
-		nodes[i] = s.node(name)
+		nodes[i] = s.startReadyNode(name)
 	}
 	for _, n := range nodes {
-		for range stopClients {
-			clients.Go(func() { n.callUntilGone(&answered) })
+		for range clientsPerNode {
+			clients.Go(func() { n.callUntilStopped(&answered) })
 		}
 	}
-	time.Sleep(stopApart)
+	time.Sleep(stopInterval)
 	for _, n := range nodes {
 		stops.Go(func() {
 			n.Drain()
-			n.end()
+			n.close()
 		})
-		time.Sleep(stopApart)
+		time.Sleep(stopInterval)
 	}
 	stops.Wait()
 	clients.Wait()
-	for _, in := range a.Seen() {
+	for _, in := range a.Received() {
 		_, ok := answered.Load(in.ID())
 		assert.Check(t, ok, "%s has run without an answer", in.ID())
 	}
-	t.Logf("%d requests have run", len(a.Seen()))
+	t.Logf("%d requests have run", len(a.Received()))
 }
 
-// callUntilGone sends requests, some in two parts, until the node listens no more.
-func (n *node) callUntilGone(answered *sync.Map) {
+// callUntilStopped sends requests, some in two parts, until the node listens no more.
+func (n *node) callUntilStopped(answered *sync.Map) {
 	for {
 		conn, err := net.Dial("tcp", n.entry)
 		if err != nil {
 			return
 		}
-		callUntilLast(conn, answered)
+		callUntilClosed(conn, answered)
 		_ = conn.Close() // A new one is made.
 	}
 }
 
-// callUntilLast sends requests on a connection as long as the node keeps it.
-func callUntilLast(conn net.Conn, answered *sync.Map) {
-	_ = conn.SetDeadline(time.Now().Add(waitFor)) // A broken one is seen below.
+// callUntilClosed sends requests on a connection as long as the node keeps it.
+func callUntilClosed(conn net.Conn, answered *sync.Map) {
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout)) // A broken one is seen below.
 	c := &client{conn: conn, r: bufio.NewReader(conn)}
 	for {
-		time.Sleep(rand.N(mostPause))
+		time.Sleep(rand.N(maxPause))
 		text := request("POST", "/once/x", "the whole body")
 		id := text[strings.Index(text, "r-"):]
 		id = id[:strings.Index(id, "\r")]
@@ -187,18 +187,18 @@
 		}
 		for i, part := range parts {
 			if i > 0 {
-				time.Sleep(rand.N(mostPause))
+				time.Sleep(rand.N(maxPause))
 			}
 			if _, err := io.WriteString(conn, part); err != nil {
 				return
 			}
 		}
 		got := c.read()
-		if got.cut {
+		if got.incomplete {
 			return
 		}
 		answered.Store(id, got.status)
-		if got.last {
+		if got.closing {
 			return
 		}
 	}
--- a/internal/standin/onplatform/store.go
+++ b/internal/standin/onplatform/store.go
@@ -53,17 +53,17 @@
 	ln   net.Listener
 	http *http.Server
 
-	mu      sync.Mutex
-	rows    map[string]map[string]Row
-	old     map[string]map[string]Row
-	oldAt   int64
-	version int64
-	history int64 // Changes up to this version are forgotten.
-	changed chan struct{}
-	mode    Mode
-	calls   int
-	slow    map[string]time.Duration
-	begun   time.Time
+	mu           sync.Mutex
+	rows         map[string]map[string]Row
+	staleRows    map[string]map[string]Row
+	staleVersion int64
+	version      int64
+	historyStart int64 // Changes up to this version are forgotten.
+	changed      chan struct{}
+	mode         Mode
+	calls        int
+	readDelays   map[string]time.Duration
+	startedAt    time.Time
 }
 
 // NewStore starts a store without rows.
@@ -72,12 +72,12 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{ln: ln, rows: map[string]map[string]Row{}, changed: make(chan struct{}), version: 1, begun: time.Now()}
+	s := &Store{ln: ln, rows: map[string]map[string]Row{}, changed: make(chan struct{}), version: 1, startedAt: time.Now()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/rows-get", s.read)
 	mux.HandleFunc("GET /-/rows-feed", s.feed)
 	mux.HandleFunc("POST /-/rows-tx", s.write)
-	s.http = &http.Server{Handler: s.gate(mux)}
+	s.http = &http.Server{Handler: s.applyMode(mux)}
 	go func() { _ = s.http.Serve(ln) }() // It ends when it is closed.
 	return s, nil
 }
@@ -93,19 +93,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if m == ModeStale {
-		s.old, s.oldAt = clone(s.rows), s.version
+		s.staleRows, s.staleVersion = clone(s.rows), s.version
 	}
 	s.mode = m
-	s.wake()
+	s.notifyWatchers()
 }
 
-// Forget drops the history of changes up to now.
-func (s *Store) Forget() {
+// TruncateHistory drops the history of changes up to now.
+func (s *Store) TruncateHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.history = s.version
-	s.wake()
+	s.historyStart = s.version
+	s.notifyWatchers()
 }
 
 // Calls is how many calls were made.
@@ -127,8 +127,8 @@
 	s.put(Row{Table: table, Key: key, Value: body})
 }
 
-// Drop drops a row.
-func (s *Store) Drop(table, key string) {
+// Delete drops a row.
+func (s *Store) Delete(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(Row{Table: table, Key: key, Gone: true})
@@ -149,10 +149,10 @@
 		s.rows[r.Table] = map[string]Row{}
 	}
 	s.rows[r.Table][r.Key] = r
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -168,8 +168,8 @@
 	return all
 }
 
-// gate lets calls through as the mode has it.
-func (s *Store) gate(next http.Handler) http.Handler {
+// applyMode lets calls through as the mode has it.
+func (s *Store) applyMode(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.calls++
@@ -192,41 +192,41 @@
 	Now     int64
 }
 
-// SlowRead has whole tables of a name be answered late.
-func (s *Store) SlowRead(table string, late time.Duration) {
+// DelayRead has whole tables of a name be answered late.
+func (s *Store) DelayRead(table string, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.slow == nil {
-		s.slow = map[string]time.Duration{}
+	if s.readDelays == nil {
+		s.readDelays = map[string]time.Duration{}
 	}
-	s.slow[table] = late
+	s.readDelays[table] = delay
 }
 
-func (s *Store) lateness(table string) time.Duration {
+func (s *Store) readDelay(table string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.slow[table]
+	return s.readDelays[table]
 }
 
 func (s *Store) read(w http.ResponseWriter, r *http.Request) {
 	select {
-	case <-time.After(s.lateness(r.FormValue("table"))):
+	case <-time.After(s.readDelay(r.FormValue("table"))):
 	case <-r.Context().Done():
 		return
 	}
 	s.mu.Lock()
 	rows, version := s.rows, s.version
 	if s.mode == ModeStale {
-		rows, version = s.old, s.oldAt
+		rows, version = s.staleRows, s.staleVersion
 	}
-	l := listing{Rows: []Row{}, Version: version, Now: time.Since(s.begun).Milliseconds()}
+	l := listing{Rows: []Row{}, Version: version, Now: time.Since(s.startedAt).Milliseconds()}
 	for _, row := range rows[r.FormValue("table")] {
 		if !row.Gone {
 			l.Rows = append(l.Rows, row)
 		}
 	}
 	s.mu.Unlock()
-	answer(w, l)
+	writeListing(w, l)
 }
 
 func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
@@ -238,23 +238,23 @@
 	}
 	end := time.After(time.Duration(wait) * time.Millisecond)
 	for {
-		l, changed, gone := s.since(r.FormValue("table"), after)
-		if gone {
+		l, changed, truncated := s.changesSince(r.FormValue("table"), after)
+		if truncated {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		if len(l.Rows) > 0 {
-			answer(w, l)
+			writeListing(w, l)
 			return
 		}
 		select {
 		case <-changed:
-			if s.silent() {
+			if s.isSilent() {
 				<-r.Context().Done()
 				return
 			}
 		case <-end:
-			answer(w, l)
+			writeListing(w, l)
 			return
 		case <-r.Context().Done():
 			return
@@ -262,22 +262,22 @@
 	}
 }
 
-func (s *Store) silent() bool {
+func (s *Store) isSilent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.mode == ModeSilent
 }
 
-func (s *Store) since(table string, after int64) (l listing, changed chan struct{}, gone bool) {
+func (s *Store) changesSince(table string, after int64) (l listing, changed chan struct{}, truncated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l = listing{Rows: []Row{}, Version: s.version, Now: time.Since(s.begun).Milliseconds()}
+	l = listing{Rows: []Row{}, Version: s.version, Now: time.Since(s.startedAt).Milliseconds()}
 	for _, row := range s.rows[table] {
 		if row.Version > after {
 			l.Rows = append(l.Rows, row)
 		}
 	}
-	return l, s.changed, after < s.history
+	return l, s.changed, after < s.historyStart
 }
 
 type transaction struct {
@@ -302,10 +302,10 @@
 	for _, p := range tx.Put {
 		s.put(p)
 	}
-	answer(w, listing{Rows: []Row{}, Version: s.version, Now: time.Since(s.begun).Milliseconds()})
+	writeListing(w, listing{Rows: []Row{}, Version: s.version, Now: time.Since(s.startedAt).Milliseconds()})
 }
 
-func answer(w http.ResponseWriter, l listing) {
+func writeListing(w http.ResponseWriter, l listing) {
 	body := []byte(`{"rows":[`)
 	for i, r := range l.Rows {
 		if i > 0 {
--- a/internal/standin/onplatform/suspended_test.go
+++ b/internal/standin/onplatform/suspended_test.go
@@ -20,97 +20,97 @@
 // how old its knowledge is; here both clocks have to be compared.
 
 // away holds up all between the site's nodes and its store.
-func (s *site) away() (back func()) {
+func (s *site) cutStore() (restore func()) {
 	held := netproxy.Link{Held: true}
-	s.way.Set(held, held)
-	return s.way.Heal
+	s.storeProxy.Set(held, held)
+	return s.storeProxy.Heal
 }
 
-func TestSuspendedNodeActsOnNothingOldOnceItWakes(t *testing.T) {
+func TestSuspendedNodeDoesNotActOnStaleState(t *testing.T) {
 	for _, d := range []time.Duration{2 * time.Second, 8 * time.Second, 30 * time.Second} {
 		t.Run(d.String(), func(t *testing.T) {
 			s := newSite(t)
-			s.way = s.proxy(s.store.Addr())
+			s.storeProxy = s.newProxy(s.store.Addr())
 			a, b := s.newReplica("a"), s.newReplica("b")
-			s.put(a, row(app, a, nil))
-			s.put(b, row(app, b, map[string]any{"zone": "hall-b"}))
-			n := s.node("n1")
+			s.putRow(a, replicaRow(appService, a, nil))
+			s.putRow(b, replicaRow(appService, b, map[string]any{"zone": "hall-b"}))
+			n := s.startReadyNode("n1")
 			assert.Equal(t, n.send(request("GET", "/safe/x", "")).status, 200)
 			asTwo := func() string {
 				return strings.Replace(request("GET", "/safe/x", ""), "Bearer "+key, "Bearer key-two", 1)
 			}
 			assert.Equal(t, n.send(asTwo()).status, 200)
-			before := len(a.Seen()) + len(b.Seen())
-			back := s.away()
+			before := len(a.Received()) + len(b.Received())
+			restore := s.cutStore()
 			s.tenants = s.tenants[:1]
 			s.configure()
 			boottime.SimulateSuspend(d)
-			woke := time.Now()
+			wokeAt := time.Now()
 			got := n.send(asTwo())
-			back()
+			restore()
 			assert.Assert(t, got.status == 503 || got.status == 401, "status %d", got.status)
-			assert.Equal(t, len(a.Seen())+len(b.Seen()), before, "a key that was taken away")
-			s.until("it knows that the key is gone", func() bool { return n.send(asTwo()).status == 401 })
-			s.until("it serves again", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
-			assert.Assert(t, time.Since(woke) < time.Second, "no longer than a start: %v", time.Since(woke))
+			assert.Equal(t, len(a.Received())+len(b.Received()), before, "a key that was taken away")
+			s.waitUntil("it knows that the key is gone", func() bool { return n.send(asTwo()).status == 401 })
+			s.waitUntil("it serves again", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
+			assert.Assert(t, time.Since(wokeAt) < time.Second, "no longer than a start: %v", time.Since(wokeAt))
 			assert.Assert(t, n.isReady())
 		})
 	}
 }
 
-func TestSuspendedNodeIsNotReadyUntilItHasHeard(t *testing.T) {
+func TestSuspendedNodeIsNotReadyUntilItHasSynced(t *testing.T) {
 	s := newSite(t)
-	s.way = s.proxy(s.store.Addr())
-	s.replica(app, "a")
-	n := s.node("n1")
-	defer s.away()()
+	s.storeProxy = s.newProxy(s.store.Addr())
+	s.startReplica(appService, "a")
+	n := s.startReadyNode("n1")
+	defer s.cutStore()()
 	boottime.SimulateSuspend(8 * time.Second)
 	assert.Assert(t, !n.isReady())
-	assert.Equal(t, n.addrs(), "", "it does not know where callers are to go")
+	assert.Equal(t, n.resolve(), "", "it does not know where callers are to go")
 	got := n.send(request("GET", "/safe/x", ""))
 	assert.Equal(t, got.status, 503)
 	assert.Equal(t, got.body, `{"error":"suspended"}`)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 	// The store stays away. Then its knowledge is as good as that of other nodes then.
-	s.until("it serves", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
+	s.waitUntil("it serves", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
 	assert.Assert(t, n.isReady())
 }
 
 // A request's caller has waited on while the machine was suspended: what is over is not
 // sent again, and "not run" is true.
-func TestRequestWhoseTimePassedWhileSuspendedIsNotSentAgain(t *testing.T) {
+func TestRequestExpiredDuringSuspensionIsNotRetried(t *testing.T) {
 	s := newSite(t)
-	a, b := s.replica(app, "a"), s.replica(app, "b")
-	n := s.node("n1")
-	sleepThen := func(w io.Writer, r *onplatform.Request) bool {
+	a, b := s.startReplica(appService, "a"), s.startReplica(appService, "b")
+	n := s.startReadyNode("n1")
+	suspendThenRefuse := func(w io.Writer, r *onplatform.Request) bool {
 		boottime.SimulateSuspend(8 * time.Second)
-		return onplatform.NotRun(503)(w, r)
+		return onplatform.NotExecuted(503)(w, r)
 	}
-	a.Script(sleepThen)
-	b.Script(sleepThen)
+	a.Script(suspendThenRefuse)
+	b.Script(suspendThenRefuse)
 	got := n.send(request("POST", "/once/x", "b"))
 	assert.Equal(t, got.status, 503)
-	assert.Equal(t, len(a.Seen())+len(b.Seen()), 1)
+	assert.Equal(t, len(a.Received())+len(b.Received()), 1)
 }
 
 // A data hall was evacuated while the machine was suspended.
-func TestSuspendedNodeSendsNothingToAHallThatWasEvacuated(t *testing.T) {
+func TestSuspendedNodeSendsNothingToEvacuatedHall(t *testing.T) {
 	s := newSite(t)
-	s.way = s.proxy(s.store.Addr())
+	s.storeProxy = s.newProxy(s.store.Addr())
 	a, b := s.newReplica("a"), s.newReplica("b")
-	s.put(a, row(app, a, nil))
-	s.put(b, row(app, b, map[string]any{"zone": "hall-b"}))
-	n := s.node("n1")
-	s.until("its own hall serves", func() bool { return n.reaches(a) })
-	back := s.away()
+	s.putRow(a, replicaRow(appService, a, nil))
+	s.putRow(b, replicaRow(appService, b, map[string]any{"zone": "hall-b"}))
+	n := s.startReadyNode("n1")
+	s.waitUntil("its own hall serves", func() bool { return n.reaches(a) })
+	restore := s.cutStore()
 	s.store.Put(onplatform.TableOperator, "evacuate/hall-a", map[string]any{})
 	boottime.SimulateSuspend(8 * time.Second)
-	before := len(a.Seen())
+	before := len(a.Received())
 	for range 10 {
 		n.send(request("GET", "/safe/x", ""))
 	}
-	assert.Equal(t, len(a.Seen()), before)
-	back()
-	s.until("the other hall serves", func() bool { return n.reaches(b) })
-	s.until("and the evacuated one does not", func() bool { return !n.reaches(a) })
+	assert.Equal(t, len(a.Received()), before)
+	restore()
+	s.waitUntil("the other hall serves", func() bool { return n.reaches(b) })
+	s.waitUntil("and the evacuated one does not", func() bool { return !n.reaches(a) })
 }
