--- a/internal/standin/onplatform/accept_test.go
+++ b/internal/standin/onplatform/accept_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// concurrentClients is how many clients try at once for a new connection.
+// concurrentClients is how many clients connect at once in assertServesNewClients.
 const concurrentClients = 7
 
-// assertServesNewClients has clients try at once; each gets its answer.
+// assertServesNewClients connects several clients at once and checks that each is answered.
 func (n *node) assertServesNewClients(t *testing.T) {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -33,7 +33,8 @@
 	}
 }
 
-// shortDescriptors leaves this process no descriptors but those that it has.
+// exhaustDescriptors uses up all file descriptors of this process; closing one of the
+// fillers frees one.
 func exhaustDescriptors(t *testing.T) (fillers []*os.File, restore func()) {
 	var old syscall.Rlimit
 	assert.NilError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old))
@@ -52,7 +53,7 @@
 	return fillers, sync.OnceFunc(func() {
 		assert.NilError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old))
 		for _, f := range fillers {
-			_ = f.Close() // One has been closed before.
+			_ = f.Close() // The test has closed one of them already.
 		}
 	})
 }
@@ -66,29 +67,29 @@
 		defer restore()
 		assert.Assert(t, len(fillers) > 0)
 		var pending net.Conn
-		s.waitUntil("a client has a descriptor, and the node none for it", func() bool {
+		s.waitUntil("a client has a descriptor and the node has none", func() bool {
 			var err error
-			_ = fillers[0].Close() // It may have been closed before.
+			_ = fillers[0].Close() // May be closed already.
 			pending, err = net.Dial("tcp", addr)
 			return err == nil
 		})
-		time.Sleep(workTime) // The node has tried.
+		time.Sleep(workTime) // Time for the node to fail at accept.
 		restore()
 		assert.NilError(t, pending.Close())
 	}
 	n.assertServesNewClients(t)
-	s.waitUntil("it says that it is ready", n.isReady)
+	s.waitUntil("the node is ready", n.isReady)
 	assert.Assert(t, n.resolve() != "")
 }
 
-// places is how many connections of clients a node with fewDescriptors takes: six
-// tenths.
+// maxClientConns is how many client connections a node accepts with descriptorLimit:
+// six tenths of it.
 const (
 	descriptorLimit = 20
 	maxClientConns  = 12
 )
 
-// startNodeWithFewDescriptors starts a node with few places.
+// startNodeWithFewDescriptors starts a node that accepts maxClientConns connections.
 func (s *site) startNodeWithFewDescriptors() *node {
 	settings := s.settings("n1")
 	settings.Limits.Descriptors = descriptorLimit
@@ -106,12 +107,12 @@
 		c.write(request("GET", "/safe/x", ""))
 		assert.Equal(t, c.read().status, 200)
 	}
-	time.Sleep(2 * workTime) // They rest.
+	time.Sleep(2 * workTime) // The connections are idle now.
 	n.assertServesNewClients(t)
 }
 
-// Clients that are slow with their heads, and others that come in a burst, take what
-// places there are; once they have been served or have gone, new ones are taken.
+// Clients that are slow to send their request heads use up all connections. Once their
+// header timeout has passed, new clients must be accepted.
 func TestNewClientsAreServedAfterBurstOfSlowOnes(t *testing.T) {
 	s := newSite(t)
 	s.limits["header_timeout_ms"] = 300
@@ -122,8 +123,8 @@
 		c, err := net.Dial("tcp", n.entry)
 		assert.NilError(t, err)
 		defer func() { _ = c.Close() }()
-		_, _ = c.Write([]byte("GET /safe/x HTTP/1.1\r\n")) // Some find no place.
+		_, _ = c.Write([]byte("GET /safe/x HTTP/1.1\r\n")) // Some are not accepted.
 	}
-	time.Sleep(time.Second) // Their time for the head, and to read that it was over, has passed.
+	time.Sleep(time.Second) // The header timeout has passed, and the node has closed them.
 	n.assertServesNewClients(t)
 }
--- a/internal/standin/onplatform/client_disconnect_test.go
+++ b/internal/standin/onplatform/client_disconnect_test.go
@@ -21,15 +21,16 @@
 )
 
 const (
-	// disconnectTime is within which the work for a client that has left ends.
+	// disconnectTime is the time within which work for a disconnected client must end.
 	disconnectTime = 500 * time.Millisecond
-	// lateArrivalTime is for how long after that it is looked whether anything arrives.
+	// lateArrivalTime is how long after that the tests watch for requests that still arrive.
 	lateArrivalTime = time.Second
 )
 
-// workCounter counts the requests that replicas work on.
+// workCounter counts the requests that replicas are working on.
 type workCounter struct{ running atomic.Int64 }
 
+// counted wraps a script so that the requests it works on are counted.
 func (work *workCounter) counted(script onplatform.Script) onplatform.Script {
 	return func(w io.Writer, r *onplatform.Request) bool {
 		if strings.HasPrefix(r.Target, "/-/") {
@@ -41,16 +42,16 @@
 	}
 }
 
-// assertAllEnded looks half a second after clients have left whether a replica still
-// works on anything, and then for a while whether anything arrives.
+// assertAllEnded checks that disconnectTime after the clients have left no replica works on
+// any request, and that none arrives for a while after.
 func (work *workCounter) assertAllEnded(t *testing.T, disconnectedAt time.Time, replicas ...*onplatform.Replica) {
 	t.Helper()
 	time.Sleep(time.Until(disconnectedAt.Add(disconnectTime)))
-	assert.Equal(t, work.running.Load(), int64(0), "requests still worked on")
+	assert.Equal(t, work.running.Load(), int64(0), "requests still running")
 	arrived := countReceived(replicas)
 	time.Sleep(lateArrivalTime)
-	assert.Equal(t, countReceived(replicas), arrived, "a request has arrived late")
-	assert.Equal(t, work.running.Load(), int64(0), "requests worked on again")
+	assert.Equal(t, countReceived(replicas), arrived, "a request arrived late")
+	assert.Equal(t, work.running.Load(), int64(0), "requests running again")
 }
 
 func countReceived(replicas []*onplatform.Replica) int {
@@ -74,7 +75,7 @@
 	r := s.startReplica(llmService, "e")
 	release := make(chan struct{})
 	unblock := sync.OnceFunc(func() { close(release) })
-	defer unblock() // The engine waits for it at its end.
+	defer unblock() // Close of the engine waits for its requests.
 	r.Script(work.counted(func(w io.Writer, r *onplatform.Request) bool {
 		<-release
 		return onplatform.Events(1, 1, 0, true)(w, r)
@@ -89,9 +90,9 @@
 		clients[idField.FindStringSubmatch(text)[1]] = c
 	}
 	s.waitUntil("the engine has some", func() bool { return len(r.Received()) >= 2 })
-	time.Sleep(workTime) // No more are let in.
+	time.Sleep(workTime) // The node has sent the engine all that it takes at a time.
 	held := r.Received()
-	assert.Assert(t, len(held) < sent, "none waits")
+	assert.Assert(t, len(held) < sent, "no request is queued")
 	for _, in := range held {
 		delete(clients, in.ID())
 	}
@@ -99,12 +100,12 @@
 	for _, c := range clients {
 		disconnectedAt = c.disconnect()
 	}
-	unblock() // The engine has room at the moment at which they leave.
+	unblock() // The engine becomes free just when the queued clients leave.
 	work.assertAllEnded(t, disconnectedAt, r)
 	assert.Equal(t, len(r.Received()), len(held))
 }
 
-// startCacheStore starts a store that tells of two parts of the prompt.
+// startCacheStore starts a KV cache store whose events list two parts of the prompt.
 func (s *site) startCacheStore() {
 	r, err := onplatform.NewReplica("kv")
 	assert.NilError(s.t, err)
@@ -137,7 +138,7 @@
 		seen := r.Received()
 		return len(seen) > 0 && seen[len(seen)-1].Header.Get("Kv-Fetch") != ""
 	}
-	s.waitUntil("prompts are sent with where to fetch from", func() bool {
+	s.waitUntil("prompts are sent with a place to fetch from", func() bool {
 		n.send(prompt("b0"))
 		return fetched()
 	})
@@ -170,7 +171,7 @@
 			c.disconnect()
 			c = n.dial()
 			c.write(text)
-			time.Sleep(10 * time.Millisecond) // The node has read it.
+			time.Sleep(10 * time.Millisecond) // The node has read the bytes.
 			disconnectedAt = c.disconnect()
 		}
 	}
@@ -178,8 +179,7 @@
 	assert.Equal(t, len(a.Received()), 0)
 }
 
-// A client leaves at the moment at which its first attempt ends without an answer to
-// deliver.
+// A client disconnects just when its first attempt fails in a way that allows a retry.
 func TestNoRetryAfterClientDisconnect(t *testing.T) {
 	for name, script := range map[string]onplatform.Script{
 		"refused": onplatform.NotExecuted(503),
@@ -210,7 +210,7 @@
 				select {
 				case <-reached:
 					proceed <- struct{}{}
-					t.Error("a second attempt has arrived")
+					t.Error("a second attempt arrived")
 				case <-time.After(workTime):
 				}
 			}
@@ -255,22 +255,22 @@
 			n := s.startReadyNode("n1")
 			script := work.counted(func(w io.Writer, r *onplatform.Request) bool {
 				firstPart(w, r)
-				return onplatform.Hang(w, r) // What comes next takes long.
+				return onplatform.Hang(w, r) // The rest never comes.
 			})
 			a.Script(script)
 			b.Script(script)
 			c := n.dial()
 			c.write(request("POST", path, "body"))
 			s.waitUntil("the request is at a replica", func() bool { return len(a.Received())+len(b.Received()) > 0 })
-			time.Sleep(workTime / 2) // Its answer has begun.
+			time.Sleep(workTime / 2) // The answer has started.
 			work.assertAllEnded(t, c.disconnect(), a, b)
 			assert.Equal(t, countReceived([]*onplatform.Replica{a, b}), 1)
 		})
 	}
 }
 
-// A client that reads nothing any more and then leaves: the node is held by writing to
-// it.
+// A client stops reading its stream and then disconnects while the node is blocked in a
+// write to it.
 func TestClientDisconnectStopsUnreadStream(t *testing.T) {
 	s := newSite(t)
 	work := &workCounter{}
@@ -282,7 +282,7 @@
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nServer-Stamp: s\r\nRequest-Id: "+r.ID()+"\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for {
 				if _, err := fmt.Fprintf(w, "%x\r\n%s\r\n", len(event), event); err != nil {
-					return // The connection has ended.
+					return // The connection was closed.
 				}
 			}
 		}()
@@ -292,19 +292,19 @@
 	c := n.dial()
 	c.write(request("POST", "/stream/x", "body"))
 	s.waitUntil("the request is at the replica", func() bool { return len(a.Received()) == 1 })
-	time.Sleep(2 * workTime) // All buffers are full.
+	time.Sleep(2 * workTime) // All socket buffers are full.
 	work.assertAllEnded(t, c.disconnect(), a)
 }
 
-// stalledReplica is a replica whose connections are not read until it is told to.
+// stalledReplica is a replica that reads nothing from its connections until resume is closed.
 type stalledReplica struct {
 	ln        net.Listener
 	resume    chan struct{}
 	accepted  chan struct{}
-	completed atomic.Int64 // Requests that were whole.
+	completed atomic.Int64 // Requests that were read to their end.
 }
 
-// stalledReceiveBuffer is the receive buffer of such a connection, in bytes.
+// stalledReceiveBuffer is the size in bytes of the receive buffer of its connections.
 const stalledReceiveBuffer = 4 << 10
 
 func (s *site) startStalledReplica(service, id string) *stalledReplica {
@@ -349,7 +349,8 @@
 	}
 }
 
-// The replica takes no bytes for a while, and then what the node's system still holds.
+// A replica reads nothing for a while, and its client disconnects meanwhile. Once it reads
+// again it must not get a complete request from the socket buffers of the node.
 func TestBufferedRequestIsNotDeliveredAfterDisconnect(t *testing.T) {
 	s := newSite(t)
 	r := s.startStalledReplica(appService, "a")
@@ -357,15 +358,15 @@
 	c := n.dial()
 	c.write(request("POST", "/safe/x", strings.Repeat("x", 512<<10)))
 	<-r.accepted
-	time.Sleep(workTime / 2) // It is being sent.
+	time.Sleep(workTime / 2) // The node is sending it.
 	disconnectedAt := c.disconnect()
 	time.Sleep(time.Until(disconnectedAt.Add(disconnectTime + workTime)))
 	close(r.resume)
 	time.Sleep(lateArrivalTime)
-	assert.Equal(t, r.completed.Load(), int64(0), "it arrived after its client had left")
+	assert.Equal(t, r.completed.Load(), int64(0), "the request arrived after its client had disconnected")
 }
 
-// requestInProgress is a client whose request a replica works on, and does not end.
+// requestInProgress returns a client whose request a replica works on without end.
 func requestInProgress(t *testing.T) (work *workCounter, a *onplatform.Replica, c *client) {
 	s := newSite(t)
 	work = &workCounter{}
@@ -383,8 +384,8 @@
 	work.assertAllEnded(t, time.Now(), a)
 }
 
-// Behind the request that a replica works on, the node has bytes of the client's next
-// ones when the client leaves.
+// A client disconnects while a replica works on its request and the node has already read
+// bytes of the client's next request, which hid the end of the connection.
 func TestDisconnectIsNoticedBehindPipelinedRequest(t *testing.T) {
 	whole := request("GET", "/safe/x", "")
 	for name, next := range map[string]string{
@@ -395,15 +396,15 @@
 		t.Run(name, func(t *testing.T) {
 			work, a, c := requestInProgress(t)
 			c.write(next)
-			time.Sleep(workTime) // The node has read it.
+			time.Sleep(workTime) // The node has read the bytes.
 			work.assertAllEnded(t, c.disconnect(), a)
 			assert.Equal(t, len(a.Received()), 1)
 		})
 	}
 }
 
-// The node comes to a request only once its client has left: it was busy with the one
-// before it.
+// A client pipelines a second request and disconnects while the first one runs, so the node
+// reads the second one only after the disconnect.
 func TestPipelinedRequestIsNotSentAfterDisconnect(t *testing.T) {
 	s := newSite(t)
 	work := &workCounter{}
@@ -427,7 +428,7 @@
 		select {
 		case <-reached:
 			proceed <- struct{}{}
-			t.Error("a request has arrived whose client had left before it was read")
+			t.Error("a request arrived whose client had disconnected before the node read it")
 		case <-time.After(workTime):
 		}
 	}
@@ -435,7 +436,7 @@
 	assert.Equal(t, len(a.Received()), rounds)
 }
 
-// Many clients at once give up as soon as they have sent.
+// Many clients disconnect at once, right after they have sent their requests.
 func TestMassDisconnectLeavesNoRunningRequests(t *testing.T) {
 	for name, linger := range map[string]int{"closed": -1, "reset": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -451,7 +452,7 @@
 				c := n.dial()
 				assert.NilError(t, c.conn.(*net.TCPConn).SetLinger(linger))
 				clients.Go(func() {
-					_, _ = io.WriteString(c.conn, request("GET", "/safe/x", "")) // The node may have gone no further.
+					_, _ = io.WriteString(c.conn, request("GET", "/safe/x", "")) // Fails if the node has not accepted it.
 					_ = c.conn.Close()
 				})
 			}
--- a/internal/standin/onplatform/configuration.go
+++ b/internal/standin/onplatform/configuration.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// Configuration is what an operator writes under "config" for a site with many
-// routes.
+// Configuration is the configuration that an operator writes under "config" for a
+// site with many routes.
 type Configuration struct {
 	Version  int64          `json:"config_version"`
 	Routes   []Route        `json:"routes"`
@@ -30,7 +30,7 @@
 	Resumable   bool    `json:"resumable"`
 }
 
-// Share is a service's part of a Route.
+// Share is the share of a Route's traffic that a service gets.
 type Share struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
@@ -46,8 +46,8 @@
 // serviceCount is how many services the routes of a Configuration share.
 const serviceCount = 12
 
-// NewConfiguration makes up a configuration with so many routes on so many hosts.
-// One with more routes begins with the same ones, as when routes are added.
+// NewConfiguration returns a pseudo-random configuration with the given numbers of
+// routes and hosts. A larger number of routes only adds routes to the same first ones.
 func NewConfiguration(version int64, routes, hosts int) Configuration {
 	r := rand.New(rand.NewPCG(1, 2))
 	c := Configuration{
@@ -86,7 +86,7 @@
 	}
 }
 
-// randomName is a random name of two syllables and a number, as the platform's are.
+// randomName returns a random name of two syllables and a number, like the platform's names.
 func randomName(r *rand.Rand) string {
 	const consonants, vowels = "bcdfghjklmnpqrstvwxyz", "aeiou"
 	syllable := func() string {
--- a/internal/standin/onplatform/cut_off_node_test.go
+++ b/internal/standin/onplatform/cut_off_node_test.go
@@ -10,9 +10,9 @@
 	"github.com/drumpath/drumpath/pkg/config"
 )
 
-// Operators evacuate a data hall, or change a route, and a node that hears neither the store
-// nor any other node does not know. It said that it was ready all the same, and callers went on
-// coming to it. One that still hears other nodes is told by them.
+// A node that reaches neither the store nor any other node misses evacuations and changed
+// routes. It stayed ready all the same, so clients went on using it. A node that still
+// reaches other nodes learns changes from them and stays ready.
 func TestNodeCutOffFromStoreAndPeersIsNotReady(t *testing.T) {
 	s := newSite(t)
 	s.startReplica(appService, "a")
@@ -26,11 +26,11 @@
 	held := netproxy.Link{Held: true}
 	s.storeProxy.Set(held, held)
 	for start := time.Now(); time.Since(start) < 3*time.Second; time.Sleep(50 * time.Millisecond) {
-		assert.Assert(t, n.isReady(), "the other one tells it")
+		assert.Assert(t, n.isReady(), "it still learns changes from the other node")
 	}
 	other.close()
-	s.waitUntil("it says that it is not ready", func() bool { return !n.isReady() })
-	assert.Equal(t, n.send(request("GET", "/safe/x", "")).status, 200, "who comes is served")
+	s.waitUntil("the node is not ready", func() bool { return !n.isReady() })
+	assert.Equal(t, n.send(request("GET", "/safe/x", "")).status, 200, "requests that still arrive are served")
 	s.storeProxy.Heal()
-	s.waitUntil("it is ready once it hears the store", n.isReady)
+	s.waitUntil("the node is ready once it reaches the store", n.isReady)
 }
--- a/internal/standin/onplatform/doc.go
+++ b/internal/standin/onplatform/doc.go
@@ -1,3 +1,3 @@
-// Package onplatform has small stand-ins of the users' platform for tests: its
-// store, and replicas whose answers a test scripts.
+// Package onplatform provides small in-process stand-ins of the platform for tests:
+// its store, and replicas whose answers a test scripts.
 package onplatform
--- a/internal/standin/onplatform/docs_test.go
+++ b/internal/standin/onplatform/docs_test.go
@@ -14,18 +14,17 @@
 
 var testName = regexp.MustCompile(`\b(Test|Fuzz)[A-Z]\w+`)
 
-// Each test that a page names is there, so that no row of a table is an empty
-// claim.
+// Pages cite tests as evidence, so each test that they name must exist.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	root := "../../.."
-	there := map[string]bool{}
+	exists := map[string]bool{}
 	err := filepath.WalkDir(root, func(path string, _ os.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, "_test.go") {
 			return err
 		}
 		text, err := os.ReadFile(path)
 		for _, m := range testFunc.FindAllStringSubmatch(string(text), -1) {
-			there[m[1]] = true
+			exists[m[1]] = true
 		}
 		return err
 	})
@@ -34,7 +33,7 @@
 		text, err := os.ReadFile(filepath.Join(root, "docs", page))
 		assert.NilError(t, err)
 		for _, name := range testName.FindAllString(string(text), -1) {
-			assert.Assert(t, there[name], "%s names %s", page, name)
+			assert.Assert(t, exists[name], "%s names %s", page, name)
 		}
 	}
 }
--- a/internal/standin/onplatform/drain_backoff_test.go
+++ b/internal/standin/onplatform/drain_backoff_test.go
@@ -14,37 +14,38 @@
 )
 
 const (
-	// drainDelay is for how long after an answer that says that its replica drains requests
-	// that came meanwhile may still reach it.
+	// drainDelay is how long after a replica's answer has announced a drain requests that
+	// clients sent in the meantime may still reach it.
 	drainDelay = 2 * time.Second
-	// backoffDelay is after how long a replica that asked for backoff gets no more than
-	// allowedInBackoff requests until its end.
+	// backoffDelay is how long after its answer a replica that asked for backoff may still get
+	// requests; from then until the end of the backoff it gets at most maxInBackoff.
 	backoffDelay = 500 * time.Millisecond
 	maxInBackoff = 2
 )
 
-// arrival is one request at a replica.
+// arrival is a request that reached a replica.
 type arrival struct {
 	node   string
 	sentAt time.Time // By the client.
 	at     time.Time
 }
 
-// backoffRequest is one answer that asks a node for backoff.
+// backoffRequest is an answer that asked a node for backoff.
 type backoffRequest struct {
 	node  string
 	from  time.Time
 	until time.Time
 }
 
-// signallingReplica says in its answers that it drains, or turns requests away and asks for backoff.
+// signallingReplica announces in its answers that it drains, or refuses requests and asks for
+// backoff.
 type signallingReplica struct {
 	*onplatform.Replica
 
 	mu              sync.Mutex
 	draining        bool
-	retryAfter      string        // Of the backoff that is asked for, "" for none.
-	backoff         time.Duration // What it means.
+	retryAfter      string        // Value of Retry-After, "" while it serves.
+	backoff         time.Duration // The time that retryAfter stands for.
 	firstTold       map[string]time.Time
 	backoffRequests []backoffRequest
 	arrived         []arrival
@@ -57,14 +58,14 @@
 	return r
 }
 
-// startDraining has it say that it drains.
+// startDraining makes the replica announce a drain in its answers.
 func (r *signallingReplica) startDraining() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.draining = true
 }
 
-// setBackoff has it turn everything away and ask for backoff; with "" it serves again.
+// setBackoff makes the replica refuse all requests and ask for backoff; with "" it serves again.
 func (r *signallingReplica) setBackoff(value string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +97,8 @@
 	return err == nil
 }
 
-// sentTooLate counts the requests that clients sent a node too late for them to reach it.
+// sentTooLate counts the requests that arrived although their client sent them later than
+// drainDelay after their node was told of the drain.
 func (r *signallingReplica) sentTooLate() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +110,7 @@
 	return n
 }
 
-// mostInBackoff is how many requests of one node came within one backoff at most.
+// maxDuringBackoff returns the largest number of requests of one node within one backoff.
 func (r *signallingReplica) maxDuringBackoff() (highest int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,20 +132,20 @@
 	return len(r.arrived)
 }
 
-// stampedRequest is the text of a request that names its node and when it is sent.
+// stampedRequest returns a function that builds a request naming its node and the time it is sent.
 func stampedRequest(method, target string) func(node string) string {
 	return func(node string) string {
 		return request(method, target, "", "X-Node: "+node, fmt.Sprintf("X-Sent: %d", time.Now().UnixNano()))
 	}
 }
 
-// stampedPrompt is the same of a prompt; all share a prefix.
+// stampedPrompt builds a prompt with the same fields; all prompts share a prefix.
 func stampedPrompt(node string) string {
 	return request("POST", "/prompt/x", "text", "X-Node: "+node, fmt.Sprintf("X-Sent: %d", time.Now().UnixNano()),
 		"Model: "+model, "Token-Usage: 900,10", fmt.Sprintf("Prefix-Hash: aa:500,b0:300,%x:100", requestCount.Add(1)))
 }
 
-// startLoadPerNode sends each node rate requests a second that name it.
+// startLoadPerNode sends each node rate requests a second that name that node.
 func (s *site) startLoadPerNode(nodes []*node, rate float64, text func(node string) string) (finish func() (statuses map[int]int, reasons map[string]int)) {
 	var loads []*load
 	for i, n := range nodes {
@@ -164,7 +166,7 @@
 	}
 }
 
-// requestKinds are the ways by which requests reach replicas.
+// requestKinds are the kinds of requests that differ in how nodes choose a replica and retry.
 var requestKinds = map[string]struct {
 	service string
 	text    func(node string) string
@@ -175,10 +177,11 @@
 	"prompts that share a prefix": {llmService, stampedPrompt},
 }
 
-// A replica said in its answers that it drains, its row was still ready, and nodes went on sending.
+// A replica announced a drain in its answers while its row was still "ready", and nodes went
+// on sending to it. A later write of the same row must not undo the drain.
 func TestDrainingReplicaIsSentNothingOnceItsAnswerSaysSo(t *testing.T) {
 	for name, c := range requestKinds {
-		t.Run(name, func(t *testing.T) { // One after the other: each is a fleet under load.
+		t.Run(name, func(t *testing.T) { // Not in parallel: each puts a fleet under load.
 			s := newSite(t)
 			s.startSignallingReplica(c.service, "free")
 			r := s.startSignallingReplica(c.service, "draining")
@@ -187,20 +190,21 @@
 			time.Sleep(500 * time.Millisecond)
 			r.startDraining()
 			time.Sleep(time.Second)
-			s.listReplica(c.service, r.Replica, "ready", 1) // Its row is written once more, and is no change of mind.
+			s.listReplica(c.service, r.Replica, "ready", 1) // The same row again does not end the drain.
 			time.Sleep(2500 * time.Millisecond)
 			statuses, reasons := end()
 			t.Logf("answers %v, refused as %v", statuses, reasons)
 			assert.Equal(t, r.sentTooLate(), 0)
-			assert.Equal(t, len(statuses), 1, "where others are free no request suffers: %v, refused as %v", statuses, reasons)
+			assert.Equal(t, len(statuses), 1, "no request fails while another replica is free: %v, refused as %v", statuses, reasons)
 		})
 	}
 }
 
-// A replica turned a node's requests away and asked for 3 s without any; it looked idle, and got more than before.
+// A replica refused a node's requests and asked for a backoff of 3 s. It then looked idle, and
+// the node sent it more than before.
 func TestNodeStopsSendingToReplicaThatAsksForBackoff(t *testing.T) {
 	for name, c := range requestKinds {
-		t.Run(name, func(t *testing.T) { // One after the other: each is a fleet under load.
+		t.Run(name, func(t *testing.T) { // Not in parallel: each puts a fleet under load.
 			s := newSite(t)
 			s.startSignallingReplica(c.service, "free")
 			r := s.startSignallingReplica(c.service, "busy")
@@ -215,21 +219,22 @@
 			time.Sleep(time.Second)
 			after := r.arrivalCount() - before
 			statuses, reasons := end()
-			t.Logf("answers %v, refused as %v; %d in one backoff, %d a second behind it", statuses, reasons, most, after)
+			t.Logf("answers %v, refused as %v; %d in one backoff, %d in the second after it", statuses, reasons, most, after)
 			assert.Assert(t, most <= maxInBackoff, "%d requests of one node within one backoff", most)
-			assert.Assert(t, after >= 15, "%d of 90 requests a second behind it", after)
-			assert.Equal(t, len(statuses), 1, "where others are free no request suffers: %v, refused as %v", statuses, reasons)
+			assert.Assert(t, after >= 15, "%d of 90 requests in the second after it", after)
+			assert.Equal(t, len(statuses), 1, "no request fails while another replica is free: %v, refused as %v", statuses, reasons)
 		})
 	}
 }
 
-// Where nobody may be sent a request its caller was kept, or told to come back into the same refusal.
+// When all replicas drained or asked for backoff, clients waited for an answer, or got a
+// Retry-After that ended before the backoff did.
 func TestRequestIsRefusedAtOnceWhereAllReplicasDrainOrAskForBackoff(t *testing.T) {
 	const backoff = 4 * time.Second
 	for name, c := range map[string]struct {
 		say    func(r *signallingReplica)
 		reason string
-		least  time.Duration // Until callers are to come back.
+		least  time.Duration // Of the Retry-After value.
 	}{
 		"backoff": {func(r *signallingReplica) { r.setBackoff("4", backoff) }, "backoff", 3 * time.Second},
 		"drain":   {(*signallingReplica).startDraining, "draining", 0},
@@ -253,12 +258,12 @@
 			assert.Equal(t, got.body, fmt.Sprintf(`{"error":%q}`, c.reason))
 			retry, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 			assert.NilError(t, err)
-			assert.Assert(t, retry >= c.least.Seconds() && retry <= backoff.Seconds()+1, "come back after %g s", retry)
+			assert.Assert(t, retry >= c.least.Seconds() && retry <= backoff.Seconds()+1, "Retry-After of %g s", retry)
 		})
 	}
 }
 
-// A value that no replica can mean took it away.
+// A Retry-After value that is not a usable time made the node exclude the replica.
 func TestInvalidBackoffDoesNotDisableReplica(t *testing.T) {
 	for _, value := range []string{"0", "-3", "NaN", "inf", "1e9", "soon", "Wed, 02 Dec 2099 10:00:07 GMT"} {
 		t.Run(value, func(t *testing.T) {
@@ -274,7 +279,8 @@
 	}
 }
 
-// Each node sent a draining replica one more request before its own answer told it.
+// A node that had heard of a drain told no other, so each node sent the replica one more
+// request before it learnt of the drain from an answer of its own.
 func TestNodesTellEachOtherThatAReplicaDrains(t *testing.T) {
 	s := newSite(t)
 	s.startSignallingReplica(appService, "free")
@@ -286,7 +292,7 @@
 		nodes[0].sendAndClose(text("0"))
 		return r.arrivalCount() > 0
 	})
-	time.Sleep(2 * time.Second) // For the word to come, also on a busy machine.
+	time.Sleep(2 * time.Second) // Time for the other nodes to be told, also on a busy machine.
 	before := r.arrivalCount()
 	for _, n := range nodes {
 		for range 20 {
@@ -296,7 +302,7 @@
 	assert.Equal(t, r.arrivalCount(), before)
 }
 
-// An order of weights and calls for events went to an engine that had asked for backoff.
+// An order to load weights was sent to an engine that had asked for backoff.
 func TestWeightsOrderWaitsForBackoff(t *testing.T) {
 	s := newSite(t)
 	var mu sync.Mutex
--- a/internal/standin/onplatform/forward_test.go
+++ b/internal/standin/onplatform/forward_test.go
@@ -78,7 +78,7 @@
 	s.startReplica(appService, "a")
 	n := s.startReadyNode("n1")
 	c := n.dial()
-	c.write(request("GET", "/safe/1", "") + request("POST", "/once/2", "body")) // The second comes with the first.
+	c.write(request("GET", "/safe/1", "") + request("POST", "/once/2", "body")) // Pipelined.
 	assert.Equal(t, c.read().status, 200)
 	assert.Equal(t, c.read().status, 200)
 	c.write(request("HEAD", "/safe/3", ""))
@@ -97,7 +97,7 @@
 	s.configure()
 	r := s.startReplica(appService, "a")
 	n := s.startReadyNode("n1")
-	s.waitUntil("the open route is there", func() bool { return n.send(request("GET", "/open/0", "")).status == 200 })
+	s.waitUntil("the open route is in force", func() bool { return n.send(request("GET", "/open/0", "")).status == 200 })
 	bare := func(target, auth string) reply {
 		return n.send("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\nRequest-Id: who\r\nTenant: forged\r\n" + auth + "\r\n")
 	}
@@ -152,8 +152,8 @@
 	assert.Equal(t, got.header.Get("Server-Stamp"), "")
 }
 
-// An answer that is lost leaves it open whether the request ran: one that may
-// run once only is not sent again, and nothing is promised.
+// After a lost answer nobody knows whether the request ran. One that is not idempotent must
+// not be sent again, and the answer must not invite a retry.
 func TestNonIdempotentRequestIsNotRetriedAfterLostAnswer(t *testing.T) {
 	for name, script := range map[string]onplatform.Script{
 		"closed":        onplatform.CloseUnanswered,
@@ -203,18 +203,18 @@
 	assert.Equal(t, len(a.Received())+len(b.Received()), 3)
 }
 
-// What a replica says of its health is not asked for: it may be false either way,
-// also for some callers only. Its answers tell.
+// A health endpoint may be wrong either way, also for some callers only. Nodes must not call
+// it, and judge a replica by its answers.
 func TestHealthEndpointIsIgnored(t *testing.T) {
 	s := newSite(t)
-	well := s.startReplica(appService, "well") // Says that it is ill.
+	well := s.startReplica(appService, "well") // Its health endpoint reports a failure.
 	well.Script(func(w io.Writer, r *onplatform.Request) bool {
 		if r.Target == "/healthz" {
 			return onplatform.NotExecuted(503)(w, r)
 		}
 		return onplatform.OK("from well")(w, r)
 	})
-	ill := s.startReplica(appService, "ill") // Says that it is well.
+	ill := s.startReplica(appService, "ill") // Its health endpoint reports success.
 	ill.Script(func(w io.Writer, r *onplatform.Request) bool {
 		if r.Target == "/healthz" {
 			return onplatform.OK("")(w, r)
@@ -226,9 +226,9 @@
 		assert.Equal(t, n.send(request("POST", "/safe/x", "body")).body, "from well", "another replica is tried")
 	}
 	for _, r := range append(well.Received(), ill.Received()...) {
-		assert.Assert(t, r.Target != "/healthz", "probes are paid for")
+		assert.Assert(t, r.Target != "/healthz", "health probes cost replicas work")
 	}
-	assert.Assert(t, len(ill.Received()) < 20, "it has been left out: %d", len(ill.Received()))
+	assert.Assert(t, len(ill.Received()) < 20, "a failing replica is avoided, it got %d requests", len(ill.Received()))
 }
 
 func TestUnreachableReplicaIsReplaced(t *testing.T) {
@@ -236,13 +236,14 @@
 	a := s.startReplica(appService, "a")
 	s.startReplica(appService, "b")
 	n := s.startReadyNode("n1")
-	a.Close() // Its entry stays.
+	a.Close() // Its row stays in the store.
 	for range 10 {
 		assert.Equal(t, n.send(request("POST", "/once/x", "body")).body, "from b")
 	}
 }
 
-// A surplus answer comes in the place of the next one.
+// A replica sends an answer too many, which would be taken for the answer to the next request
+// on the connection.
 func TestAnswerToAnotherRequestIsNotDelivered(t *testing.T) {
 	s := newSite(t)
 	r := s.startReplica(appService, "a")
@@ -300,7 +301,7 @@
 	n := s.startReadyNode("n1")
 	a.Script(onplatform.Hang)
 	got := n.send(request("GET", "/short/x", ""))
-	assert.Equal(t, got.status, 504) // It may have run, so nothing is promised.
+	assert.Equal(t, got.status, 504) // It may have run, so no Retry-After.
 	assert.Equal(t, got.header.Get("Retry-After"), "")
 	in := a.Received()[0]
 	s.waitUntil("the replica is told to stop", func() bool {
@@ -365,7 +366,8 @@
 	assert.Equal(t, got.body, events(1, 2))
 }
 
-// A resumable stream goes on at another replica behind the last whole event.
+// A resumable stream that breaks off inside an event is continued at another replica after
+// the last complete event.
 func TestInterruptedStreamResumesAtAnotherReplica(t *testing.T) {
 	s := newSite(t)
 	a, b := s.startReplica(appService, "a"), s.startReplica(appService, "b")
@@ -373,11 +375,11 @@
 	script := func(w io.Writer, in *onplatform.Request) bool {
 		if in.Header.Get("Last-Event-Id") == "" {
 			onplatform.Events(1, 3, time.Millisecond, false)(w, in)
-			_, _ = io.WriteString(w, "8\r\nid: 4\nda\r\n") // The break is inside an event.
+			_, _ = io.WriteString(w, "8\r\nid: 4\nda\r\n") // Breaks off inside an event.
 			return false
 		}
 		assert.Check(t, in.Header.Get("Last-Event-Id") == "3")
-		return onplatform.Events(3, 6, time.Millisecond, true)(w, in) // One too many again.
+		return onplatform.Events(3, 6, time.Millisecond, true)(w, in) // Repeats event 3.
 	}
 	a.Script(script)
 	b.Script(script)
@@ -407,6 +409,6 @@
 	rest.write(request("GET", "/safe/x", ""))
 	assert.Equal(t, rest.read().status, 200)
 	_, err := rest.r.ReadByte()
-	assert.Assert(t, err == io.EOF, "a connection that rests too long is closed without a word")
+	assert.Assert(t, err == io.EOF, "a connection that is idle too long is closed without an answer")
 	assert.Equal(t, len(r.Received()), 1)
 }
--- a/internal/standin/onplatform/limit_test.go
+++ b/internal/standin/onplatform/limit_test.go
@@ -12,30 +12,26 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// Two replicas in need named in their answers how many requests a second they take from all
-// nodes together, 1 and 1.1, and got 17 and 19 in 4 s, for 11 and 12 that are allowed. They
-// got 37 and 43 in the eight seconds from the naming on, the sixteen others 24 to 54. No node
-// read what they named, and had one done so it could not have kept to it: nothing divided a
-// rate that is less than one request a second for each node.
-//
-// What settled it: the "answered" lines of all seven nodes name the two as often after the
-// naming as before, each with attempts 1 and not_run 0, and no code read the header.
+// Replicas name in their answers how many requests a second they take from all nodes together.
+// Two that named 1 and 1.1 got 17 and 19 in 4 s, where 11 and 12 are allowed: no node read the
+// header. Each node keeping to the rate by itself would not do either: a rate of less than one
+// request a second for each node has to be divided among the nodes.
 
 const (
 	limitWindow = 4 * time.Second
-	// limitDelay is after how long a node that was told of a limit keeps to it.
+	// limitDelay is how long after an answer named a limit all nodes must keep to it.
 	limitDelay = 500 * time.Millisecond
-	// minUsedShare is the part of what it names that a replica is to get where there is more.
+	// minUsedShare is the share of its limit that a replica must get at least when there is enough load.
 	minUsedShare = 0.3
 )
 
-// limitedReplica is a replica that names a limit in its answers.
+// limitedReplica is a replica that names a rate limit in its answers.
 type limitedReplica struct {
 	*onplatform.Replica
 
 	mu        sync.Mutex
-	limit     string    // Empty for none.
-	firstSent time.Time // When it first named the limit.
+	limit     string    // Value of Server-Limit, "" for no limit.
+	firstSent time.Time // When the limit was first named to a node.
 	arrived   []time.Time
 }
 
@@ -47,7 +43,7 @@
 	return r
 }
 
-// setLimit has it name a limit from now on.
+// setLimit sets the limit named from now on and forgets past arrivals.
 func (r *limitedReplica) setLimit(limit string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,8 +68,8 @@
 	return err == nil
 }
 
-// countArrivals is how many requests came in the worst 4 s, without those of the time in which the
-// nodes had yet to be told, and in all from then on.
+// countArrivals returns the largest number of requests within limitWindow, and the number of all
+// requests; both leave out the first limitDelay, in which nodes may not know the limit.
 func (r *limitedReplica) countArrivals() (worst, all int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,7 +89,7 @@
 	return worst, all
 }
 
-// assertKept holds what came within a time against a limit.
+// assertWithinLimit checks the arrivals of the given duration against a limit, from above and below.
 func (r *limitedReplica) assertWithinLimit(t *testing.T, limit float64, duration time.Duration) {
 	t.Helper()
 	worst, all := r.countArrivals()
@@ -102,17 +98,17 @@
 	assert.Check(t, float64(all) >= minUsedShare*limit*(duration-limitDelay).Seconds(), "%s: limit %g, %d in all", r.ID, limit, all)
 }
 
-// load is requests that keep coming at some nodes.
+// load sends requests to some nodes at a steady rate and counts the answers.
 type load struct {
 	mu                sync.Mutex
 	statuses          map[int]int
-	reasons           map[string]int // Of refusals.
-	missingRetryAfter int            // Refusals that don't say when to come back.
+	reasons           map[string]int // Bodies of refusals.
+	missingRetryAfter int            // Refusals without Retry-After.
 	stop              chan struct{}
 	wg                sync.WaitGroup
 }
 
-// startLoad sends each node rate requests a second.
+// startLoad starts sending each node rate requests a second.
 func (s *site) startLoad(nodes []*node, rate float64, text func() string) *load {
 	l := &load{statuses: map[int]int{}, reasons: map[string]int{}, stop: make(chan struct{})}
 	for _, n := range nodes {
@@ -144,7 +140,7 @@
 	}
 }
 
-// finish ends the load and tells how many answers had which status.
+// finish ends the load and returns the number of answers by status.
 func (l *load) finish() map[int]int {
 	close(l.stop)
 	l.wg.Wait()
@@ -159,7 +155,7 @@
 	}
 	for name, c := range map[string]struct {
 		nodes    int
-		replicas int // That name none.
+		replicas int // Without a limit.
 		service  string
 		limits   []float64
 		rate     float64 // Requests a second at each node.
@@ -173,7 +169,7 @@
 		"all of them limited":         {5, 0, appService, []float64{3, 3, 3}, 23, plainRequest("GET", "/safe/x")},
 		"one that takes much":         {5, 1, appService, []float64{60}, 20, plainRequest("GET", "/safe/x")},
 	} {
-		t.Run(name, func(t *testing.T) { // One after the other: each is a fleet under load.
+		t.Run(name, func(t *testing.T) { // Not in parallel: each puts a fleet under load.
 			s := newSite(t)
 			for i := range c.replicas {
 				s.startLimitedReplica(c.service, fmt.Sprintf("free%d", i), "")
@@ -191,15 +187,15 @@
 			}
 			assert.Equal(t, l.missingRetryAfter, 0)
 			if c.replicas > 0 {
-				assert.Equal(t, len(got), 1, "where others are free no request suffers: %v, refused as %v", got, l.reasons)
+				assert.Equal(t, len(got), 1, "no request fails while another replica is free: %v, refused as %v", got, l.reasons)
 			}
 			assert.Assert(t, got[200] > 0)
 		})
 	}
 }
 
-// What a replica names may change, and end; all nodes go by it then, also those that have
-// sent it nothing since.
+// A replica may change its limit or stop naming one. All nodes must follow, also those that
+// have sent it nothing since; a value that cannot be read changes nothing.
 func TestRateLimitFollowsLatestHeader(t *testing.T) {
 	s := newSite(t)
 	s.startLimitedReplica(appService, "free", "")
@@ -213,7 +209,7 @@
 	}
 	checkFor("8", 8, 5*time.Second)
 	checkFor("0.5", 0.5, 6*time.Second)
-	checkFor("much", 0.5, 5*time.Second) // What can't be read changes nothing.
+	checkFor("much", 0.5, 5*time.Second) // Cannot be read: the last limit stays.
 	checkFor("8", 8, 6*time.Second)
 	r.setLimit("")
 	time.Sleep(3 * time.Second)
@@ -226,7 +222,8 @@
 	assert.Assert(t, len(r.arrived)-before >= 30, "of 120 requests %d came in 2 s", len(r.arrived)-before)
 }
 
-// A replica that names nothing at all, or more than there is, is not lost for good.
+// A replica that names a limit of nothing, or an unusable one, must get requests again once it
+// names none.
 func TestUnusableRateLimitDoesNotDisableReplicaForGood(t *testing.T) {
 	t.Parallel()
 	for _, named := range []string{"0", "1e9", "-3", "inf", "NaN", "", "much"} {
--- a/internal/standin/onplatform/replica.go
+++ b/internal/standin/onplatform/replica.go
@@ -12,24 +12,24 @@
 	"time"
 )
 
-// Request is one request as a replica got it.
+// Request is one request as a replica received it.
 type Request struct {
 	Method string
 	Target string
 	Header http.Header
 	Body   string
-	// Disconnected is closed when the connection has ended.
+	// Disconnected is closed when the connection has been closed by the other end.
 	Disconnected <-chan struct{}
 }
 
-// ID is the request's name.
+// ID returns the request's id.
 func (r *Request) ID() string { return r.Header.Get("Request-Id") }
 
 // Script answers a request by writing to its connection; when it returns false
 // the connection is closed.
 type Script func(w io.Writer, r *Request) bool
 
-// Replica is one replica whose answers a test scripts.
+// Replica is a replica whose answers a test scripts.
 type Replica struct {
 	ID string
 	ln net.Listener
@@ -55,7 +55,7 @@
 
 // Close stops the replica.
 func (r *Replica) Close() {
-	_ = r.ln.Close() // It has no state to lose.
+	_ = r.ln.Close() // An error loses nothing.
 	r.mu.Lock()
 	r.closed = true
 	for conn := range r.conns {
@@ -65,7 +65,7 @@
 	r.wg.Wait()
 }
 
-// Addr is where the replica listens.
+// Addr returns the address on which the replica listens.
 func (r *Replica) Addr() netip.AddrPort { return r.ln.Addr().(*net.TCPAddr).AddrPort() }
 
 // Script sets how requests are answered from now on.
@@ -75,14 +75,14 @@
 	r.script = s
 }
 
-// Received lists the requests that came, but for those of the platform's own paths.
+// Received returns the requests received, without those to the platform's own paths under /-/.
 func (r *Replica) Received() []*Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*Request(nil), r.received...)
 }
 
-// OpenConns is how many connections are open.
+// OpenConns returns the number of open connections.
 func (r *Replica) OpenConns() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +96,7 @@
 			return
 		}
 		r.mu.Lock()
-		if r.closed { // It came as the listener was closed, and nobody would end it.
+		if r.closed { // Accepted while Close ran, which did not see it.
 			_ = conn.Close()
 		}
 		r.conns[conn] = struct{}{}
@@ -152,7 +152,7 @@
 	}
 }
 
-// NotExecuted answers that the request was not run.
+// NotExecuted answers with the given status and says that the request was not executed.
 func NotExecuted(status int) Script {
 	return func(w io.Writer, r *Request) bool {
 		writeText(w, fmt.Sprintf("HTTP/1.1 %d X\r\nRequest-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", status, r.ID()))
@@ -172,7 +172,7 @@
 	return false
 }
 
-// After answers as another script does once begin is closed.
+// After waits until start is closed and then runs another script.
 func After(start <-chan struct{}, s Script) Script {
 	return func(w io.Writer, r *Request) bool {
 		select {
@@ -184,11 +184,11 @@
 	}
 }
 
-// CloseUnanswered closes the connection without an answer.
+// CloseUnanswered closes the connection without answering.
 func CloseUnanswered(io.Writer, *Request) bool { return false }
 
-// Raw writes text, with %ID% for the request's name, and keeps the connection if
-// keep is set.
+// Raw writes text, in which %ID% stands for the request's id, and keeps the connection
+// open if keepOpen is set.
 func Raw(text string, keepOpen bool) Script {
 	return func(w io.Writer, r *Request) bool {
 		writeText(w, strings.ReplaceAll(text, "%ID%", r.ID()))
@@ -196,8 +196,8 @@
 	}
 }
 
-// Events streams events of the given numbers, with a pause after each, and ends
-// the stream if whole is set.
+// Events streams the events numbered from to to, with a pause after each, and ends the
+// stream properly if complete is set.
 func Events(from, to int, pause time.Duration, complete bool) Script {
 	return func(w io.Writer, r *Request) bool {
 		events := make([]string, 0, to-from+1)
@@ -208,8 +208,8 @@
 	}
 }
 
-// Stream streams events, with a pause after each, and ends the stream if whole is
-// set.
+// Stream streams events, with a pause after each, and ends the stream properly if complete
+// is set.
 func Stream(events []string, pause time.Duration, complete bool) Script {
 	return func(w io.Writer, r *Request) bool {
 		writeText(w, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nServer-Stamp: s\r\nRequest-Id: "+r.ID()+
@@ -225,11 +225,11 @@
 	}
 }
 
-// Head is the head of an answer made by a replica's own work.
+// Head returns the response head of an answer that the replica itself produced.
 func Head(r *Request, status, length int) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nServer-Stamp: s\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n", status, r.ID(), length)
 }
 
 func writeText(w io.Writer, text string) {
-	_, _ = io.WriteString(w, text) // A caller that has gone needs none.
+	_, _ = io.WriteString(w, text) // The caller may have disconnected.
 }
--- a/internal/standin/onplatform/requests_ending_replicas_test.go
+++ b/internal/standin/onplatform/requests_ending_replicas_test.go
@@ -14,43 +14,35 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// A caller sent a request under which every replica ended that began to run it, and sent
-// it again each time with a new ID, at any node. The nodes sent it on each time: 17
-// replicas of 18 ended under one such request within 16 s, with all else that they had in
-// flight and all that they kept, and 21 under another. Whatever the nodes remembered was
-// of replicas (lateness, ejection, doubt), and a replica that has ended is gone with what
-// was known of it. Nothing was remembered of the request, so each repeat began without a
-// past.
-//
-// The lines that settled it: at each replica that ended, "stream broke off" with an empty
-// last_event for just one request, then "refused" with reason answer_lost, status 502 and
-// attempts 1 some 200 ms after it had come; at five nodes in turn, with 17 and 18 replicas
-// known and 13 to 18 of them usable. With the fingerprint in these lines, all of them tell
-// the same content.
+// A request may crash each replica that starts to run it. A client that repeats it, each time
+// with a new ID and at any node, ended 17 of 18 replicas within 16 s, with all other requests in
+// flight there and all cached state. What nodes knew (lateness, ejection, suspicion) was about
+// replicas, and went with the replica that ended. Nodes have to remember the request itself, by
+// its fingerprint, so that each repeat is recognised.
 
 const (
-	// crashBody ends each replica that runs it, popular is asked again and again.
+	// crashBody ends each replica that runs it, popularBody is sent again and again.
 	crashBody   = "a body that ends replicas"
 	popularBody = "a body that many callers send"
-	// restartDelay is after how long a replica that has ended is back, under a new ID.
+	// restartDelay is how long after its end a replica is replaced by one with a new ID.
 	restartDelay = 300 * time.Millisecond
-	// blockDelay is within what all nodes are to have heard of an end. Operators allow
-	// some seconds.
+	// blockDelay is the time within which all nodes must know that a replica ended under a
+	// request. Operators allow some seconds.
 	blockDelay = 500 * time.Millisecond
-	// retryPause is after how long a caller that was refused comes again.
+	// retryPause is how long a refused client waits before its next request.
 	retryPause = 5 * time.Millisecond
-	maxEnded   = 5 // Three, and those that were under way meanwhile.
+	maxEnded   = 5 // Three, and those that ran the request meanwhile.
 )
 
-// fleet is a service whose replicas end under one request and come back.
+// fleet is a service whose replicas end under crashBody and are replaced.
 type fleet struct {
 	s *site
 
 	mu            sync.Mutex
 	lastID        int
 	live          map[string]*onplatform.Replica
-	crashArrivals []time.Time // When the deadly request reached a replica.
-	crashes       []time.Time // When a replica ended under it.
+	crashArrivals []time.Time // When crashBody reached a replica.
+	crashes       []time.Time // When a replica ended under crashBody.
 	wg            sync.WaitGroup
 }
 
@@ -63,7 +55,7 @@
 	return f
 }
 
-// startReplica starts one more replica, and lists it.
+// startReplica starts and lists one more replica.
 func (f *fleet) startReplica() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,8 +66,8 @@
 	f.s.putRow(r, replicaRow(appService, r, nil))
 }
 
-// script runs requests for a while. The deadly one ends its replica, if it is of the
-// organisation org-one.
+// script answers requests after a short time. One with crashBody ends its replica if it is of
+// the organisation org-one.
 func (f *fleet) script(r *onplatform.Replica) onplatform.Script {
 	return func(w io.Writer, in *onplatform.Request) bool {
 		if in.Body != crashBody || in.Header.Get("Tenant") != "org-one" {
@@ -91,7 +83,7 @@
 	}
 }
 
-// end has a replica end and another one start in its place some time later.
+// stopReplica ends a replica and starts another one in its place after restartDelay.
 func (f *fleet) stopReplica(r *onplatform.Replica, crashed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,7 +102,7 @@
 	})
 }
 
-// stopSome ends some replicas that have nothing to do with any request.
+// stopSome ends some replicas for reasons that have nothing to do with their requests.
 func (f *fleet) stopSome(n int) {
 	f.mu.Lock()
 	var some []*onplatform.Replica
@@ -125,8 +117,8 @@
 	}
 }
 
-// counts tells how many replicas ended under the deadly request, and how often it reached
-// one later than settleTime after the third.
+// counts returns how many replicas ended under crashBody, and how often it reached a replica
+// later than blockDelay after the third end.
 func (f *fleet) counts() (crashes, lateArrivals int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,7 +133,8 @@
 	return len(f.crashes), lateArrivals
 }
 
-// sendAndClose sends one request on a connection that it closes: many of them are sent.
+// sendAndClose sends one request on a connection of its own and closes it at once, for tests
+// that send many.
 func (n *node) sendAndClose(text string) reply {
 	c := n.dial()
 	defer func() { _ = c.conn.Close() }() // The answer has been read.
@@ -149,13 +142,13 @@
 	return c.read()
 }
 
-// sendCrashRequest sends the deadly request to a node.
+// sendCrashRequest sends a request with crashBody.
 func (n *node) sendCrashRequest() reply {
 	return n.sendAndClose(request("POST", "/resume/x", crashBody))
 }
 
-// repeatCrashRequest has a caller send the deadly request again and again, at one node after the
-// other.
+// repeatCrashRequest sends requests with crashBody to the nodes in turn, for the duration d, and
+// counts the answers.
 func (s *site) repeatCrashRequest(nodes []*node, d time.Duration) (answers map[string]int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -178,7 +171,7 @@
 	for i := range n {
 		list = append(list, s.startReadyNode(fmt.Sprintf("n%d", i)))
 	}
-	s.waitUntil("each node names all to callers", func() bool {
+	s.waitUntil("the directory of each node lists all nodes", func() bool {
 		for _, n := range list {
 			if strings.Count(n.resolve(), ":8001") != len(list) {
 				return false
@@ -197,7 +190,7 @@
 	stop := make(chan struct{})
 	var others sync.WaitGroup
 	for i, n := range nodes {
-		others.Go(func() { // What else is under way, some of it often the same.
+		others.Go(func() { // Other load, half of it the same request.
 			for j := 0; ; j++ {
 				select {
 				case <-stop:
@@ -223,27 +216,27 @@
 	ended, later := f.counts()
 	t.Logf("%d replicas ended, %d arrivals later, answers %v; others: %d served, %d failed", ended, later, answers, served.Load(), failed.Load())
 	assert.Assert(t, ended <= maxEnded, "%d replicas ended", ended)
-	assert.Equal(t, later, 0, "arrivals at replicas once all nodes can know")
+	assert.Equal(t, later, 0, "arrivals at replicas once all nodes must know")
 	const final = `400 {"error":"ends_replicas"}`
-	assert.Assert(t, answers[final] > 0, "its caller gets a final answer: %v", answers)
+	assert.Assert(t, answers[final] > 0, "the client gets a final answer: %v", answers)
 	assert.Assert(t, served.Load() > 100 && failed.Load()*50 < served.Load(), "%d served, %d failed", served.Load(), failed.Load())
 	for _, n := range nodes {
 		got := n.send(request("POST", "/resume/x", popularBody))
-		assert.Equal(t, got.status, 200, "what is often under way is served: %s", got.body)
+		assert.Equal(t, got.status, 200, "a request that often runs is served: %s", got.body)
 		got = n.send(strings.Replace(request("POST", "/resume/x", crashBody), "Bearer "+key, "Bearer key-two", 1))
 		assert.Equal(t, got.status, 200, "another organisation is not concerned: %s", got.body)
 	}
 }
 
-// A node that starts knows nothing of what replicas ended under before, and when all nodes
-// have started anew, none does.
+// A node that starts has no memory of requests that ended replicas, and after a restart of all
+// nodes none has. They must learn it from the other nodes or from the store.
 func TestRestartedNodesStillBlockRequestThatEndsReplicas(t *testing.T) {
 	s := newSite(t)
 	f := s.newFleet(8)
 	nodes := s.startNodes(2)
 	s.repeatCrashRequest(nodes, 2*time.Second)
 	ended, _ := f.counts()
-	for i := range 3 { // Replicas have come back; the nodes start anew one by one, then all.
+	for i := range 3 { // New nodes one by one; then all old ones are replaced.
 		late := s.startReadyNode(fmt.Sprintf("late%d", i))
 		for range 3 {
 			late.sendCrashRequest()
@@ -260,13 +253,12 @@
 	}
 	after, _ := f.counts()
 	assert.Assert(t, ended <= maxEnded, "%d replicas ended", ended)
-	assert.Equal(t, after, ended, "replicas that ended under nodes that had started later")
+	assert.Equal(t, after, ended, "replicas that ended under nodes started later")
 }
 
-// A node that had just started ended one more replica under a request that was blocked: it
-// took it in some milliseconds before it had read what is blocked. Beside other work on the
-// machine "4 replicas ended" where 3 had before the start, in each of two runs; here the
-// store tells the nodes' table late. Where nobody tells a node in time it serves without.
+// A node that had just started sent on a blocked request that it received some milliseconds
+// before it had read the list of blocked requests, and ended a fourth replica. Here the store
+// delays that list. A node that nobody tells in time serves without it.
 func TestStartingNodeWaitsForListOfBlockedRequests(t *testing.T) {
 	const readDelay = 500 * time.Millisecond
 	s := newSite(t)
@@ -283,7 +275,7 @@
 	got := n.sendCrashRequest()
 	assert.Equal(t, got.status, 400, "%s", got.body)
 	after, _ := f.counts()
-	assert.Equal(t, after, ended, "replicas that ended under a node that had started later")
+	assert.Equal(t, after, ended, "replicas that ended under a node started later")
 	t.Logf("answered after %v", time.Since(start))
 	n.close()
 
@@ -296,11 +288,11 @@
 	start = time.Now()
 	got = n.sendAndClose(request("POST", "/resume/x", popularBody))
 	assert.Equal(t, got.status, 200, "%s", got.body)
-	assert.Assert(t, time.Since(start) < 500*time.Millisecond, "only the first ones wait: %v", time.Since(start))
+	assert.Assert(t, time.Since(start) < 500*time.Millisecond, "only the first requests wait: %v", time.Since(start))
 }
 
-// Replicas that end by themselves, many at once and several times, have many requests
-// under way, and what callers ask most often is always among them.
+// When many replicas end by themselves, several times, the request that clients send most often
+// is running at each of them, and must not be taken for the cause.
 func TestPopularRequestIsNotBlockedWhenReplicasEndByThemselves(t *testing.T) {
 	s := newSite(t)
 	f := s.newFleet(9)
@@ -347,15 +339,16 @@
 				f.mu.Unlock()
 			}
 		}()
-		s.waitUntil("it is served everywhere", func() bool {
+		s.waitUntil("all nodes serve it", func() bool {
 			last = n.send(request("POST", "/resume/x", popularBody))
 			return last.status == 200
 		})
 	}
 }
 
-// Replicas that leave as planned may cut what is still in flight there at the end of their
-// time. A long answer may meet several of those, one after the other, in a release.
+// Replicas that shut down as planned may cut requests that are still in flight at the end of
+// their drain. During a release a long request may meet several of these in a row, and must not
+// be blamed for them.
 func TestPlannedReplicaShutdownMakesNoRequestSuspect(t *testing.T) {
 	for name, leave := range map[string]func(s *site, r *onplatform.Replica){
 		"says that it leaves": func(s *site, r *onplatform.Replica) {
@@ -370,9 +363,9 @@
 				r := s.newReplica(fmt.Sprint("leaving", i))
 				r.Script(onplatform.Hang)
 				s.putRow(r, replicaRow(appService, r, nil))
-				s.waitUntil("it is known", n.isReady)
+				s.waitUntil("the node knows the replica", n.isReady)
 				c := n.dial()
-				s.waitUntil("a request is in flight there", func() bool {
+				s.waitUntil("the replica has a request in flight", func() bool {
 					c.write(request("POST", "/resume/x", popularBody))
 					time.Sleep(workTime)
 					if len(r.Received()) > 0 {
@@ -383,7 +376,7 @@
 					return false
 				})
 				leave(s, r)
-				s.waitUntil("the node knows that it leaves", func() bool {
+				s.waitUntil("the node knows that the replica drains", func() bool {
 					return n.sendAndClose(request("GET", "/safe/x", "", "Deadline-Ms: 300")).status == 503
 				})
 				r.Close()
@@ -392,7 +385,7 @@
 			}
 			stays := s.newReplica("stays")
 			s.putRow(stays, replicaRow(appService, stays, nil))
-			s.waitUntil("it is served", func() bool { return n.sendAndClose(request("POST", "/resume/x", popularBody)).status == 200 })
+			s.waitUntil("the request is served", func() bool { return n.sendAndClose(request("POST", "/resume/x", popularBody)).status == 200 })
 		})
 	}
 }
--- a/internal/standin/onplatform/row.go
+++ b/internal/standin/onplatform/row.go
@@ -2,8 +2,8 @@
 
 import "net/netip"
 
-// UpstreamRow is the row that a replica writes of itself, with all that a real one says, but
-// for what only engines have.
+// UpstreamRow returns the row that a replica of a plain service writes about itself, with
+// all fields that a real one has. Fields that only engines have are left out.
 func UpstreamRow(service string, addr netip.AddrPort, slots int, state string) map[string]any {
 	return map[string]any{
 		"service": service, "addr": addr.String(), "zone": "hall-a", "config_version": "v1",
--- a/internal/standin/onplatform/rows_test.go
+++ b/internal/standin/onplatform/rows_test.go
@@ -14,7 +14,8 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// replicaRow is a replica's row as it writes it itself, with some fields replaced.
+// replicaRow returns the row that a replica writes about itself, with some fields replaced, or
+// removed if nil.
 func replicaRow(service string, r *onplatform.Replica, fields map[string]any) map[string]any {
 	w := onplatform.UpstreamRow(service, r.Addr(), 8, "ready")
 	w["born"] = 1_700_000_000_000
@@ -39,7 +40,7 @@
 	return r
 }
 
-// reaches says whether any of some requests reaches a replica.
+// reaches reports whether any of 20 requests reaches the replica.
 func (n *node) reaches(r *onplatform.Replica) bool {
 	before := len(r.Received())
 	for range 20 {
@@ -48,33 +49,32 @@
 	return len(r.Received()) > before
 }
 
-// Symptom: operators evacuated a data hall, and requests went on to its replicas.
-// Sequence: two halls serve, the node's own first; the row of the evacuation is written,
-// and taken back later.
-// Cause: nodes did not know of such rows.
+// Requests went on to replicas of an evacuated data hall, because nodes did not read the rows
+// under evacuate/. The halls are evacuated one after the other, the node's own first, and
+// restored.
 func TestEvacuatedHallGetsNoRequestsUntilRestored(t *testing.T) {
 	s := newSite(t)
 	a, b := s.newReplica("a"), s.newReplica("b")
 	s.putRow(a, replicaRow(appService, a, nil))
 	s.putRow(b, replicaRow(appService, b, map[string]any{"zone": "hall-b"}))
 	n := s.startReadyNode("n1")
-	s.waitUntil("its own hall serves", func() bool { return n.reaches(a) })
+	s.waitUntil("the node's own hall serves", func() bool { return n.reaches(a) })
 	s.store.Put(onplatform.TableOperator, "evacuate/hall-a", map[string]any{})
 	s.waitUntil("the evacuated hall gets nothing", func() bool { return !n.reaches(a) && n.reaches(b) })
 	s.store.Put(onplatform.TableOperator, "evacuate/hall-b", "what it says does not matter")
-	s.waitUntil("nobody is left", func() bool {
+	s.waitUntil("no replica is left", func() bool {
 		got := n.send(request("GET", "/safe/x", ""))
 		return got.status == 503 && got.body == `{"error":"evacuated"}`
 	})
-	s.store.TruncateHistory() // The whole table is read again.
+	s.store.TruncateHistory() // Makes the node read the whole table again.
 	s.store.Delete(onplatform.TableOperator, "evacuate/hall-b")
-	s.waitUntil("the hall that was taken back serves", func() bool { return n.reaches(b) })
+	s.waitUntil("the restored hall serves", func() bool { return n.reaches(b) })
 	assert.Assert(t, !n.reaches(a))
 	s.store.Delete(onplatform.TableOperator, "evacuate/hall-a")
-	s.waitUntil("so does the other", func() bool { return n.reaches(a) })
+	s.waitUntil("the other restored hall serves", func() bool { return n.reaches(a) })
 }
 
-// A bad row never takes a good one away.
+// An invalid row that is written later must not undo an evacuation or hide rows after it.
 func TestInvalidRowDoesNotUndoEvacuation(t *testing.T) {
 	s := newSite(t)
 	a, b := s.newReplica("a"), s.newReplica("b")
@@ -89,14 +89,13 @@
 	s.store.Delete(onplatform.TableUpstreams, "b")
 	c := s.newReplica("c")
 	s.putRow(c, replicaRow(appService, c, map[string]any{"zone": "hall-b"}))
-	s.waitUntil("what came behind them is used", func() bool { return n.send(request("GET", "/safe/x", "")).body == "from c" })
+	s.waitUntil("a row written after them is used", func() bool { return n.send(request("GET", "/safe/x", "")).body == "from c" })
 	assert.Assert(t, !n.reaches(a))
 }
 
-// Symptom: requests went to a replica whose row another writer had spoilt.
-// Sequence: a good row, then one under the same key in which a field is missing or of
-// another type.
-// Cause: the last good row stayed, and fields that were missing counted as nothing.
+// Another writer overwrote a replica's row with one in which a field is missing or has the wrong
+// type, and requests went on to the replica: the last valid row stayed in use, or missing fields
+// counted as zero.
 func TestReplicaWithInvalidRowGetsNoRequests(t *testing.T) {
 	for name, invalid := range map[string]map[string]any{
 		"no service":         {"service": nil},
@@ -128,18 +127,17 @@
 			n := s.startReadyNode("n1")
 			s.waitUntil("both serve", func() bool { return n.reaches(a) && n.reaches(b) })
 			s.putRow(b, replicaRow(appService, b, invalid))
-			s.waitUntil("the spoilt one gets nothing", func() bool { return !n.reaches(b) })
-			assert.Assert(t, n.reaches(a), "the other one holds")
+			s.waitUntil("the replica with the invalid row gets no requests", func() bool { return !n.reaches(b) })
+			assert.Assert(t, n.reaches(a), "the other replica serves")
 			s.putRow(b, replicaRow(appService, b, nil))
-			s.waitUntil("it is back with a good row", func() bool { return n.reaches(b) })
+			s.waitUntil("it serves again once its row is valid", func() bool { return n.reaches(b) })
 		})
 	}
 }
 
-// Symptom: a replica that had started again under its ID was asked for weights that it had
-// lost, and refused each request.
-// Sequence: it answers on version 2; it starts again and its row says version 1.
-// Cause: what answers had told counted as newer than the row, whichever start it was of.
+// A replica answered with weights of version 2, then restarted under the same ID with version 1
+// in its row. Requests still expected version 2 and were refused, because versions learnt from
+// answers counted as newer than the row even across a restart.
 func TestRestartedReplicaHasTheWeightsOfItsRow(t *testing.T) {
 	s := newSite(t)
 	e := s.newReplica("e")
@@ -157,19 +155,19 @@
 		}
 		return seen[len(seen)-1].Header.Get("Expect-Version")
 	}
-	s.waitUntil("its answers tell of version 2", func() bool { return expected() == "2" })
+	s.waitUntil("the node has learnt version 2 from answers", func() bool { return expected() == "2" })
 	e.Script(onplatform.OK("ok"))
 	s.putRow(e, replicaRow(llmService, e, map[string]any{"models": models(1), "born": 1_700_000_009_000}))
-	s.waitUntil("the new start has version 1", func() bool { return expected() == "1" })
+	s.waitUntil("the restarted replica has version 1", func() bool { return expected() == "1" })
 	s.putRow(e, replicaRow(llmService, e, map[string]any{"models": models(2), "born": 1_700_000_000_000}))
 	s.startReplica(appService, "later")
-	s.waitUntil("later rows are heard", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
-	assert.Equal(t, expected(), "1", "a row of an older start is void")
+	s.waitUntil("later rows are in force", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
+	assert.Equal(t, expected(), "1", "a row of an older start is ignored")
 }
 
-// Symptom: a replica that had come back cold got more requests in a second than it bears.
-// Sequence: four nodes, a cold replica beside a warm one, more load than both are to get.
-// Cause: its row's word of that was a price only.
+// A replica that had come back cold got more requests a second than the configured cold rate,
+// because nodes only preferred other replicas to it and enforced no limit. Four nodes send more
+// load than a cold replica alone may get.
 func TestColdReplicaGetsNoMoreThanItsColdRate(t *testing.T) {
 	s := newSite(t)
 	s.appFields = map[string]any{"cold_s": 3.0, "cold_per_s": 10.0}
@@ -221,12 +219,11 @@
 		assert.Assert(t, n <= bound, "%d requests in one second", n)
 	}
 	assert.Assert(t, refused.Load() > 0)
-	assert.Assert(t, served.Load() > 0, "what it bears is used")
+	assert.Assert(t, served.Load() > 0, "the cold rate is used")
 }
 
-// Symptom: requests ran outside the regions that operators allow.
-// Sequence: replicas in two regions; a route with homes, an organisation with others.
-// Cause: nodes did not read where requests may run.
+// Requests ran outside the regions that operators allow for a route or an organisation, because
+// nodes did not read these settings.
 func TestRequestsRunOnlyInAllowedRegions(t *testing.T) {
 	s := newSite(t)
 	s.regions = `{"hall-a": "one", "hall-b": "two", "hall-c": "three"}`
@@ -255,7 +252,7 @@
 		func() string { return asOrganisation("/safe/x") },
 		func() string { return asOrganisation("/homed/x") },
 	} {
-		s.waitUntil("the replica at home serves", func() bool { return n.send(text()).body == "from b" })
+		s.waitUntil("the replica in the allowed region serves", func() bool { return n.send(text()).body == "from b" })
 	}
 	regionalRoute["allowed_regions"] = []string{"three"}
 	s.configure()
--- a/internal/standin/onplatform/silent_connections_test.go
+++ b/internal/standin/onplatform/silent_connections_test.go
@@ -14,7 +14,7 @@
 	"github.com/drumpath/drumpath/platform"
 )
 
-// startProxiedReplica starts a replica that is reached through a proxy only.
+// startProxiedReplica starts a replica that nodes reach only through a proxy.
 func (s *site) startProxiedReplica(service, id string) (*onplatform.Replica, *netproxy.Proxy) {
 	r, err := onplatform.NewReplica(id)
 	assert.NilError(s.t, err)
@@ -31,13 +31,13 @@
 	return p
 }
 
-// loadAllowance is added to what times are compared with, for a machine that has other things
-// to do: without their bounds, the calls here end after 20 s or never.
+// loadAllowance is added to time limits so that a busy machine does not fail the tests. Without a
+// limit of their own the calls here end after 20 s or never.
 const loadAllowance = time.Second
 
 func everyConn() bool { return true }
 
-// forEachLostDirection runs a test for each way in which a path may lose what is on it.
+// forEachLostDirection runs a test with bytes lost to the target, from it, and both ways.
 func forEachLostDirection(t *testing.T, test func(t *testing.T, silence func(*netproxy.Proxy) int)) {
 	for name, lost := range map[string][2]bool{"to": {true, false}, "from": {false, true}, "both": {true, true}} {
 		t.Run(name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// openIdleConns has a node keep connections to a replica at rest.
+// openIdleConns leaves the node with idle connections to a replica.
 func (n *node) openIdleConns(a *onplatform.Replica, conns int) {
 	n.site.t.Helper()
 	answerNow := make(chan struct{})
@@ -55,24 +55,23 @@
 	var done sync.WaitGroup
 	for range conns {
 		done.Go(func() {
-			n.site.waitUntil("it is answered", func() bool { return n.send(request("POST", "/once/x", "body")).status == 200 })
+			n.site.waitUntil("the request is answered", func() bool { return n.send(request("POST", "/once/x", "body")).status == 200 })
 		})
 	}
-	n.site.waitUntil("each has its connection", func() bool { return a.OpenConns() >= conns })
+	n.site.waitUntil("each request has a connection of its own", func() bool { return a.OpenConns() >= conns })
 	close(answerNow)
 	done.Wait()
 	a.Script(onplatform.OK("from " + a.ID))
 }
 
-// The path to a replica went silent while connections to it rested. Each of them took
-// one more request, which may run once only and so ended with 504 at its limit, until
-// the rest had been closed for their age; a new connection would have carried all but
-// the first. What settled it: "refused" lines with status 504 in a row, at one replica
-// that answered others meanwhile.
+// The path to a replica silently lost all bytes while connections to it were idle. Each idle
+// connection then cost one more request, which is not idempotent and so ended with 504 at its
+// deadline, until the rest were closed for their age. After the first loss, requests must use
+// new connections.
 func TestSilentIdleConnectionsCostOneRequest(t *testing.T) {
 	const (
 		idleConns = 5
-		limit     = 1200 * time.Millisecond // As the request tells.
+		limit     = 1200 * time.Millisecond // The Deadline-Ms of the request.
 	)
 	forEachLostDirection(t, func(t *testing.T, silence func(*netproxy.Proxy) int) {
 		s := newSite(t)
@@ -82,7 +81,7 @@
 		assert.Assert(t, silence(p) > 1)
 		start := time.Now()
 		got := n.send(request("POST", "/once/x", "lost", "Deadline-Ms: 1200"))
-		assert.Equal(t, got.status, 504) // It may have run, so nothing is promised.
+		assert.Equal(t, got.status, 504) // It may have run, so no Retry-After.
 		assert.Equal(t, got.header.Get("Retry-After"), "")
 		assert.Assert(t, time.Since(start) < limit+loadAllowance, "%v", time.Since(start))
 		for range idleConns {
@@ -94,17 +93,17 @@
 				lost++
 			}
 		}
-		assert.Assert(t, lost <= 1, "a request that may run once only was sent %d times", lost)
+		assert.Assert(t, lost <= 1, "a request that is not idempotent was sent %d times", lost)
 	})
 }
 
-// A request whose replica falls silent before its answer is held no longer than its
-// limit, and not sent again if it may run once only.
+// A request whose replica falls silent before it answers must end at its deadline, and must not
+// be sent again if it is not idempotent.
 func TestReplicaSilentBeforeAnswerTimesOut(t *testing.T) {
 	forEachLostDirection(t, func(t *testing.T, silence func(*netproxy.Proxy) int) {
 		s := newSite(t)
 		a, p := s.startProxiedReplica(appService, "a")
-		s.startReplica(appService, "b").Script(onplatform.NotExecuted(503)) // So that the first one gets it.
+		s.startReplica(appService, "b").Script(onplatform.NotExecuted(503)) // So that a gets the request.
 		n := s.startReadyNode("n1")
 		answerNow := make(chan struct{})
 		a.Script(onplatform.After(answerNow, onplatform.OK("late")))
@@ -115,7 +114,7 @@
 		close(answerNow)
 		start := time.Now()
 		got := c.read()
-		if got.status == 200 { // Only what is sent to the replica is lost.
+		if got.status == 200 { // Only bytes to the replica are lost.
 			assert.Equal(t, got.body, "late")
 		} else {
 			assert.Equal(t, got.status, 504)
@@ -126,8 +125,8 @@
 	})
 }
 
-// A stream whose replica falls silent midway ends at its limit; the client can tell
-// that it is not whole.
+// A stream whose replica falls silent midway must end at its deadline, and the client must be
+// able to tell that it is incomplete.
 func TestReplicaSilentInStreamTimesOut(t *testing.T) {
 	forEachLostDirection(t, func(t *testing.T, silence func(*netproxy.Proxy) int) {
 		s := newSite(t)
@@ -143,17 +142,17 @@
 		got := c.read()
 		assert.Assert(t, time.Since(start) < 2*time.Second+loadAllowance, "%v", time.Since(start))
 		assert.Equal(t, got.status, 200)
-		if !got.incomplete { // Only what is sent to the replica is lost.
+		if !got.incomplete { // Only bytes to the replica are lost.
 			assert.Equal(t, got.body, events(1, 10))
 		}
 		assert.Equal(t, len(a.Received()), 1)
 	})
 }
 
-// The path to the store went silent. The held call ends by its own limit, and the table
-// is followed on new connections.
+// The path to the store silently loses all bytes. The pending feed call must end at its own
+// timeout, and the node must go on with new connections.
 func TestSilentStoreConnectionsAreReplaced(t *testing.T) {
-	const noticeTime = 2500 * time.Millisecond // A held call's limit, 1 s here, a retry and a list.
+	const noticeTime = 2500 * time.Millisecond // The timeout of a feed call, 1 s here, a retry and a read of the table.
 	forEachLostDirection(t, func(t *testing.T, silence func(*netproxy.Proxy) int) {
 		s := newSite(t)
 		s.storeProxy = s.newProxy(s.store.Addr())
@@ -168,8 +167,8 @@
 	})
 }
 
-// A replica, or a store of kept state, is asked for its events and told what to free on
-// connections of their own, which end by the calls' limits.
+// Calls to engines and KV cache stores use connections of their own. When these silently lose
+// all bytes, each call must end at its timeout and the next one must use a new connection.
 func TestSilentEngineConnectionsAreReplaced(t *testing.T) {
 	const hold = 200 * time.Millisecond
 	calls := map[string]func(*platform.Engines, netip.AddrPort) error{
--- a/internal/standin/onplatform/site_state_test.go
+++ b/internal/standin/onplatform/site_state_test.go
@@ -38,7 +38,7 @@
 	})
 	s.startReplica(llmService, "e")
 	s.configure()
-	s.waitUntil("the longer prefix goes first", func() bool { return n.send(request("GET", "/safe/new/x", "")).body == "from e" })
+	s.waitUntil("the longer prefix wins", func() bool { return n.send(request("GET", "/safe/new/x", "")).body == "from e" })
 	s.routes = s.routes[1:]
 	s.configure()
 	s.waitUntil("the dropped route is gone", func() bool { return n.send(request("POST", "/once/x", "b")).status == 404 })
@@ -48,19 +48,19 @@
 	s := newSite(t)
 	s.startReplica(appService, "a")
 	n := s.startReadyNode("n1")
-	s.store.SetMode(onplatform.ModeStale) // Whole tables are read as they are now.
+	s.store.SetMode(onplatform.ModeStale) // From now on reads of whole tables return this state.
 	s.routes = s.routes[1:]
 	s.configure()
 	gone := func() bool { return n.send(request("POST", "/once/x", "b")).status == 404 }
 	s.waitUntil("the dropped route is gone", gone)
 	calls := s.store.Calls()
-	s.store.TruncateHistory() // The node has to read the whole table, which is stale.
+	s.store.TruncateHistory() // Makes the node read the whole table, which is stale.
 	s.waitUntil("the node has read again", func() bool { return s.store.Calls() > calls+3 })
 	assert.Assert(t, gone())
 	s.version -= 2
 	s.routes = append([]map[string]any{{"name": "once", "host": host, "path_prefix": "/once/", "kind": "non_idempotent", "timeout_ms": 1000, "service": appService}}, s.routes...)
 	s.store.SetMode(onplatform.ModeUp)
-	s.configure() // An older version, written later.
+	s.configure() // Writes an older version later.
 	calls = s.store.Calls()
 	s.waitUntil("the node has read again", func() bool { return s.store.Calls() > calls+3 })
 	assert.Assert(t, gone())
@@ -75,7 +75,7 @@
 	assert.Equal(t, c.read().status, 200)
 	s.tenants = s.tenants[1:]
 	s.configure()
-	s.waitUntil("the key is refused, also on a kept connection", func() bool {
+	s.waitUntil("the key is refused, also on an open connection", func() bool {
 		c.write(request("GET", "/safe/x", ""))
 		return c.read().status == 401
 	})
@@ -90,7 +90,7 @@
 	s.store.Put(onplatform.TableOperator, "config", "no JSON either")
 	s.store.Put(onplatform.TableOperator, "unknown", map[string]any{"what": 1})
 	s.startReplica(appService, "b")
-	s.waitUntil("what came behind them is used", func() bool { return n.send(request("GET", "/safe/x", "")).body == "from b" })
+	s.waitUntil("a row written after them is used", func() bool { return n.send(request("GET", "/safe/x", "")).body == "from b" })
 }
 
 func TestDrainingReplicaGetsNoNewRequests(t *testing.T) {
@@ -100,8 +100,8 @@
 	n := s.startReadyNode("n1")
 	s.waitUntil("both serve", func() bool { return n.send(request("GET", "/safe/x", "")).body == "from a" })
 	s.listReplica(appService, a, "draining", 0)
-	// The node may be resting between two looks at the list.
-	s.waitUntil("the one that leaves gets nothing", func() bool {
+	// The node may not have read the new row yet.
+	s.waitUntil("the draining replica gets nothing", func() bool {
 		before := len(a.Received())
 		for range 20 {
 			n.send(request("GET", "/safe/x", ""))
@@ -109,10 +109,11 @@
 		return len(a.Received()) == before
 	})
 	s.store.Delete(onplatform.TableUpstreams, "b")
-	s.waitUntil("nobody is left", func() bool { return n.send(request("GET", "/safe/x", "")).status == 503 })
+	s.waitUntil("no replica is left", func() bool { return n.send(request("GET", "/safe/x", "")).status == 503 })
 }
 
-// An entry that has run out while the store was away is given time to come back.
+// A replica cannot renew its row while the store is down. A row that is gone when the store
+// returns must stay in use for a while, so that the replica can write it again.
 func TestReplicaDelistedDuringStoreOutageIsKeptForAWhile(t *testing.T) {
 	s := newSite(t)
 	a := s.startReplica(appService, "a")
@@ -124,11 +125,11 @@
 	s.store.Delete(onplatform.TableUpstreams, "a")
 	s.store.SetMode(onplatform.ModeUp)
 	calls = s.store.Calls()
-	s.waitUntil("the node has heard of it", func() bool { return s.store.Calls() > calls+1 })
+	s.waitUntil("the node has read the deletion", func() bool { return s.store.Calls() > calls+1 })
 	assert.Equal(t, n.send(request("GET", "/safe/x", "")).status, 200)
-	s.waitUntil("it is dropped in the end", func() bool { return n.send(request("GET", "/safe/x", "")).status == 503 })
+	s.waitUntil("the replica is dropped in the end", func() bool { return n.send(request("GET", "/safe/x", "")).status == 503 })
 	s.listReplica(appService, a, "ready", 0)
-	s.waitUntil("it is back", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
+	s.waitUntil("the replica is back", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
 }
 
 func TestNodeRecoversFromSilentStore(t *testing.T) {
@@ -138,7 +139,7 @@
 	s.store.SetMode(onplatform.ModeSilent)
 	calls := s.store.Calls()
 	s.waitUntil("the node has asked again", func() bool { return s.store.Calls() > calls+2 })
-	assert.Equal(t, n.send(request("GET", "/safe/x", "")).status, 200) // What is known stays in force.
+	assert.Equal(t, n.send(request("GET", "/safe/x", "")).status, 200) // The last known state stays in force.
 	s.routes = s.routes[1:]
 	s.configure()
 	s.store.SetMode(onplatform.ModeUp)
@@ -149,7 +150,7 @@
 	s := newSite(t)
 	a := s.startReplica(appService, "a")
 	n1, n2 := s.startReadyNode("n1"), s.startReadyNode("n2")
-	s.waitUntil("each tells of both", func() bool {
+	s.waitUntil("each node lists both", func() bool {
 		return strings.Contains(n1.resolve(), n2.entry) && strings.Contains(n2.resolve(), n1.entry)
 	})
 	started := make(chan struct{})
@@ -167,7 +168,7 @@
 		n2.Drain()
 		close(left)
 	}()
-	s.waitUntil("the node that stops is told of by nobody", func() bool {
+	s.waitUntil("no node lists the stopping one", func() bool {
 		return !strings.Contains(n1.resolve(), n2.entry) && !n2.isReady()
 	})
 	close(release)
@@ -190,7 +191,7 @@
 	assert.Assert(t, err == io.EOF)
 }
 
-// logLines is a log that counts its lines.
+// logLines collects log output and counts occurrences in it.
 type logLines struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -218,7 +219,7 @@
 		s.store.SetMode(mode)
 		s.waitUntil("both tables are lost", func() bool { return lines.count(`msg="store lost"`) == 2*(round+1) })
 		calls := s.store.Calls()
-		s.waitUntil("it was tried again", func() bool { return s.store.Calls() > calls+3 })
+		s.waitUntil("the store was called again", func() bool { return s.store.Calls() > calls+3 })
 		s.store.SetMode(onplatform.ModeUp)
 		s.waitUntil("both are back", func() bool { return lines.count(`msg="store back"`) == 2*(round+1) })
 	}
@@ -226,7 +227,7 @@
 	assert.Equal(t, lines.count(`table=operator`), 6)
 }
 
-// prompt is a request with a prompt of three parts.
+// prompt returns a request with a prompt of three parts.
 func prompt(session string) string {
 	return request("POST", "/prompt/x", "text", "Model: "+model, "Token-Usage: 900,10",
 		fmt.Sprintf("Prefix-Hash: aa:500,%s:300,%x:100", session, requestCount.Add(1)))
@@ -243,7 +244,7 @@
 	shared := in.Header.Get("Cache-Salt")
 	assert.Assert(t, shared != "")
 	s.listReplica(llmService, r, "ready", 2)
-	s.waitUntil("the realm is another", func() bool {
+	s.waitUntil("the salt changes with the weights", func() bool {
 		n.send(prompt("b0"))
 		last := r.Received()[len(r.Received())-1]
 		return last.Header.Get("Cache-Salt") != shared && last.Header.Get("Expect-Version") == "2"
@@ -279,7 +280,7 @@
 		case 503:
 			assert.Assert(t, got.header.Get("Retry-After") != "")
 			refused++
-		case 504: // It may have run.
+		case 504: // It was sent to the engine and may have run.
 			held++
 		default:
 			t.Fatalf("status %d", got.status)
@@ -289,7 +290,8 @@
 	assert.Assert(t, refused > 0 && held >= 4, "%d refused, %d held", refused, held)
 }
 
-// All nodes are gone at once and come back at other addresses.
+// All nodes end at once and are replaced by nodes at other addresses, which must not list the
+// old ones.
 func TestAllNodesRestartTogether(t *testing.T) {
 	s := newSite(t)
 	s.startReplica(appService, "a")
@@ -298,7 +300,7 @@
 		n.close()
 	}
 	n1, n2 := s.startReadyNode("n1"), s.startReadyNode("n2")
-	s.waitUntil("each tells of both, and of none of the old ones", func() bool {
+	s.waitUntil("each lists both new nodes and no old one", func() bool {
 		for _, n := range []*node{n1, n2} {
 			addrs := n.resolve()
 			if !strings.Contains(addrs, n1.entry) || !strings.Contains(addrs, n2.entry) {
@@ -316,15 +318,15 @@
 	assert.Equal(t, n2.send(request("GET", "/safe/x", "")).status, 200)
 }
 
-// A stopping node does not hold prompts in its queue beyond its grace period: they are
-// told to go elsewhere.
+// A stopping node must refuse the prompts in its queue with Retry-After, so that clients go to
+// other nodes, and still answer those that the engine has started.
 func TestQueuedPromptsAreRefusedAtAStop(t *testing.T) {
 	s := newSite(t)
 	r := s.startReplica(llmService, "e")
 	n := s.startReadyNode("n1")
 	release := make(chan struct{})
 	unblock := sync.OnceFunc(func() { close(release) })
-	defer unblock() // The engine waits for it at its end.
+	defer unblock() // Close of the engine waits for its requests.
 	r.Script(func(w io.Writer, r *onplatform.Request) bool {
 		<-release
 		return onplatform.Events(1, 1, 0, true)(w, r)
@@ -342,7 +344,7 @@
 		defer close(stopped)
 		n.Drain()
 	}()
-	s.waitUntil("those that wait are refused", func() bool { return len(answers) == sent-len(r.Received()) })
+	s.waitUntil("the queued prompts are refused", func() bool { return len(answers) == sent-len(r.Received()) })
 	held := len(r.Received())
 	assert.Assert(t, held < sent)
 	for range sent - held {
@@ -352,27 +354,27 @@
 	}
 	unblock()
 	for range held {
-		assert.Equal(t, (<-answers).status, 200, "what the engine has start is answered")
+		assert.Equal(t, (<-answers).status, 200, "what the engine has started is answered")
 	}
 	<-stopped
 	assert.Equal(t, len(r.Received()), held, "what was refused has not run")
 }
 
-// Where another start of a replica answers, the one that was meant has gone, though
-// the list still has it: it costs an attempt every few seconds and no more.
+// A replica that answers 421 is another start than the one listed, so the listed one has gone.
+// It must cost an attempt only every few seconds.
 func TestReplicaThatAnswers421IsRetriedRarely(t *testing.T) {
 	s := newSite(t)
-	gone, there := s.startReplica(appService, "a"), s.startReplica(appService, "b")
+	restarted, serving := s.startReplica(appService, "a"), s.startReplica(appService, "b")
 	n := s.startReadyNode("n1")
-	gone.Script(onplatform.NotExecuted(421))
+	restarted.Script(onplatform.NotExecuted(421))
 	start := time.Now()
 	const sent = 60
 	for range sent {
 		assert.Equal(t, n.send(request("GET", "/safe/x", "")).status, 200)
 		time.Sleep(20 * time.Millisecond)
 	}
-	assert.Equal(t, len(there.Received()), sent)
-	assert.Assert(t, len(gone.Received()) >= 1)
+	assert.Equal(t, len(serving.Received()), sent)
+	assert.Assert(t, len(restarted.Received()) >= 1)
 	most := 1 + int(time.Since(start)/(3*time.Second))
-	assert.Assert(t, len(gone.Received()) <= most, "%d attempts", len(gone.Received()))
+	assert.Assert(t, len(restarted.Received()) <= most, "%d attempts", len(restarted.Received()))
 }
--- a/internal/standin/onplatform/site_test.go
+++ b/internal/standin/onplatform/site_test.go
@@ -33,10 +33,10 @@
 	appService  = "app"
 	llmService  = "llm"
 	model       = "m0"
-	waitTimeout = 20 * time.Second // A bound on conditions, not a time that is measured.
+	waitTimeout = 20 * time.Second // Until a condition fails the test; no measured time.
 )
 
-// site is a deployment of stand-ins, and the nodes before it.
+// site is a store and replicas of the platform, and the settings of the nodes in front of them.
 type site struct {
 	t             *testing.T
 	store         *onplatform.Store
@@ -44,11 +44,11 @@
 	routes        []map[string]any
 	tenants       []map[string]any
 	limits        map[string]any
-	appFields     map[string]any   // Further fields of the service app.
-	regions       string           // Of data halls, as JSON; "" for none.
-	extraServices []map[string]any // Further services.
+	appFields     map[string]any   // Further fields of the service appService.
+	regions       string           // Regions of the data halls, as JSON; "" for none.
+	extraServices []map[string]any // Services besides appService and llmService.
 	log           *slog.Logger
-	storeProxy    *netproxy.Proxy // To the store, nil for none.
+	storeProxy    *netproxy.Proxy // Between nodes and store, nil for none.
 }
 
 func newSite(t *testing.T) *site {
@@ -71,7 +71,7 @@
 	return s
 }
 
-// configure writes the site's configuration as a new version.
+// configure writes the site's configuration with the next version.
 func (s *site) configure() {
 	s.version++
 	services := []map[string]any{
@@ -92,7 +92,7 @@
 	return v
 }
 
-// startReplica starts a replica of a service and lists it.
+// startReplica starts a replica of a service and writes its row.
 func (s *site) startReplica(service, id string) *onplatform.Replica {
 	r, err := onplatform.NewReplica(id)
 	assert.NilError(s.t, err)
@@ -105,7 +105,7 @@
 	s.listReplicaAt(service, r, r.Addr(), state, weights)
 }
 
-// listReplicaAt lists a replica that is reached at another address.
+// listReplicaAt writes the row of a replica that nodes reach at another address.
 func (s *site) listReplicaAt(service string, r *onplatform.Replica, addr netip.AddrPort, state string, weights int) {
 	row := onplatform.UpstreamRow(service, addr, 8, state)
 	if service == llmService {
@@ -116,13 +116,13 @@
 
 var nextIP atomic.Int32
 
-// uniqueIP is a loopback address that no other test uses.
+// uniqueIP returns a loopback address that no other test uses.
 func uniqueIP() string {
 	n := nextIP.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, 1+n/200, 1+n%200)
 }
 
-// node is one node under test.
+// node is a gateway node under test.
 type node struct {
 	*gateway.Gateway
 	site      *site
@@ -179,7 +179,7 @@
 
 func (n *node) close() { n.closeOnce.Do(n.Close) }
 
-// startReadyNode starts a node and waits until it has heard of the site.
+// startReadyNode starts a node and waits until it is ready.
 func (s *site) startReadyNode(name string) *node {
 	n := s.startNode(name)
 	s.waitUntil("ready", func() bool { return n.isReady() })
@@ -195,7 +195,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// waitUntil waits for a condition.
+// waitUntil waits until ok returns true and fails the test after waitTimeout.
 func (s *site) waitUntil(what string, ok func() bool) {
 	s.t.Helper()
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
@@ -208,7 +208,7 @@
 
 var requestCount atomic.Int64
 
-// request is the text of a request with an id of its own.
+// request returns the text of a request with an id of its own.
 func request(method, target, body string, fields ...string) string {
 	id := fmt.Sprintf("r-%d", requestCount.Add(1))
 	head := []string{
@@ -221,18 +221,18 @@
 	return strings.Join(head, "\r\n") + "\r\n\r\n" + body
 }
 
-// reply is an answer as a client got it.
+// reply is an answer as a client received it.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// incomplete says that the answer broke off, or never came.
+	// incomplete is set if the answer broke off or never came.
 	incomplete bool
-	// closing says that the node ends the connection.
+	// closing is set if the node announced that it closes the connection.
 	closing bool
 }
 
-// client is one connection of a client.
+// client is a connection to a node.
 type client struct {
 	t    *testing.T
 	conn net.Conn
@@ -269,7 +269,7 @@
 	return c.read()
 }
 
-// resolve asks a node where to go.
+// resolve returns what the node's directory answers for the addresses of nodes.
 func (n *node) resolve() string {
 	resp, err := http.Get("http://" + n.directory + platform.PathResolve + "?name=" + host + "&zone=hall-a")
 	if err != nil {
@@ -281,4 +281,4 @@
 	return string(body)
 }
 
-func closeBody(resp *http.Response) { _ = resp.Body.Close() } // It has been read.
+func closeBody(resp *http.Response) { _ = resp.Body.Close() } // The body has been read.
--- a/internal/standin/onplatform/stop_test.go
+++ b/internal/standin/onplatform/stop_test.go
@@ -15,14 +15,14 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// quietTime is when a stop has long had nothing to wait for but a request that
-// is still being read.
+// quietTime is how long after the start of a stop nothing is left to wait for but a
+// request that is still being read.
 const quietTime = 2 * time.Second
 
-// workTime is how long replicas of these tests work on a request.
+// workTime is how long replicas in these tests work on a request.
 const workTime = 100 * time.Millisecond
 
-// slowAnswer answers after the replica has worked for a while, unless the caller goes.
+// slowAnswer answers after workTime, unless the caller disconnects.
 func slowAnswer(onStart func()) onplatform.Script {
 	return func(w io.Writer, r *onplatform.Request) bool {
 		onStart()
@@ -35,17 +35,10 @@
 	}
 }
 
-// Symptom: some 1.2 s after a node was told to stop, a replica had begun on a request
-// when the node closed both connections; the client got no answer.
-// Sequence: the request's bytes were coming while the node looked a last time; it found
-// nothing in flight, ended its stop, passed the request on as its last bytes came, and
-// closed all connections.
-// Cause: a stop ended when looks 50 ms apart had counted no request for 0.3 s. Only
-// requests that were read whole were counted, and nothing kept one from becoming whole
-// between the last look and the closing.
-// What settled it: with the last bytes held back until the wait had ended, "requests cut
-// by a stop" told serving=1 and "cut by a stop" a request 0.9 ms old with attempts=1,
-// 2.0 s after "stopping" had told in_flight=0, of a grace period of 5 s.
+// A stopping node checked every 50 ms for requests in flight and ended the stop when it had found
+// none for 0.3 s. It counted only requests that it had read whole, so a request whose last bytes
+// came after the last check was sent to a replica just before the node closed all connections,
+// and the client got no answer. Here the last bytes come 2 s into a grace period of 5 s.
 func TestStopWaitsForRequestsThatAreBeingRead(t *testing.T) {
 	text := request("POST", "/once/x", "the whole body")
 	for name, sent := range map[string]int{
@@ -62,7 +55,7 @@
 			a.Script(slowAnswer(func() { close(started) }))
 			c := n.dial()
 			c.write(text[:sent])
-			time.Sleep(workTime) // They have been read.
+			time.Sleep(workTime) // The node has read them.
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
@@ -76,14 +69,14 @@
 			got := c.read()
 			assert.Assert(t, !got.incomplete, "a replica has started on it")
 			assert.Equal(t, got.body, "whole")
-			assert.Assert(t, got.closing, "the connection is not to be used again")
+			assert.Assert(t, got.closing, "the node announces that it closes the connection")
 			<-ended
 		})
 	}
 }
 
-// A stop ends rests and takes no connection any more when callers have had the time to
-// hear of it; it does not wait for a request where there is none.
+// A stop closes idle connections and refuses new ones after callers have had time to learn of
+// it. It must not wait for a request when there is none.
 func TestStoppedNodeRefusesConnections(t *testing.T) {
 	s := newSite(t)
 	a := s.startReplica(appService, "a")
@@ -99,7 +92,7 @@
 	assert.Equal(t, len(a.Received()), 0)
 }
 
-// A request of which the rest never comes holds a stop no longer than its time allows.
+// A request whose rest never comes must not hold up a stop longer than the grace period.
 func TestIncompleteRequestDoesNotDelayStopPastGrace(t *testing.T) {
 	s := newSite(t)
 	s.startReplica(appService, "a")
@@ -113,7 +106,7 @@
 	assert.Assert(t, c.read().incomplete)
 }
 
-// The stops of a busy site.
+// The load and the stops of TestOverlappingStopsCutNoStartedRequest.
 const (
 	stoppedNodes   = 3
 	clientsPerNode = 24 // Of each node.
@@ -122,9 +115,10 @@
 	shortWorkTime  = 15 * time.Millisecond
 )
 
-// The test above puts the bytes where they did harm; here chance does, over whole stops
-// that overlap, while clients go on, on kept connections and on new ones, with requests
-// of which a part comes later. Whatever a replica has begun is answered.
+// Clients keep sending while several nodes stop at overlapping times, on old and new connections,
+// with requests of which a part comes at a random later time. Each request that a replica has
+// started must be answered. The test above places the late bytes at the critical moment; this
+// one leaves that to chance.
 func TestOverlappingStopsCutNoStartedRequest(t *testing.T) {
 	s := newSite(t)
 	a := s.startReplica(appService, "a")
@@ -160,7 +154,7 @@
 	t.Logf("%d requests have run", len(a.Received()))
 }
 
-// callUntilStopped sends requests, some in two parts, until the node listens no more.
+// callUntilStopped sends requests, some in two parts, until the node accepts no more connections.
 func (n *node) callUntilStopped(answered *sync.Map) {
 	for {
 		conn, err := net.Dial("tcp", n.entry)
@@ -168,13 +162,13 @@
 			return
 		}
 		callUntilClosed(conn, answered)
-		_ = conn.Close() // A new one is made.
+		_ = conn.Close() // The next round dials a new one.
 	}
 }
 
-// callUntilClosed sends requests on a connection as long as the node keeps it.
+// callUntilClosed sends requests on a connection until the node closes it.
 func callUntilClosed(conn net.Conn, answered *sync.Map) {
-	_ = conn.SetDeadline(time.Now().Add(waitTimeout)) // A broken one is seen below.
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout)) // If it fails, so do the writes below.
 	c := &client{conn: conn, r: bufio.NewReader(conn)}
 	for {
 		time.Sleep(rand.N(maxPause))
--- a/internal/standin/onplatform/store.go
+++ b/internal/standin/onplatform/store.go
@@ -28,27 +28,27 @@
 	Version int64  `json:"ver"`
 	Gone    bool   `json:"gone,omitempty"`
 
-	// encoded is the row as JSON. Rows of megabytes are encoded once, and not
-	// for each call: the callers of a test share its processor.
+	// encoded is the row as JSON. It is encoded once, not for each call:
+	// rows may be megabytes long, and the store shares the processor with the nodes under test.
 	encoded []byte
 }
 
-// Mode is how the store behaves.
+// Mode selects how the store behaves.
 type Mode int
 
 // Modes of the store.
 const (
-	// ModeUp: it serves.
+	// ModeUp serves all calls.
 	ModeUp Mode = iota
-	// ModeRefusing: it answers 503.
+	// ModeRefusing answers 503.
 	ModeRefusing
-	// ModeSilent: it takes calls and never answers.
+	// ModeSilent accepts calls and never answers.
 	ModeSilent
-	// ModeStale: whole tables are read as they were when the mode began.
+	// ModeStale answers reads of whole tables as of the time when the mode was set.
 	ModeStale
 )
 
-// Store is the platform's store.
+// Store is a stand-in of the platform's store.
 type Store struct {
 	ln   net.Listener
 	http *http.Server
@@ -58,7 +58,7 @@
 	staleRows    map[string]map[string]Row
 	staleVersion int64
 	version      int64
-	historyStart int64 // Changes up to this version are forgotten.
+	historyStart int64 // The feed knows no changes up to this version.
 	changed      chan struct{}
 	mode         Mode
 	calls        int
@@ -78,14 +78,14 @@
 	mux.HandleFunc("GET /-/rows-feed", s.feed)
 	mux.HandleFunc("POST /-/rows-tx", s.write)
 	s.http = &http.Server{Handler: s.applyMode(mux)}
-	go func() { _ = s.http.Serve(ln) }() // It ends when it is closed.
+	go func() { _ = s.http.Serve(ln) }() // Returns when the server is closed.
 	return s, nil
 }
 
 // Close stops the store and drops its connections.
 func (s *Store) Close() { _ = s.http.Close() }
 
-// Addr is where the store listens.
+// Addr returns the address on which the store listens.
 func (s *Store) Addr() netip.AddrPort { return s.ln.Addr().(*net.TCPAddr).AddrPort() }
 
 // SetMode changes how the store behaves.
@@ -99,7 +99,7 @@
 	s.notifyWatchers()
 }
 
-// TruncateHistory drops the history of changes up to now.
+// TruncateHistory drops the history of changes up to now: feeds from before are answered 410.
 func (s *Store) TruncateHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 	s.notifyWatchers()
 }
 
-// Calls is how many calls were made.
+// Calls returns the number of calls made to the store.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,14 +120,14 @@
 	text, ok := value.(string)
 	body := []byte(text)
 	if !ok {
-		body, _ = json.Marshal(value) // Tests write values that encode.
+		body, _ = json.Marshal(value) // Tests write only values that encode.
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(Row{Table: table, Key: key, Value: body})
 }
 
-// Delete drops a row.
+// Delete deletes a row.
 func (s *Store) Delete(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +144,7 @@
 func (s *Store) put(r Row) {
 	s.version++
 	r.Version = s.version
-	r.encoded, _ = json.Marshal(r) // A row's fields encode.
+	r.encoded, _ = json.Marshal(r) // Cannot fail: a Row has only encodable fields.
 	if s.rows[r.Table] == nil {
 		s.rows[r.Table] = map[string]Row{}
 	}
@@ -168,7 +168,7 @@
 	return all
 }
 
-// applyMode lets calls through as the mode has it.
+// applyMode refuses, holds or passes calls according to the mode.
 func (s *Store) applyMode(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -192,7 +192,7 @@
 	Now     int64
 }
 
-// DelayRead has whole tables of a name be answered late.
+// DelayRead delays answers to reads of a whole table.
 func (s *Store) DelayRead(table string, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -315,5 +315,5 @@
 	}
 	body = fmt.Appendf(body, `],"more":false,"ver":%d,"now_ms":%d}`, l.Version, l.Now)
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // A caller that has gone needs none.
+	_, _ = w.Write(body) // The caller may have disconnected.
 }
--- a/internal/standin/onplatform/suspended_test.go
+++ b/internal/standin/onplatform/suspended_test.go
@@ -13,13 +13,13 @@
 	"github.com/drumpath/drumpath/pkg/boottime"
 )
 
-// A machine was suspended for seconds. The steady clock does not count that time, so its
-// node took what it remembered for as fresh as before: in its first milliseconds it sent on
-// requests of a key that had been taken away meanwhile and to data halls that were
-// evacuated, and said that it was ready. A process that is only stopped finds by its clock
-// how old its knowledge is; here both clocks have to be compared.
+// The monotonic clock does not count the time for which a machine is suspended, so a node that
+// woke up took its state for as fresh as before: for some milliseconds it accepted a key that had
+// been revoked, sent requests to evacuated data halls, and was ready. A process that was only
+// stopped sees the time that passed; after a suspension the monotonic clock has to be compared
+// with the boot-time clock.
 
-// away holds up all between the site's nodes and its store.
+// cutStore holds up all bytes between the site's nodes and the store until restore is called.
 func (s *site) cutStore() (restore func()) {
 	held := netproxy.Link{Held: true}
 	s.storeProxy.Set(held, held)
@@ -49,9 +49,9 @@
 			got := n.send(asTwo())
 			restore()
 			assert.Assert(t, got.status == 503 || got.status == 401, "status %d", got.status)
-			assert.Equal(t, len(a.Received())+len(b.Received()), before, "a key that was taken away")
-			s.waitUntil("it knows that the key is gone", func() bool { return n.send(asTwo()).status == 401 })
-			s.waitUntil("it serves again", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
+			assert.Equal(t, len(a.Received())+len(b.Received()), before, "a request with a revoked key was sent on")
+			s.waitUntil("the node knows that the key is revoked", func() bool { return n.send(asTwo()).status == 401 })
+			s.waitUntil("the node serves again", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
 			assert.Assert(t, time.Since(wokeAt) < time.Second, "no longer than a start: %v", time.Since(wokeAt))
 			assert.Assert(t, n.isReady())
 		})
@@ -66,18 +66,18 @@
 	defer s.cutStore()()
 	boottime.SimulateSuspend(8 * time.Second)
 	assert.Assert(t, !n.isReady())
-	assert.Equal(t, n.resolve(), "", "it does not know where callers are to go")
+	assert.Equal(t, n.resolve(), "", "the node must not name addresses from stale state")
 	got := n.send(request("GET", "/safe/x", ""))
 	assert.Equal(t, got.status, 503)
 	assert.Equal(t, got.body, `{"error":"suspended"}`)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
-	// The store stays away. Then its knowledge is as good as that of other nodes then.
-	s.waitUntil("it serves", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
+	// While the store stays unreachable, the node's state is as good as that of any other node.
+	s.waitUntil("the node serves", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
 	assert.Assert(t, n.isReady())
 }
 
-// A request's caller has waited on while the machine was suspended: what is over is not
-// sent again, and "not run" is true.
+// A request's deadline passes while the machine is suspended. The node must not send it again
+// after the first replica has refused it, and answers that it was not executed.
 func TestRequestExpiredDuringSuspensionIsNotRetried(t *testing.T) {
 	s := newSite(t)
 	a, b := s.startReplica(appService, "a"), s.startReplica(appService, "b")
@@ -93,7 +93,7 @@
 	assert.Equal(t, len(a.Received())+len(b.Received()), 1)
 }
 
-// A data hall was evacuated while the machine was suspended.
+// A data hall is evacuated while the machine is suspended.
 func TestSuspendedNodeSendsNothingToEvacuatedHall(t *testing.T) {
 	s := newSite(t)
 	s.storeProxy = s.newProxy(s.store.Addr())
@@ -101,7 +101,7 @@
 	s.putRow(a, replicaRow(appService, a, nil))
 	s.putRow(b, replicaRow(appService, b, map[string]any{"zone": "hall-b"}))
 	n := s.startReadyNode("n1")
-	s.waitUntil("its own hall serves", func() bool { return n.reaches(a) })
+	s.waitUntil("the node's own hall serves", func() bool { return n.reaches(a) })
 	restore := s.cutStore()
 	s.store.Put(onplatform.TableOperator, "evacuate/hall-a", map[string]any{})
 	boottime.SimulateSuspend(8 * time.Second)
@@ -112,5 +112,5 @@
 	assert.Equal(t, len(a.Received()), before)
 	restore()
 	s.waitUntil("the other hall serves", func() bool { return n.reaches(b) })
-	s.waitUntil("and the evacuated one does not", func() bool { return !n.reaches(a) })
+	s.waitUntil("the evacuated hall does not serve", func() bool { return !n.reaches(a) })
 }
