--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -25,8 +25,8 @@
 	},
 	{
 		"a restarted store's old objects are dropped", "pkg/prompt/directory.go",
-		"		if !keep(*d.places[r].object) {", "		if false && !keep(*d.places[r].object) {",
-		"./pkg/prompt", "TestRestartedStoreForgetsOldEpoch",
+		"		if !keep(*d.locations[id].object) {", "		if false && !keep(*d.locations[id].object) {",
+		"./pkg/prompt", "TestObjectsOfAnEarlierStoreBootAreDropped",
 	},
 	{
 		"a free waits for pins", "internal/standin/store.go",
@@ -46,12 +46,12 @@
 	{
 		"answers carry their request's id", "pkg/upstream/stream.go",
 		"ev.RequestID != s.id", "false",
-		"./pkg/upstream", "TestWrongAnswersAreErrors",
+		"./pkg/upstream", "TestInvalidAnswerStreamsAreErrors",
 	},
 	{
 		"answers' tokens are counted", "pkg/upstream/stream.go",
-		"ev.Index != s.next", "false",
-		"./pkg/upstream", "TestWrongAnswersAreErrors",
+		"ev.Index != s.nextIndex", "false",
+		"./pkg/upstream", "TestInvalidAnswerStreamsAreErrors",
 	},
 	{
 		"crossed answers are discarded, as processes", "pkg/upstream/stream.go",
@@ -60,7 +60,7 @@
 	},
 	{
 		"a cancelled answer's connection is not used again", "pkg/upstream/stream.go",
-		"	if s.whole {\n		// The end", "	if true {\n		// The end",
+		"	if s.complete {\n		// The end", "	if true {\n		// The end",
 		"./pkg/upstream", "TestCancelledAnswerNeverReachesTheNextRequest",
 	},
 	{
@@ -76,7 +76,7 @@
 	{
 		"a dropped connection may have run", "pkg/httpjson/client.go",
 		"	return errors.Is(err, fasthttp.ErrNoFreeConns)", "	return true || errors.Is(err, fasthttp.ErrNoFreeConns)",
-		"./pkg/upstream", "TestDroppedConnectionMayHaveRun",
+		"./pkg/upstream", "TestDroppedConnectionIsNotReportedAsNotRun",
 	},
 	{
 		"a claim goes before the first byte", "service/entry/service.go",
@@ -239,9 +239,9 @@
 		"./service/suspects", "TestNodeThatStartsHearsFromOthersWhatIsBlocked",
 	},
 	{
-		"a call is not sent on a connection closed at rest", "pkg/httpjson/patience.go",
-		"left || err != nil {", "left && false || err != nil {",
-		"./pkg/httpjson", "TestCallIsNotSentOnAConnectionThatItsServerHasClosed",
+		"a call is not sent on a connection closed at rest", "pkg/httpjson/progress_conn.go",
+		"closed || err != nil {", "closed && false || err != nil {",
+		"./pkg/httpjson", "TestCallIsNotSentOnAConnectionClosedByTheServer",
 	},
 	{
 		"members: known news are told less often", "pkg/control/members.go",
--- a/cmd/drumpath/cmds/load.go
+++ b/cmd/drumpath/cmds/load.go
@@ -72,7 +72,7 @@
 	c.std.printf("sent %d, answered %d, refused %d, failed %d, outcome unknown %d, wrong %d, lost %d\n",
 		r.Sent, r.Answered, r.Refused, r.Failed, r.Unknown, r.Wrong, r.Lost)
 	c.std.printf("first token p50 %.1f ms, p95 %.1f ms, p99 %.1f ms; between tokens p95 %.1f ms\n",
-		r.FirstTokenP50, r.FirstTokenP95, r.FirstTokenP99, r.BetweenP95)
+		r.FirstTokenP50, r.FirstTokenP95, r.FirstTokenP99, r.BetweenTokensP95)
 	c.std.printf("recomputed %.1f%% of prompt tokens; fairness %.2f; within deadline %d\n",
 		100*r.RecomputedShare, r.Fairness, r.InDeadline)
 	return nil
--- a/cmd/drumpath/cmds/try.go
+++ b/cmd/drumpath/cmds/try.go
@@ -205,9 +205,9 @@
 		return r, eris.Errorf("wrong answer: %q, wanted %q", a.Text, want)
 	}
 	return tryRun{
-		TTFTMillis:       float64(a.First.Microseconds()) / 1000,
-		PromptTokens:     a.Prompt,
-		RecomputedTokens: a.Prompt - a.Cached,
+		TTFTMillis:       float64(a.FirstToken.Microseconds()) / 1000,
+		PromptTokens:     a.PromptTokens,
+		RecomputedTokens: a.PromptTokens - a.CachedTokens,
 		Source:           a.Source,
 	}, nil
 }
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -175,7 +175,7 @@
 	report, err := load.Run(context.Background(), cs.profile, load.Options{
 		Entries: cl.entries(),
 		Verify:  standin.Answer,
-		OnTime: func(since time.Duration) {
+		OnTick: func(since time.Duration) {
 			if cs.fault != nil && since >= half {
 				once.Do(func() { cs.fault(cl.site) })
 			}
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -134,7 +134,7 @@
 		Observe: func(since time.Duration, a load.StreamResult) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.firsts = append(s.firsts, firstToken{at: since, took: a.First})
+			s.firsts = append(s.firsts, firstToken{at: since, took: a.FirstToken})
 		},
 		Progress: func(p load.Progress) {
 			if int(p.Since.Seconds())%30 == 0 {
--- a/pkg/boottime/clock.go
+++ b/pkg/boottime/clock.go
@@ -11,18 +11,18 @@
 	// suspended is for how long the machine has been found to have been suspended since
 	// the program started, in nanoseconds. It only grows.
 	suspended atomic.Int64
-	// skipped is what SimulateSuspend has added to the clock.
-	skipped atomic.Int64
-	// ahead is by how much at most the clock that counts everything was ahead of the steady
+	// simulated is what SimulateSuspend has added to the clock.
+	simulated atomic.Int64
+	// initialLead is by how much at most the clock that counts everything was ahead of the steady
 	// one when the program started.
-	ahead, errClock = leadAtStart()
+	initialLead, clockErr = measureInitialLead()
 )
 
-func steady() (time.Duration, error) { return read(unix.CLOCK_MONOTONIC) }
+func monotonicTime() (time.Duration, error) { return read(unix.CLOCK_MONOTONIC) }
 
-func boot() (time.Duration, error) {
+func bootTime() (time.Duration, error) {
 	d, err := read(unix.CLOCK_BOOTTIME)
-	return d + time.Duration(skipped.Load()), err
+	return d + time.Duration(simulated.Load()), err
 }
 
 func read(clock int32) (time.Duration, error) {
@@ -42,16 +42,16 @@
 	return a - b, err
 }
 
-// startReadings is of how many readings the best is taken at the start: what it leaves open
+// initialReadings is of how many readings the best is taken at the start: what it leaves open
 // is left out of each suspension that is found later.
-const startReadings = 8
+const initialReadings = 8
 
-// leadAtStart takes the readings the other way round than Refresh, so that a pause of the
+// measureInitialLead takes the readings the other way round than Refresh, so that a pause of the
 // process in either is never taken for a suspension of the machine.
-func leadAtStart() (time.Duration, error) {
-	behind, err := lead(steady, boot)
-	for range startReadings {
-		if again, failed := lead(steady, boot); failed == nil {
+func measureInitialLead() (time.Duration, error) {
+	behind, err := lead(monotonicTime, bootTime)
+	for range initialReadings {
+		if again, failed := lead(monotonicTime, bootTime); failed == nil {
 			behind = max(behind, again)
 		}
 	}
@@ -59,17 +59,17 @@
 }
 
 // Err says why suspensions are not found on this system, nil if they are.
-func Err() error { return errClock }
+func Err() error { return clockErr }
 
 // Refresh finds out for how long the machine has been suspended since the program started, less
 // what passed while the clocks were read, which the next look finds. It takes 0.6 us, two
 // calls of the system.
 func Refresh() time.Duration {
-	now, err := lead(boot, steady)
-	if err != nil || errClock != nil {
+	now, err := lead(bootTime, monotonicTime)
+	if err != nil || clockErr != nil {
 		return Suspended()
 	}
-	found := int64(now - ahead)
+	found := int64(now - initialLead)
 	for {
 		known := suspended.Load()
 		if found <= known || suspended.CompareAndSwap(known, found) {
@@ -102,4 +102,4 @@
 
 // SimulateSuspend has the clock that counts everything tell as if the machine had been suspended for a
 // while. It is for tests.
-func SimulateSuspend(d time.Duration) { skipped.Add(int64(d)) }
+func SimulateSuspend(d time.Duration) { simulated.Add(int64(d)) }
--- a/pkg/boottime/clock_test.go
+++ b/pkg/boottime/clock_test.go
@@ -9,18 +9,18 @@
 	"github.com/drumpath/drumpath/pkg/boottime"
 )
 
-// readTime is over what passes while the clocks are read, beside a few looks for what a
+// maxRefreshTime is over what passes while the clocks are read, beside a few looks for what a
 // pause of the process has hidden: on a busy machine that can be some time slices.
-const readTime = time.Second
+const maxRefreshTime = time.Second
 
-func TestSuspensionCountsOnceItIsFound(t *testing.T) {
+func TestSuspensionCountsOnlyAfterRefresh(t *testing.T) {
 	assert.NilError(t, boottime.Err())
 	known := boottime.Refresh()
 	before := boottime.Now()
 	boottime.SimulateSuspend(8 * time.Second)
 	assert.Assert(t, boottime.Since(before) < time.Second, "nobody has looked")
 	for begun := time.Now(); boottime.Refresh()-known < 8*time.Second-time.Millisecond; {
-		assert.Assert(t, time.Since(begun) < readTime, "found %v", boottime.Refresh()-known)
+		assert.Assert(t, time.Since(begun) < maxRefreshTime, "found %v", boottime.Refresh()-known)
 	}
 	assert.Assert(t, boottime.Refresh()-known <= 8*time.Second+time.Millisecond, "found %v", boottime.Refresh()-known)
 	since := boottime.Since(before)
@@ -33,7 +33,7 @@
 
 // Between two looks only a suspension counts, not the time that passes, nor a pause of the
 // process between the two readings.
-func TestRunningOnIsNoSuspension(t *testing.T) {
+func TestRunningTimeIsNotCountedAsSuspension(t *testing.T) {
 	first := boottime.Refresh()
 	for range 2000 {
 		time.Sleep(10 * time.Microsecond)
@@ -42,7 +42,7 @@
 	assert.Assert(t, boottime.Refresh()-first < time.Millisecond, "%v", boottime.Refresh()-first)
 }
 
-func BenchmarkLook(b *testing.B) {
+func BenchmarkRefresh(b *testing.B) {
 	for b.Loop() {
 		boottime.Refresh()
 	}
--- a/pkg/http1/body.go
+++ b/pkg/http1/body.go
@@ -23,17 +23,17 @@
 
 // Body is the body of one message. Reading it never goes past its end.
 type Body struct {
-	r       *bufio.Reader
-	framing Framing
-	left    int64 // Of the length, or of the chunk.
-	done    bool
-	err     error
-	started bool // A chunk has been read, so its line end is due.
+	r           *bufio.Reader
+	framing     Framing
+	remaining   int64 // Of the length, or of the chunk.
+	done        bool
+	err         error
+	pendingCRLF bool // A chunk has been read, so its line end is due.
 }
 
 // RequestBody returns the body of a request whose head was read from r.
 func RequestBody(h *Head, r *bufio.Reader) (*Body, error) {
-	framing, n, err := framingOf(h)
+	framing, n, err := parseFraming(h)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 	if method == "HEAD" || h.Status < 200 || h.Status == 204 || h.Status == 304 {
 		return newBody(r, FramingNone, 0), nil
 	}
-	framing, n, err := framingOf(h)
+	framing, n, err := parseFraming(h)
 	if err != nil {
 		return nil, err
 	}
@@ -56,13 +56,13 @@
 }
 
 func newBody(r *bufio.Reader, framing Framing, n int64) *Body {
-	return &Body{r: r, framing: framing, left: n, done: framing == FramingNone}
+	return &Body{r: r, framing: framing, remaining: n, done: framing == FramingNone}
 }
 
-// framingOf refuses every head that two readers could frame differently:
+// parseFraming refuses every head that two readers could frame differently:
 // both ways at once, lengths that differ, codings other than chunked.
-func framingOf(h *Head) (Framing, int64, error) {
-	chunked, length, found := false, int64(0), false
+func parseFraming(h *Head) (Framing, int64, error) {
+	chunked, length, hasLength := false, int64(0), false
 	for _, f := range h.Fields {
 		switch {
 		case strings.EqualFold(f.Name, "Transfer-Encoding"):
@@ -71,15 +71,15 @@
 			}
 			chunked = true
 		case strings.EqualFold(f.Name, "Content-Length"):
-			n, ok := decimal(f.Value)
-			if !ok || found && n != length {
+			n, ok := parseLength(f.Value)
+			if !ok || hasLength && n != length {
 				return 0, 0, ErrMalformed
 			}
-			length, found = n, true
+			length, hasLength = n, true
 		}
 	}
 	switch {
-	case chunked && found:
+	case chunked && hasLength:
 		return 0, 0, ErrMalformed
 	case chunked:
 		return FramingChunked, 0, nil
@@ -90,11 +90,11 @@
 	}
 }
 
-// maxDigits keeps a length inside an int64.
-const maxDigits = 18
+// maxLengthDigits keeps a length inside an int64.
+const maxLengthDigits = 18
 
-func decimal(s string) (int64, bool) {
-	if s == "" || len(s) > maxDigits {
+func parseLength(s string) (int64, bool) {
+	if s == "" || len(s) > maxLengthDigits {
 		return 0, false
 	}
 	for i := range len(s) {
@@ -131,7 +131,7 @@
 func (b *Body) read(p []byte) (int, error) {
 	switch b.framing {
 	case FramingLength:
-		return b.readLeft(p, true)
+		return b.readRemaining(p, true)
 	case FramingChunked:
 		return b.readChunk(p)
 	default:
@@ -144,16 +144,16 @@
 }
 
 // readLeft reads from what is left of a length or a chunk.
-func (b *Body) readLeft(p []byte, last bool) (int, error) {
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+func (b *Body) readRemaining(p []byte, endsBody bool) (int, error) {
+	if int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.r.Read(p)
-	b.left -= int64(n)
-	if err != nil && b.left > 0 {
-		return n, cut(err)
+	b.remaining -= int64(n)
+	if err != nil && b.remaining > 0 {
+		return n, eofAsTruncated(err)
 	}
-	if b.left == 0 && last {
+	if b.remaining == 0 && endsBody {
 		b.done = true
 	}
 	return n, nil
@@ -161,7 +161,7 @@
 
 // readChunk reads from the chunk at hand, or from the next one.
 func (b *Body) readChunk(p []byte) (int, error) {
-	if b.left == 0 {
+	if b.remaining == 0 {
 		if err := b.nextChunk(); err != nil {
 			return 0, err
 		}
@@ -169,7 +169,7 @@
 			return 0, io.EOF
 		}
 	}
-	return b.readLeft(p, false)
+	return b.readRemaining(p, false)
 }
 
 // maxChunkLine bounds the line of a chunk's size, with its extensions, and each
@@ -177,36 +177,36 @@
 const maxChunkLine = 1024
 
 func (b *Body) nextChunk() error {
-	if b.started {
+	if b.pendingCRLF {
 		if line, err := readLine(b.r, maxChunkLine); err != nil || line != "" {
-			return chunkError(err)
+			return chunkLineError(err)
 		}
 	}
-	b.started = true
+	b.pendingCRLF = true
 	line, err := readLine(b.r, maxChunkLine)
 	if err != nil {
-		return chunkError(err)
+		return chunkLineError(err)
 	}
 	size, _, _ := strings.Cut(line, ";")
 	n, err := strconv.ParseUint(strings.TrimRight(size, " \t"), 16, 62)
 	if err != nil || !isHex(size[:1]) {
 		return ErrMalformed
 	}
-	b.left = int64(n)
+	b.remaining = int64(n)
 	if n == 0 {
-		return b.trailers()
+		return b.skipTrailers()
 	}
 	return nil
 }
 
 func isHex(s string) bool { return strings.Contains("0123456789abcdefABCDEF", s) }
 
-// trailers reads on to the end of the body; trailers are dropped.
-func (b *Body) trailers() error {
+// skipTrailers reads on to the end of the body; trailers are dropped.
+func (b *Body) skipTrailers() error {
 	for {
 		line, err := readLine(b.r, maxChunkLine)
 		if err != nil {
-			return chunkError(err)
+			return chunkLineError(err)
 		}
 		if line == "" {
 			b.done = true
@@ -215,17 +215,17 @@
 	}
 }
 
-func chunkError(err error) error {
+func chunkLineError(err error) error {
 	switch {
 	case err == nil, errors.Is(err, ErrHeadTooLarge):
 		return ErrMalformed
 	default:
-		return cut(err)
+		return eofAsTruncated(err)
 	}
 }
 
-// cut turns an orderly end inside a body into ErrBodyTruncated.
-func cut(err error) error {
+// eofAsTruncated turns an orderly end inside a body into ErrBodyTruncated.
+func eofAsTruncated(err error) error {
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrBodyTruncated
 	}
@@ -234,13 +234,13 @@
 
 // ReadAll reads a body of at most limit bytes.
 func ReadAll(b *Body, limit int) ([]byte, error) {
-	if b.framing == FramingLength && b.left > int64(limit) {
+	if b.framing == FramingLength && b.remaining > int64(limit) {
 		return nil, ErrBodyTooLarge
 	}
 	if b.framing == FramingLength {
-		all := make([]byte, b.left)
+		all := make([]byte, b.remaining)
 		_, err := io.ReadFull(b, all)
-		return all, cut(err)
+		return all, eofAsTruncated(err)
 	}
 	all, err := io.ReadAll(io.LimitReader(b, int64(limit)+1))
 	if err != nil {
--- a/pkg/http1/conn.go
+++ b/pkg/http1/conn.go
@@ -11,19 +11,19 @@
 // Dial connects to an address. A peer that acknowledges nothing for unacked
 // ends the connection: without that, one that has lost power holds a sender for
 // minutes.
-func Dial(addr string, timeout, unacked time.Duration) (net.Conn, error) {
+func Dial(addr string, timeout, ackTimeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:   timeout,
 		KeepAlive: -1,
 		Control: func(_, _ string, c syscall.RawConn) error {
-			var failed error
+			var sockErr error
 			err := c.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacked.Milliseconds()))
+				sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return sockErr
 		},
 	}
 	return d.Dial("tcp", addr)
@@ -32,33 +32,33 @@
 // PeerClosed says whether the peer of a TCP connection has closed it, or its own side of
 // it, or reset it. It tells so also while bytes that came before are unread, where
 // reading would not. The error says that the connection was closed here.
-func PeerClosed(conn net.Conn) (left bool, err error) {
-	sc, ok := conn.(syscall.Conn)
+func PeerClosed(conn net.Conn) (closed bool, err error) {
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return false, nil
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return false, err
 	}
 	err = raw.Control(func(fd uintptr) {
-		info, failed := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		left = failed == nil && info.State != unix.BPF_TCP_ESTABLISHED
+		info, sockErr := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		closed = sockErr == nil && info.State != unix.BPF_TCP_ESTABLISHED
 	})
-	return left, err
+	return closed, err
 }
 
 // Abort closes a connection and drops what its peer has not acknowledged: after a mere
 // close the system goes on sending that. Where there is nothing to drop the close is an
 // orderly one, which is told again if it is lost, as a reset is not.
 func Abort(conn net.Conn) {
-	if t, ok := conn.(*net.TCPConn); ok && unacknowledged(t) {
-		_ = t.SetLinger(0) // A connection that has been closed has nothing to drop.
+	if tcp, ok := conn.(*net.TCPConn); ok && hasUnacknowledged(tcp) {
+		_ = tcp.SetLinger(0) // A connection that has been closed has nothing to drop.
 	}
 	_ = conn.Close() // Nothing is left to be done with it.
 }
 
-func unacknowledged(conn *net.TCPConn) bool {
+func hasUnacknowledged(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
@@ -74,20 +74,20 @@
 // and has nothing to be read; it may take a byte out, so one that is not quiet
 // has to be closed.
 func Idle(conn net.Conn) bool {
-	sc, ok := conn.(syscall.Conn)
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, err := unix.Read(int(fd), b[:])
-		quiet = n < 0 && err == unix.EAGAIN
+		idle = n < 0 && err == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/pkg/http1/head.go
+++ b/pkg/http1/head.go
@@ -65,10 +65,10 @@
 // EndToEnd returns the header lines that are passed on: all but those that
 // concern one connection only or that Connection names.
 func (h *Head) EndToEnd() []Field {
-	named := h.connectionTokens()
+	connectionNamed := h.connectionTokens()
 	list := make([]Field, 0, len(h.Fields)+extraFields)
 	for _, f := range h.Fields {
-		if !containsFold(hopByHop, f.Name) && !containsFold(named, f.Name) {
+		if !containsFold(hopByHop, f.Name) && !containsFold(connectionNamed, f.Name) {
 			list = append(list, f)
 		}
 	}
--- a/pkg/http1/read.go
+++ b/pkg/http1/read.go
@@ -12,7 +12,7 @@
 // ReadRequest reads the head of a request of at most limit bytes. It returns
 // io.EOF if the connection ended before the first byte.
 func ReadRequest(r *bufio.Reader, limit int) (*Head, error) {
-	line, rest, err := firstLine(r, limit)
+	line, remaining, err := readStartLine(r, limit)
 	if err != nil {
 		return nil, err
 	}
@@ -25,13 +25,13 @@
 	if h.Minor, err = minorVersion(proto); err != nil {
 		return nil, err
 	}
-	h.Fields, err = readFields(r, rest)
+	h.Fields, err = readFields(r, remaining)
 	return h, err
 }
 
 // ReadResponse reads the head of a response of at most limit bytes.
 func ReadResponse(r *bufio.Reader, limit int) (*Head, error) {
-	line, rest, err := firstLine(r, limit)
+	line, remaining, err := readStartLine(r, limit)
 	if err != nil {
 		return nil, err
 	}
@@ -47,13 +47,13 @@
 	if h.Status, err = strconv.Atoi(code); err != nil || h.Status < 100 {
 		return nil, ErrMalformed
 	}
-	h.Fields, err = readFields(r, rest)
+	h.Fields, err = readFields(r, remaining)
 	return h, err
 }
 
-// firstLine reads the first line, after at most one empty one, which some
+// readStartLine reads the first line, after at most one empty one, which some
 // senders leave behind a body (RFC 9112, 2.2).
-func firstLine(r *bufio.Reader, limit int) (line string, rest int, err error) {
+func readStartLine(r *bufio.Reader, limit int) (line string, remaining int, err error) {
 	for range 2 {
 		line, err = readLine(r, limit)
 		if err != nil || line != "" {
@@ -65,24 +65,24 @@
 
 // readLine reads one line of at most limit bytes; a line must end with CR LF.
 func readLine(r *bufio.Reader, limit int) (string, error) {
-	var long []byte
+	var partial []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		if len(long)+len(part) > limit {
+		if len(partial)+len(part) > limit {
 			return "", ErrHeadTooLarge
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long, part...)
+			partial = append(partial, part...)
 			continue
 		}
 		if err != nil {
-			if err == io.EOF && len(long)+len(part) > 0 {
+			if err == io.EOF && len(partial)+len(part) > 0 {
 				err = io.ErrUnexpectedEOF
 			}
 			return "", err
 		}
-		if long != nil {
-			part = append(long, part...)
+		if partial != nil {
+			part = append(partial, part...)
 		}
 		text, ok := bytes.CutSuffix(part, []byte("\r\n"))
 		if !ok || bytes.IndexByte(text, '\r') >= 0 {
--- a/pkg/http1/read_test.go
+++ b/pkg/http1/read_test.go
@@ -14,7 +14,7 @@
 
 func reader(text string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(text), 64) }
 
-func TestRequestHeadsThatTwoReadersCouldReadDifferentlyAreRefused(t *testing.T) {
+func TestAmbiguousRequestHeadsAreRefused(t *testing.T) {
 	for name, text := range map[string]string{
 		"bare line feed":             "GET / HTTP/1.1\nHost: a\n\n",
 		"line feed in a field":       "GET / HTTP/1.1\r\nHost: a\n\r\n\r\n",
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestBodiesThatTwoReadersCouldFrameDifferentlyAreRefused(t *testing.T) {
+func TestAmbiguousBodyFramingIsRefused(t *testing.T) {
 	for name, fields := range map[string]string{
 		"both ways":         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
 		"two lengths":       "Content-Length: 3\r\nContent-Length: 4\r\n",
@@ -66,7 +66,7 @@
 	assert.ErrorIs(t, err, ErrHeadTooLarge)
 }
 
-func TestEndBeforeTheFirstByteIsToldFromAnEndWithin(t *testing.T) {
+func TestEOFBeforeAHeadDiffersFromEOFInsideIt(t *testing.T) {
 	_, err := ReadRequest(reader(""), testLimit)
 	assert.Assert(t, err == io.EOF)
 	_, err = ReadRequest(reader("GET / HT"), testLimit)
@@ -75,7 +75,7 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestTargetIsKeptAsItCame(t *testing.T) {
+func TestTargetIsNotNormalized(t *testing.T) {
 	const target = "/a/../b//c%2f%41?q=%20&&x=/../"
 	h, err := ReadRequest(reader("POST "+target+" HTTP/1.1\r\nHost: a\r\n\r\n"), testLimit)
 	assert.NilError(t, err)
@@ -83,7 +83,7 @@
 	assert.Equal(t, h.Path(), "/a/../b//c%2f%41")
 }
 
-func TestOneConnectionsHeadersAreNotPassedOn(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	h, err := ReadRequest(reader("POST / HTTP/1.1\r\nConnection: close, X-Own\r\nX-Own: 1\r\nKeep-Alive: timeout=3\r\n"+
 		"TE: trailers\r\nExpect: 100-continue\r\nContent-Length: 0\r\nX-Other: 2\r\n\r\n"), testLimit)
 	assert.NilError(t, err)
@@ -91,7 +91,7 @@
 	assert.Assert(t, h.Close())
 }
 
-func TestBodyEndsWhereItsFramingSays(t *testing.T) {
+func TestBodyIsReadExactlyToItsEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		message string
 		body    string
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestBodyThatBreaksOffNeverLooksWhole(t *testing.T) {
+func TestTruncatedBodyIsNeverReportedComplete(t *testing.T) {
 	for name, message := range map[string]string{
 		"length":             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc",
 		"before a chunk":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestResponsesWithoutBodies(t *testing.T) {
+func TestResponsesThatNeverHaveABody(t *testing.T) {
 	for _, c := range []struct{ head, method string }{
 		{"HTTP/1.1 204 No Content\r\nContent-Length: 3\r\n\r\n", "GET"},
 		{"HTTP/1.1 304 Not Modified\r\nContent-Length: 3\r\n\r\n", "GET"},
--- a/pkg/http1/write.go
+++ b/pkg/http1/write.go
@@ -11,21 +11,21 @@
 
 // AppendRequest appends the head of a request with a body of n bytes, or
 // without one if n is NoLength.
-func AppendRequest(b []byte, method, target string, fields []Field, n int) []byte {
+func AppendRequest(b []byte, method, target string, fields []Field, bodyLen int) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
 	b = append(b, target...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = appendFields(b, fields)
-	if n != NoLength {
-		b = appendLength(b, n)
+	if bodyLen != NoLength {
+		b = appendLength(b, bodyLen)
 	}
 	return append(b, "\r\n"...)
 }
 
 // AppendResponse appends the head of a response with a body of n bytes, or in
 // chunks if n is NoLength; last announces that the connection ends after it.
-func AppendResponse(b []byte, status int, fields []Field, n int, last bool) []byte {
+func AppendResponse(b []byte, status int, fields []Field, bodyLen int, closeAfter bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
@@ -33,12 +33,12 @@
 	b = append(b, "\r\n"...)
 	b = appendFields(b, fields)
 	switch {
-	case n == NoLength:
+	case bodyLen == NoLength:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	case status >= 200 && status != http.StatusNoContent && status != http.StatusNotModified:
-		b = appendLength(b, n)
+		b = appendLength(b, bodyLen)
 	}
-	if last {
+	if closeAfter {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return append(b, "\r\n"...)
--- a/pkg/httpjson/client.go
+++ b/pkg/httpjson/client.go
@@ -16,22 +16,22 @@
 
 const (
 	dialTimeout = time.Second
-	// unacked ends a connection whose server acknowledges nothing.
-	unacked         = 1200 * time.Millisecond
+	// ackTimeout ends a connection whose server acknowledges nothing.
+	ackTimeout      = 1200 * time.Millisecond
 	maxConns        = 512
-	idleConn        = 5 * time.Second
+	idleConnTimeout = 5 * time.Second
 	maxResponseBody = 64 << 20
-	// restingTries is how often a call is begun anew where its connection had been closed at
+	// idleClosedRetries is how often a call is begun anew where its connection had been closed at
 	// rest. Each time all that rest are closed; those of calls that end meanwhile come back.
-	restingTries = 3
-	contentType  = "application/json"
+	idleClosedRetries = 3
+	contentType       = "application/json"
 )
 
 // Client calls one server; it never repeats a call by itself.
 type Client struct {
-	addr  string
-	http  *fasthttp.HostClient
-	large atomic.Pointer[time.Time] // When a large answer last began.
+	addr      string
+	http      *fasthttp.HostClient
+	lastLarge atomic.Pointer[time.Time] // When a large answer last began.
 }
 
 // NewClient returns a client of the server at addr.
@@ -40,15 +40,15 @@
 	c.http = &fasthttp.HostClient{
 		Addr:                   addr.String(),
 		MaxConns:               maxConns,
-		MaxIdleConnDuration:    idleConn,
+		MaxIdleConnDuration:    idleConnTimeout,
 		MaxResponseBodySize:    maxResponseBody,
 		DisablePathNormalizing: true,
 		Dial: func(addr string) (net.Conn, error) {
-			conn, err := http1.Dial(addr, dialTimeout, unacked)
+			conn, err := http1.Dial(addr, dialTimeout, ackTimeout)
 			if err != nil {
 				return nil, err
 			}
-			return &patientConn{Conn: conn, c: c}, nil
+			return &progressConn{Conn: conn, client: c}, nil
 		},
 		// Whether a call may be repeated is the caller's decision.
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
@@ -58,7 +58,7 @@
 
 // LastLargeResponse is when a large answer last began to come in, zero if none has.
 func (c *Client) LastLargeResponse() time.Time {
-	if at := c.large.Load(); at != nil {
+	if at := c.lastLarge.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
@@ -119,21 +119,21 @@
 		return &CallError{Path: path, NotSent: true, Err: err}
 	}
 	err := c.do(ctx, req, resp)
-	for range restingTries {
-		if !errors.Is(err, errClosedAtRest) {
+	for range idleClosedRetries {
+		if !errors.Is(err, errClosedWhileIdle) {
 			break
 		}
 		c.http.CloseIdleConnections() // The others are likely closed as well.
 		err = c.do(ctx, req, resp)
 	}
 	if err != nil {
-		failed := &CallError{Path: path, NotSent: neverSent(err), Err: err}
-		if !failed.NotSent && timedOut(err) {
+		callErr := &CallError{Path: path, NotSent: neverSent(err), Err: err}
+		if !callErr.NotSent && timedOut(err) {
 			// The path may have lost what was open on it: each connection that
 			// rests would cost a call its limit.
 			c.http.CloseIdleConnections()
 		}
-		return failed
+		return callErr
 	}
 	if code := resp.StatusCode(); code/100 != 2 {
 		return &StatusError{Path: path, Code: code, Body: append([]byte(nil), resp.Body()...)}
@@ -163,5 +163,5 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		return true
 	}
-	return errors.Is(err, errClosedAtRest) || errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout)
+	return errors.Is(err, errClosedWhileIdle) || errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout)
 }
--- a/pkg/httpjson/rest_test.go
+++ b/pkg/httpjson/idle_close_test.go
@@ -16,37 +16,37 @@
 // "write: broken pipe". That was taken for calls that may have run, and for a server that
 // ended under them, although it had ended long before: callers got 502 for prompts that no
 // engine had begun, and the prompts were suspected.
-func TestCallIsNotSentOnAConnectionThatItsServerHasClosed(t *testing.T) {
+func TestCallIsNotSentOnAConnectionClosedByTheServer(t *testing.T) {
 	const (
-		resting = 5
-		large   = 1 << 20 // More than goes out in one write.
-		busy    = 5 * time.Second
+		idleConns = 5
+		largeBody = 1 << 20 // More than goes out in one write.
+		timeout   = 5 * time.Second
 	)
-	for name, goes := range map[string]bool{"its connections are closed": false, "the server ends": true} {
+	for name, serverEnds := range map[string]bool{"its connections are closed": false, "the server ends": true} {
 		t.Run(name, func(t *testing.T) {
-			server := newTogetherServer(resting)
+			server := newBarrierServer(idleConns)
 			defer server.Close()
 			c := NewClient(netip.MustParseAddrPort(server.Listener.Addr().String()))
 			defer c.Close()
 			call := func(path, body string) error {
-				ctx, cancel := context.WithTimeout(t.Context(), busy)
+				ctx, cancel := context.WithTimeout(t.Context(), timeout)
 				defer cancel()
 				return c.Call(ctx, http.MethodPost, path, body, nil)
 			}
 			var all sync.WaitGroup
-			for range resting {
+			for range idleConns {
 				all.Go(func() { assert.Check(t, call("/together", "x")) })
 			}
 			all.Wait()
-			if goes {
+			if serverEnds {
 				server.Close()
 			} else {
 				server.CloseClientConnections()
 			}
 			time.Sleep(50 * time.Millisecond) // The close is on its way.
-			for range resting + 1 {
-				err := call("/", strings.Repeat("x", large))
-				if !goes {
+			for range idleConns + 1 {
+				err := call("/", strings.Repeat("x", largeBody))
+				if !serverEnds {
 					assert.NilError(t, err)
 					continue
 				}
--- a/pkg/httpjson/patience_test.go
+++ b/pkg/httpjson/progress_conn_test.go
@@ -16,7 +16,7 @@
 // ended after 1.5 s in all, so that the table was begun again and again. What
 // settled it: calls of such nodes failed with "timeout" while the bytes that they had
 // read showed the whole table several times over.
-func TestAnswerThatKeepsComingIsReadToItsEnd(t *testing.T) {
+func TestSlowAnswerIsReadToItsEndWhileBytesArrive(t *testing.T) {
 	const limit = 100 * time.Millisecond
 	pause := make(chan time.Duration, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -46,14 +46,14 @@
 	got, err := call()
 	assert.NilError(t, err)
 	assert.Equal(t, len(got), 6000)
-	pause <- 2 * answerPause
-	begun := time.Now()
+	pause <- 2 * maxReadPause
+	start := time.Now()
 	_, err = call()
 	assert.ErrorContains(t, err, "timeout")
-	assert.Assert(t, time.Since(begun) < 2*answerPause, "silence within an answer ends it")
+	assert.Assert(t, time.Since(start) < 2*maxReadPause, "silence within an answer ends it")
 }
 
-func TestAnswerThatDoesNotBeginInTimeIsGivenUp(t *testing.T) {
+func TestAnswerThatDoesNotStartByTheDeadlineTimesOut(t *testing.T) {
 	end := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-end }))
 	defer server.Close()
@@ -62,7 +62,7 @@
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	assert.ErrorContains(t, c.Call(ctx, http.MethodGet, "/", nil, nil), "timeout")
-	assert.Assert(t, time.Since(begun) < answerPause)
+	assert.Assert(t, time.Since(start) < maxReadPause)
 }
--- a/pkg/lang/doc.go
+++ b/pkg/lang/doc.go
@@ -1,3 +1,4 @@
-// Package lang is the query and command language for operators: its grammar,
-// its errors with position, and the evaluation of queries over tables.
+// Package lang implements the query and command language for operators: the
+// grammar, syntax errors with their position, and the evaluation of queries over
+// tables.
 package lang
--- a/pkg/lang/grammar.go
+++ b/pkg/lang/grammar.go
@@ -30,7 +30,7 @@
 	Wait      bool     `parser:"@('wait')?"`
 }
 
-// Field is one named value.
+// Field is a named value of a change.
 type Field struct {
 	Name  string `parser:"@Ident '='?"`
 	Value string `parser:"@(Ident | String | Number)"`
@@ -45,14 +45,14 @@
 	Limit   *int         `parser:"('limit' @Number)?"`
 }
 
-// Condition is one comparison of a query.
+// Condition compares a column with a value.
 type Condition struct {
 	Column string `parser:"@Ident"`
 	Op     string `parser:"@('=' | '!=' | '<=' | '>=' | '<' | '>' | 'like')"`
 	Value  string `parser:"@(Ident | String | Number)"`
 }
 
-// Explain asks where a request would go, and why.
+// Explain asks where a request would be routed, and why.
 type Explain struct {
 	Organisation string `parser:"'explain' 'organisation' @(Ident | String)"`
 	Model        string `parser:"'model' @(Ident | String)"`
@@ -61,7 +61,7 @@
 	Prompt       string `parser:"'prompt' @String"`
 }
 
-var tokens = lexer.MustSimple([]lexer.SimpleRule{
+var tokenRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `--[^\n]*`},
 	{Name: "Space", Pattern: `\s+`},
 	{Name: "String", Pattern: `'(''|[^'])*'`},
@@ -72,7 +72,7 @@
 })
 
 var parser = participle.MustBuild[Script](
-	participle.Lexer(tokens),
+	participle.Lexer(tokenRules),
 	participle.Elide("Comment", "Space"),
 	participle.CaseInsensitive("Ident"),
 	participle.UseLookahead(2),
--- a/pkg/lang/parse.go
+++ b/pkg/lang/parse.go
@@ -10,27 +10,27 @@
 	"github.com/drumpath/drumpath/pkg/config"
 )
 
-// SyntaxError says where a text is wrong and what was expected.
+// SyntaxError is the position of a syntax error and what was expected there.
 type SyntaxError struct {
 	Line    int    `json:"line"`
 	Column  int    `json:"column"`
 	Message string `json:"message"`
 }
 
-// Error gives position and message.
+// Error returns position and message.
 func (e *SyntaxError) Error() string {
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Message)
 }
 
-// Parse reads a script; the error is a *SyntaxError.
+// Parse parses a script; the error is a *SyntaxError.
 func Parse(text string) (s *Script, err error) {
 	s, err = parser.ParseString("", text)
-	var at participle.Error
-	if errors.As(err, &at) {
+	var parseErr participle.Error
+	if errors.As(err, &parseErr) {
 		return nil, &SyntaxError{
-			Line:    at.Position().Line,
-			Column:  at.Position().Column,
-			Message: at.Message(),
+			Line:    parseErr.Position().Line,
+			Column:  parseErr.Position().Column,
+			Message: parseErr.Message(),
 		}
 	}
 	if err != nil {
--- a/pkg/lang/table.go
+++ b/pkg/lang/table.go
@@ -8,30 +8,30 @@
 	"strings"
 )
 
-// Table is the answer to a query, or what a query is asked of.
+// Table is the input or the result of a query.
 type Table struct {
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
 }
 
-// QueryError says what is wrong with a query that could be parsed.
+// QueryError reports a query that is well-formed but cannot be evaluated.
 type QueryError struct{ Message string }
 
-// Error gives the message.
+// Error returns the message.
 func (e *QueryError) Error() string { return e.Message }
 
 // Run evaluates a query over a table; the error is a *QueryError.
 func (s *Show) Run(t Table) (Table, error) {
 	rows := t.Rows
 	for _, c := range s.Where {
-		i, err := t.column(c.Column)
+		i, err := t.columnIndex(c.Column)
 		if err != nil {
 			return Table{}, err
 		}
-		rows = slices.DeleteFunc(slices.Clone(rows), func(row []string) bool { return !c.holds(row[i]) })
+		rows = slices.DeleteFunc(slices.Clone(rows), func(row []string) bool { return !c.matches(row[i]) })
 	}
 	if s.OrderBy != "" {
-		i, err := t.column(s.OrderBy)
+		i, err := t.columnIndex(s.OrderBy)
 		if err != nil {
 			return Table{}, err
 		}
@@ -40,7 +40,7 @@
 			if s.Desc {
 				a, b = b, a
 			}
-			return compare(a[i], b[i])
+			return compareCells(a[i], b[i])
 		})
 	}
 	if s.Limit != nil {
@@ -49,7 +49,7 @@
 	return Table{Columns: t.Columns, Rows: rows}, nil
 }
 
-func (t Table) column(name string) (int, error) {
+func (t Table) columnIndex(name string) (int, error) {
 	for i, c := range t.Columns {
 		if strings.EqualFold(c, name) {
 			return i, nil
@@ -58,12 +58,12 @@
 	return 0, &QueryError{Message: fmt.Sprintf("no column %q; there are %s", name, strings.Join(t.Columns, ", "))}
 }
 
-// holds says whether a cell meets the condition.
-func (c *Condition) holds(cell string) bool {
+// matches says whether a cell satisfies the condition.
+func (c *Condition) matches(cell string) bool {
 	if strings.EqualFold(c.Op, "like") {
 		return strings.Contains(cell, c.Value)
 	}
-	order := compare(cell, c.Value)
+	order := compareCells(cell, c.Value)
 	switch c.Op {
 	case "=":
 		return order == 0
@@ -80,8 +80,8 @@
 	}
 }
 
-// compare orders numbers by value and everything else as text.
-func compare(a, b string) int {
+// compareCells compares two numbers by value and anything else as text.
+func compareCells(a, b string) int {
 	x, errX := strconv.ParseFloat(a, 64)
 	y, errY := strconv.ParseFloat(b, 64)
 	if errX == nil && errY == nil {
--- a/pkg/load/entries.go
+++ b/pkg/load/entries.go
@@ -15,24 +15,24 @@
 // long as it may.
 type entryCache struct {
 	client *http.Client
-	first  []netip.AddrPort
+	seeds  []netip.AddrPort
 
-	mu    sync.Mutex
-	byKey map[string]*cachedEntry
-	bad   map[netip.AddrPort]time.Time // Addresses that failed, until when to go round them.
+	mu          sync.Mutex
+	byKey       map[string]*entryList
+	failedUntil map[netip.AddrPort]time.Time // Addresses that failed, until when to go round them.
 }
 
-// badTerm is how long a caller goes round an address that did not answer.
-const badTerm = 3 * time.Second
+// failedEntryCooldown is how long a caller goes round an address that did not answer.
+const failedEntryCooldown = 3 * time.Second
 
-type cachedEntry struct {
-	list  []netip.AddrPort
-	until time.Time
-	next  int
+type entryList struct {
+	addrs   []netip.AddrPort
+	expires time.Time
+	next    int
 }
 
-func newEntryCache(client *http.Client, first []netip.AddrPort) *entryCache {
-	return &entryCache{client: client, first: first, byKey: map[string]*cachedEntry{}, bad: map[netip.AddrPort]time.Time{}}
+func newEntryCache(client *http.Client, seeds []netip.AddrPort) *entryCache {
+	return &entryCache{client: client, seeds: seeds, byKey: map[string]*entryList{}, failedUntil: map[netip.AddrPort]time.Time{}}
 }
 
 // get returns the address that a caller with this key should use now. Callers
@@ -41,49 +41,49 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.byKey[key]
-	if e == nil || time.Now().After(e.until) {
-		fresh, err := c.ask(ctx, key)
+	if e == nil || time.Now().After(e.expires) {
+		fresh, err := c.fetch(ctx, key)
 		if err != nil {
 			return netip.AddrPort{}, err
 		}
 		e = fresh
 		c.byKey[key] = e
 	}
-	for range e.list {
+	for range e.addrs {
 		e.next++
-		if addr := e.list[e.next%len(e.list)]; time.Now().After(c.bad[addr]) {
+		if addr := e.addrs[e.next%len(e.addrs)]; time.Now().After(c.failedUntil[addr]) {
 			return addr, nil
 		}
 	}
-	return e.list[e.next%len(e.list)], nil
+	return e.addrs[e.next%len(e.addrs)], nil
 }
 
-// failed notes an address that did not answer, so that the next one is used.
-func (c *entryCache) failed(addr netip.AddrPort) {
+// markFailed notes an address that did not answer, so that the next one is used.
+func (c *entryCache) markFailed(addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bad[addr] = time.Now().Add(badTerm)
+	c.failedUntil[addr] = time.Now().Add(failedEntryCooldown)
 }
 
-const askTimeout = 2 * time.Second
+const fetchTimeout = 2 * time.Second
 
-// ask asks the first address that answers.
-func (c *entryCache) ask(ctx context.Context, key string) (*cachedEntry, error) {
+// fetch asks the first address that answers.
+func (c *entryCache) fetch(ctx context.Context, key string) (*entryList, error) {
 	err := eris.New("no entry addresses")
-	for _, addr := range c.first {
-		if !time.Now().After(c.bad[addr]) {
+	for _, addr := range c.seeds {
+		if !time.Now().After(c.failedUntil[addr]) {
 			continue
 		}
-		var e *cachedEntry
-		if e, err = c.askOne(ctx, addr, key); err == nil {
+		var e *entryList
+		if e, err = c.fetchFrom(ctx, addr, key); err == nil {
 			return e, nil
 		}
 	}
 	return nil, err
 }
 
-func (c *entryCache) askOne(ctx context.Context, addr netip.AddrPort, key string) (e *cachedEntry, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *entryCache) fetchFrom(ctx context.Context, addr netip.AddrPort, key string) (e *entryList, err error) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/v1/entries", nil)
 	if err != nil {
@@ -107,11 +107,11 @@
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
 		return nil, err
 	}
-	e = &cachedEntry{until: time.Now().Add(time.Duration(a.MaxAgeMillis) * time.Millisecond)}
+	e = &entryList{expires: time.Now().Add(time.Duration(a.MaxAgeMillis) * time.Millisecond)}
 	for _, entry := range a.Entries {
-		e.list = append(e.list, entry.Address)
+		e.addrs = append(e.addrs, entry.Address)
 	}
-	if len(e.list) == 0 {
+	if len(e.addrs) == 0 {
 		return nil, eris.Errorf("%s named no address", addr)
 	}
 	return e, nil
--- a/pkg/load/profile.go
+++ b/pkg/load/profile.go
@@ -69,10 +69,10 @@
 	if err := json.Unmarshal(text, &p); err != nil {
 		return p, err
 	}
-	return p, p.check()
+	return p, p.validate()
 }
 
-func (p *Profile) check() error {
+func (p *Profile) validate() error {
 	switch {
 	case p.Rate <= 0:
 		return eris.New("rate: more than 0 is wanted")
@@ -135,17 +135,17 @@
 	}
 }
 
-// text is the prompt of an arrival: the part that returns, then its own.
-func (p *Profile) text(a arrival) string {
+// promptText is the prompt of an arrival: the part that returns, then its own.
+func (p *Profile) promptText(a arrival) string {
 	var b strings.Builder
 	b.Grow(p.SharedBytes + p.OwnBytes)
-	words(&b, p.Seed, uint64(a.prompt), p.SharedBytes)
-	words(&b, p.Seed+1, uint64(a.seq), p.SharedBytes+p.OwnBytes)
+	appendWords(&b, p.Seed, uint64(a.prompt), p.SharedBytes)
+	appendWords(&b, p.Seed+1, uint64(a.seq), p.SharedBytes+p.OwnBytes)
 	return b.String()
 }
 
-// words fills up to a length with words that a seed gives.
-func words(b *strings.Builder, seed, stream uint64, length int) {
+// appendWords fills up to a length with words that a seed gives.
+func appendWords(b *strings.Builder, seed, stream uint64, length int) {
 	rng := rand.New(rand.NewPCG(seed, stream))
 	for b.Len() < length {
 		w := strconv.FormatUint(rng.Uint64(), 36) + " "
--- a/pkg/load/report.go
+++ b/pkg/load/report.go
@@ -14,8 +14,8 @@
 	Seconds  float64 `json:"seconds"` // Counted.
 	Sent     int     `json:"sent"`
 	Answered int     `json:"answered"`
-	// Again is how often a request was sent another time.
-	Again int `json:"again"`
+	// Retries is how often a request was sent another time.
+	Retries int `json:"again"`
 	// Refused are those told not_run.
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
@@ -23,13 +23,13 @@
 	// Wrong are answers that are not the right one for their request.
 	Wrong int `json:"wrong"`
 	// Lost are requests without a final answer.
-	Lost            int     `json:"lost"`
-	InDeadline      int     `json:"in_deadline"`
-	FirstTokenP50   float64 `json:"first_token_p50_ms"`
-	FirstTokenP95   float64 `json:"first_token_p95_ms"`
-	FirstTokenP99   float64 `json:"first_token_p99_ms"`
-	BetweenP95      float64 `json:"between_tokens_p95_ms"`
-	RecomputedShare float64 `json:"recomputed_share"`
+	Lost             int     `json:"lost"`
+	InDeadline       int     `json:"in_deadline"`
+	FirstTokenP50    float64 `json:"first_token_p50_ms"`
+	FirstTokenP95    float64 `json:"first_token_p95_ms"`
+	FirstTokenP99    float64 `json:"first_token_p99_ms"`
+	BetweenTokensP95 float64 `json:"between_tokens_p95_ms"`
+	RecomputedShare  float64 `json:"recomputed_share"`
 	// Fairness is the worst organisation's 95th percentile over the median's.
 	Fairness      float64            `json:"fairness"`
 	Organisations map[string]float64 `json:"first_token_p95_ms_by_organisation"`
@@ -49,22 +49,22 @@
 
 // tally gathers results as they come.
 type tally struct {
-	mu         sync.Mutex
-	report     Report
-	first      *hdrhistogram.Histogram // Microseconds.
-	between    *hdrhistogram.Histogram
-	byOrg      map[string]*hdrhistogram.Histogram
-	prompt     int
-	recomputed int
-	done       int // Whether counted or not.
+	mu               sync.Mutex
+	report           Report
+	firstToken       *hdrhistogram.Histogram // Microseconds.
+	betweenTokens    *hdrhistogram.Histogram
+	firstTokenByOrg  map[string]*hdrhistogram.Histogram
+	promptTokens     int
+	recomputedTokens int
+	finished         int // Whether counted or not.
 }
 
 func newTally(name string) *tally {
 	return &tally{
-		report:  Report{Profile: name, Sources: map[string]int{}, Errors: map[string]int{}, Organisations: map[string]float64{}},
-		first:   newHistogram(),
-		between: newHistogram(),
-		byOrg:   map[string]*hdrhistogram.Histogram{},
+		report:          Report{Profile: name, Sources: map[string]int{}, Errors: map[string]int{}, Organisations: map[string]float64{}},
+		firstToken:      newHistogram(),
+		betweenTokens:   newHistogram(),
+		firstTokenByOrg: map[string]*hdrhistogram.Histogram{},
 	}
 }
 
@@ -78,13 +78,13 @@
 	defer t.mu.Unlock()
 	r := t.report
 	r.Seconds = counted.Seconds()
-	r.FirstTokenP50 = quantile(t.first, p50)
-	r.FirstTokenP95 = quantile(t.first, p95)
-	r.FirstTokenP99 = quantile(t.first, p99)
-	r.BetweenP95 = quantile(t.between, p95)
-	r.RecomputedShare = float64(t.recomputed) / float64(max(1, t.prompt))
+	r.FirstTokenP50 = quantile(t.firstToken, p50)
+	r.FirstTokenP95 = quantile(t.firstToken, p95)
+	r.FirstTokenP99 = quantile(t.firstToken, p99)
+	r.BetweenTokensP95 = quantile(t.betweenTokens, p95)
+	r.RecomputedShare = float64(t.recomputedTokens) / float64(max(1, t.promptTokens))
 	var all []float64
-	for name, h := range t.byOrg {
+	for name, h := range t.firstTokenByOrg {
 		r.Organisations[name] = quantile(h, p95)
 		all = append(all, r.Organisations[name])
 	}
--- a/pkg/load/run.go
+++ b/pkg/load/run.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// answerWait is how long a caller waits before its request counts as lost.
-	answerWait   = 60 * time.Second
-	maxIdleConns = 1024
+	// answerTimeout is how long a caller waits before its request counts as lost.
+	answerTimeout = 60 * time.Second
+	maxIdleConns  = 1024
 )
 
 // Options say how a load is put on.
@@ -32,8 +32,8 @@
 	Observe func(since time.Duration, s StreamResult)
 	// Progress is called about once a second.
 	Progress func(Progress)
-	// OnTime is called when the load has run for some time; it may be nil.
-	OnTime func(since time.Duration)
+	// OnTick is called when the load has run for some time; it may be nil.
+	OnTick func(since time.Duration)
 }
 
 // Progress is how far a load has come.
@@ -57,7 +57,7 @@
 
 // Run puts a load on and waits for its last answer.
 func Run(ctx context.Context, p Profile, opts Options) (r Report, err error) {
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return r, err
 	}
 	transport := &http.Transport{MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: 10 * time.Second}
@@ -77,8 +77,8 @@
 
 func (r *runner) sendAll(ctx context.Context) {
 	done := make(chan struct{})
-	var watch sync.WaitGroup
-	watch.Go(func() { r.watch(done) })
+	var callbacks sync.WaitGroup
+	callbacks.Go(func() { r.runCallbacks(done) })
 	var wg sync.WaitGroup
 	for _, a := range r.profile.schedule() {
 		select {
@@ -88,15 +88,15 @@
 		if ctx.Err() != nil {
 			break
 		}
-		wg.Go(func() { r.one(ctx, a) })
+		wg.Go(func() { r.sendWithRetries(ctx, a) })
 	}
 	wg.Wait()
 	close(done)
-	watch.Wait()
+	callbacks.Wait()
 }
 
-// watch calls the options' callbacks as time goes on.
-func (r *runner) watch(done <-chan struct{}) {
+// runCallbacks calls the options' callbacks as time goes on.
+func (r *runner) runCallbacks(done <-chan struct{}) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for {
@@ -106,8 +106,8 @@
 		case <-t.C:
 		}
 		since := time.Since(r.start)
-		if r.opts.OnTime != nil {
-			r.opts.OnTime(since)
+		if r.opts.OnTick != nil {
+			r.opts.OnTick(since)
 		}
 		if r.opts.Progress != nil {
 			r.opts.Progress(r.progress(since))
@@ -119,7 +119,7 @@
 	r.tally.mu.Lock()
 	defer r.tally.mu.Unlock()
 	rep := r.tally.report
-	return Progress{Since: since, Sent: rep.Sent, Done: r.tally.done, Refused: rep.Refused, Wrong: rep.Wrong}
+	return Progress{Since: since, Sent: rep.Sent, Done: r.tally.finished, Refused: rep.Refused, Wrong: rep.Wrong}
 }
 
 // requestBody is the body of a completion.
@@ -130,34 +130,34 @@
 	Stream    bool   `json:"stream"`
 }
 
-// one sends one request and tallies its end.
-func (r *runner) one(ctx context.Context, a arrival) {
-	ctx, cancel := context.WithTimeout(ctx, answerWait)
+// sendWithRetries sends one request and tallies its end.
+func (r *runner) sendWithRetries(ctx context.Context, a arrival) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	text := r.profile.text(a)
+	text := r.profile.promptText(a)
 	start := time.Now()
 	s, err := r.send(ctx, a, text, start)
 	for n := 1; err != nil && n < r.opts.Attempts && ctx.Err() == nil; n++ {
-		r.pause(ctx, err)
-		r.again()
+		r.waitBeforeRetry(ctx, err)
+		r.countRetry()
 		s, err = r.send(ctx, a, text, start)
 	}
 	if err == nil && r.opts.Observe != nil {
 		r.opts.Observe(time.Since(r.start), s)
 	}
 	if a.at >= r.profile.Warm.Std() {
-		r.count(a, text, s, err)
+		r.recordResult(a, text, s, err)
 	}
 	r.tally.mu.Lock()
 	defer r.tally.mu.Unlock()
-	r.tally.done++
+	r.tally.finished++
 }
 
-const minPause = 100 * time.Millisecond
+const minRetryWait = 100 * time.Millisecond
 
-// pause waits before the next attempt, for as long as the answer asked.
-func (r *runner) pause(ctx context.Context, err error) {
-	wait := minPause
+// waitBeforeRetry waits before the next attempt, for as long as the answer asked.
+func (r *runner) waitBeforeRetry(ctx context.Context, err error) {
+	wait := minRetryWait
 	var answer *AnswerError
 	if errors.As(err, &answer) {
 		wait = max(wait, time.Duration(answer.RetryAfterMillis)*time.Millisecond)
@@ -168,10 +168,10 @@
 	}
 }
 
-func (r *runner) again() {
+func (r *runner) countRetry() {
 	r.tally.mu.Lock()
 	defer r.tally.mu.Unlock()
-	r.tally.report.Again++
+	r.tally.report.Retries++
 }
 
 func (r *runner) send(ctx context.Context, a arrival, text string, start time.Time) (s StreamResult, err error) {
@@ -199,15 +199,15 @@
 	}
 	resp, err := r.client.Do(req)
 	if err != nil {
-		r.entries.failed(entry)
+		r.entries.markFailed(entry)
 		return s, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return ReadStream(resp, start)
 }
 
-// count tallies one request that came after the warm-up.
-func (r *runner) count(a arrival, text string, s StreamResult, err error) {
+// recordResult tallies one request that came after the warm-up.
+func (r *runner) recordResult(a arrival, text string, s StreamResult, err error) {
 	t := r.tally
 	wrong := err == nil && r.opts.Verify != nil && s.Text != r.opts.Verify(text, r.profile.MaxTokens)
 	t.mu.Lock()
@@ -223,17 +223,17 @@
 	}
 	t.report.Answered++
 	t.report.Sources[s.Source]++
-	t.prompt += s.Prompt
-	t.recomputed += s.Prompt - s.Cached
-	record(t.first, s.First)
+	t.promptTokens += s.PromptTokens
+	t.recomputedTokens += s.PromptTokens - s.CachedTokens
+	record(t.firstToken, s.FirstToken)
 	if s.Tokens > 1 {
-		record(t.between, (s.Last-s.First)/time.Duration(s.Tokens-1))
+		record(t.betweenTokens, (s.LastToken-s.FirstToken)/time.Duration(s.Tokens-1))
 	}
-	if t.byOrg[a.organisation.Name] == nil {
-		t.byOrg[a.organisation.Name] = newHistogram()
+	if t.firstTokenByOrg[a.organisation.Name] == nil {
+		t.firstTokenByOrg[a.organisation.Name] = newHistogram()
 	}
-	record(t.byOrg[a.organisation.Name], s.First)
-	if d := r.profile.Deadline.Std(); d == 0 || s.First <= d {
+	record(t.firstTokenByOrg[a.organisation.Name], s.FirstToken)
+	if d := r.profile.Deadline.Std(); d == 0 || s.FirstToken <= d {
 		t.report.InDeadline++
 	}
 }
--- a/pkg/load/stream.go
+++ b/pkg/load/stream.go
@@ -12,13 +12,13 @@
 
 // StreamResult is what a caller saw of one streamed answer.
 type StreamResult struct {
-	Text   string
-	First  time.Duration // To the first token.
-	Last   time.Duration
-	Tokens int
-	Prompt int // Tokens.
-	Cached int // Tokens.
-	Source string
+	Text         string
+	FirstToken   time.Duration // To the first token.
+	LastToken    time.Duration
+	Tokens       int
+	PromptTokens int // Tokens.
+	CachedTokens int // Tokens.
+	Source       string
 }
 
 // streamChunk is the part of an answer's chunk that is read.
@@ -56,16 +56,16 @@
 		return s, readError(resp)
 	}
 	var text strings.Builder
-	scan := bufio.NewScanner(resp.Body)
-	scan.Buffer(nil, maxStreamLine)
-	ended := false
-	for scan.Scan() {
-		data, ok := strings.CutPrefix(scan.Text(), "data: ")
+	scanner := bufio.NewScanner(resp.Body)
+	scanner.Buffer(nil, maxStreamLine)
+	complete := false
+	for scanner.Scan() {
+		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			ended = true
+			complete = true
 			continue
 		}
 		var c streamChunk
@@ -75,12 +75,12 @@
 		if c.Error != nil {
 			return s, c.Error
 		}
-		s.take(c, &text, time.Since(start))
+		s.addChunk(c, &text, time.Since(start))
 	}
-	if err := scan.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return s, err
 	}
-	if !ended {
+	if !complete {
 		return s, eris.New("the answer was cut without an error")
 	}
 	s.Text = text.String()
@@ -97,22 +97,22 @@
 	return body.Error
 }
 
-// take adds a chunk that came after some time.
-func (s *StreamResult) take(c streamChunk, text *strings.Builder, after time.Duration) {
+// addChunk adds a chunk that came after some time.
+func (s *StreamResult) addChunk(c streamChunk, text *strings.Builder, after time.Duration) {
 	for _, ch := range c.Choices {
 		if ch.Text == "" {
 			continue
 		}
 		if s.Tokens == 0 {
-			s.First = after
+			s.FirstToken = after
 		}
 		s.Tokens++
-		s.Last = after
+		s.LastToken = after
 		text.WriteString(ch.Text)
 	}
 	if c.Usage != nil {
-		s.Prompt = c.Usage.PromptTokens
-		s.Cached = c.Usage.Details.CachedTokens
+		s.PromptTokens = c.Usage.PromptTokens
+		s.CachedTokens = c.Usage.Details.CachedTokens
 		s.Source = c.Usage.Details.Source
 	}
 }
--- a/pkg/prompt/cache_location.go
+++ b/pkg/prompt/cache_location.go
@@ -1,8 +1,8 @@
 package prompt
 
-// Object is one kept run of blocks in a store, as the store names it.
+// Object is a sequence of KV blocks in a store, as the store identifies it.
 type Object struct {
-	Key        Key    `json:"key"` // The tail of the chain it holds.
+	Key        Key    `json:"key"` // Key of the last block.
 	Chunks     int    `json:"chunks"`
 	Generation uint64 `json:"generation"`
 	Epoch      uint64 `json:"epoch"` // The store's boot epoch.
@@ -10,13 +10,15 @@
 	Checksum   uint64 `json:"checksum"`
 }
 
-// CacheLocation is a place that keeps the state of a prefix of a chain.
+// CacheLocation is an engine or store object that has the KV cache of a prefix of
+// a chain.
 type CacheLocation struct {
 	Upstream string `json:"upstream"`
-	Chunks   int    `json:"chunks"` // Length of the prefix it shares.
-	// Object names the kept run in a store; nil when an engine holds it hot.
+	Chunks   int    `json:"chunks"` // Length of the shared prefix.
+	// Object is the object in a store, nil if an engine has the blocks in its own
+	// cache.
 	Object *Object `json:"object,omitempty"`
 }
 
-// Tokens is the length of the shared prefix.
-func (h CacheLocation) Tokens() int { return h.Chunks * ChunkTokens }
+// Tokens returns the length of the shared prefix in tokens.
+func (l CacheLocation) Tokens() int { return l.Chunks * ChunkTokens }
--- a/pkg/prompt/chain.go
+++ b/pkg/prompt/chain.go
@@ -3,20 +3,21 @@
 import "sort"
 
 const (
-	// BytesPerToken is how many bytes of text are counted as one token.
+	// BytesPerToken is the number of bytes of text that count as one token.
 	BytesPerToken = 4
 	// ChunkTokens is the number of tokens of a chunk.
 	ChunkTokens = 64
 	// ChunkBytes is the length of a chunk in bytes.
 	ChunkBytes = ChunkTokens * BytesPerToken
-	// anchorChunks is how many chunks the anchor covers.
+	// anchorChunks is the length of the prefix that selects the directory shard.
 	anchorChunks = 4
-	// markSpread sets the distance between marks: a sixteenth of the position,
-	// so that at most a sixteenth of a shared prefix goes unnoticed.
-	markSpread = 16
+	// markSpacing sets the distance between marks to a sixteenth of their
+	// position, so that at most a sixteenth of a shared prefix is missed.
+	markSpacing = 16
 )
 
-// Mark is a position of a chain at which state is looked up.
+// Mark is a position of a chain at which cached state is looked up, with the key
+// of the prefix that ends there.
 type Mark struct {
 	Chunks int `json:"c"`
 	Key    Key `json:"k"`
@@ -25,30 +26,30 @@
 // Chain is the identity of one prompt.
 type Chain struct {
 	Root Key
-	// Marks are the positions that are looked up, shortest first; the last is
-	// the last whole chunk.
+	// Marks are the lookup positions, shortest first. The last one is the end
+	// of the last whole chunk.
 	Marks []Mark
-	// Tokens is the length of the whole prompt.
+	// Tokens is the length of the whole prompt in tokens.
 	Tokens int
 }
 
-// NewChain works out the identity of a prompt within a scope.
+// NewChain computes the chain of a prompt within a scope.
 func NewChain(scope Scope, text string) Chain {
 	c := Chain{Root: scope.Root(), Tokens: TokenCount(text)}
-	whole := len(text) / ChunkBytes
-	c.Marks = make([]Mark, 0, min(whole, 2*markSpread+whole/markSpread))
-	k := c.Root
-	for i := 1; i <= whole; i++ {
-		k = k.next(text[(i-1)*ChunkBytes : i*ChunkBytes])
-		if IsMark(i) || i == whole {
-			c.Marks = append(c.Marks, Mark{Chunks: i, Key: k})
+	wholeChunks := len(text) / ChunkBytes
+	c.Marks = make([]Mark, 0, min(wholeChunks, 2*markSpacing+wholeChunks/markSpacing))
+	key := c.Root
+	for i := 1; i <= wholeChunks; i++ {
+		key = key.next(text[(i-1)*ChunkBytes : i*ChunkBytes])
+		if IsMark(i) || i == wholeChunks {
+			c.Marks = append(c.Marks, Mark{Chunks: i, Key: key})
 		}
 	}
 	return c
 }
 
-// Keys returns the key of every whole chunk of a text under a root; engines
-// name their blocks so.
+// Keys returns the key of every whole chunk of a text under a root. Engines use
+// these keys for their blocks.
 func Keys(root Key, text string) []Key {
 	keys := make([]Key, len(text)/ChunkBytes)
 	for i := range keys {
@@ -58,10 +59,10 @@
 	return keys
 }
 
-// TokenCount returns the number of tokens that a text is counted as.
+// TokenCount returns the estimated number of tokens of a text.
 func TokenCount(text string) int { return (len(text) + BytesPerToken - 1) / BytesPerToken }
 
-// IsMark says whether chains are looked up at this number of chunks.
+// IsMark says whether chains have a mark at this number of chunks.
 func IsMark(chunks int) bool {
 	i := sort.SearchInts(markPositions, chunks)
 	return i < len(markPositions) && markPositions[i] == chunks
@@ -74,14 +75,14 @@
 
 func newMarkPositions() []int {
 	var list []int
-	for i := 1; i <= maxMarkChunks; i += max(1, i/markSpread) {
+	for i := 1; i <= maxMarkChunks; i += max(1, i/markSpacing) {
 		list = append(list, i)
 	}
 	return list
 }
 
-// Anchor is the key by which a chain's directory shard is chosen; all chains
-// that share a prefix of at least anchorChunks chunks have the same.
+// Anchor returns the key that selects the chain's directory shard. All chains that
+// share a prefix of at least anchorChunks chunks have the same anchor.
 func (c Chain) Anchor() Key {
 	if len(c.Marks) == 0 {
 		return c.Root
@@ -89,10 +90,11 @@
 	return c.Marks[min(anchorChunks, len(c.Marks))-1].Key
 }
 
-// AnchorChunks is the position of the anchor in chains that are long enough.
+// AnchorChunks is the number of chunks up to the anchor in chains that are long
+// enough.
 const AnchorChunks = anchorChunks
 
-// Tail returns the longest mark; ok is false for a prompt under one chunk.
+// Tail returns the last mark; ok is false for a prompt shorter than one chunk.
 func (c Chain) Tail() (m Mark, ok bool) {
 	if len(c.Marks) == 0 {
 		return Mark{}, false
--- a/pkg/prompt/chain_test.go
+++ b/pkg/prompt/chain_test.go
@@ -10,7 +10,8 @@
 )
 
 func drawScope(t *rapid.T, name string) Scope {
-	// Few letters and an empty string, so that shifted fields are likely.
+	// Few letters and an empty string, so that neighbouring fields often
+	// concatenate to the same text.
 	part := rapid.SampledFrom([]string{"", "a", "ab", "b", "\x00", "a\x00b"})
 	return Scope{
 		Organisation: part.Draw(t, name+"org"),
@@ -21,9 +22,9 @@
 	}
 }
 
-// drawNearScope draws a scope that differs from another in little: in one part,
-// or in where one part ends and the next begins.
-func drawNearScope(t *rapid.T, s Scope) Scope {
+// drawSimilarScope draws a scope that differs from s in at most one field, or only
+// in where one field ends and the next begins.
+func drawSimilarScope(t *rapid.T, s Scope) Scope {
 	parts := []*string{&s.Organisation, &s.Model, &s.Weights, &s.Adapter, &s.Reuse}
 	i := rapid.IntRange(0, len(parts)-1).Draw(t, "part")
 	switch rapid.IntRange(0, 2).Draw(t, "change") {
@@ -39,15 +40,15 @@
 	return s
 }
 
-// Two chains share a key exactly where scope and text up to there are equal.
+// Two chains share a key exactly if their scopes and the text up to it are equal.
 func TestChainsShareKeysOnlyWithinScope(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s1 := drawScope(t, "1")
-		s2 := drawNearScope(t, s1)
+		s2 := drawSimilarScope(t, s1)
 		chunk := rapid.SampledFrom([]string{strings.Repeat("x", ChunkBytes), strings.Repeat("y", ChunkBytes)})
 		chunks := rapid.SliceOfN(chunk, 1, 40)
 		t1 := chunks.Draw(t, "t1")
-		// Mostly a shared beginning, so that keys are equal if the roots are.
+		// Mostly a shared prefix, so that keys are equal if the roots are.
 		t2 := append(t1[:rapid.IntRange(0, len(t1)).Draw(t, "shared"):len(t1)], chunks.Draw(t, "t2")...)
 		c1 := NewChain(s1, strings.Join(t1, ""))
 		c2 := NewChain(s2, strings.Join(t2, ""))
--- a/pkg/prompt/directory.go
+++ b/pkg/prompt/directory.go
@@ -7,152 +7,156 @@
 )
 
 const (
-	// tick is the resolution of sightings' times.
+	// tick is the resolution of the times in entries.
 	tick = 100 * time.Millisecond
-	// inlineRefs is how many places an entry names without an overflow list.
-	inlineRefs = 2
-	// evictSample is how many entries are compared to find one to evict.
+	// inlineLocations is the number of locations that an entry holds without an
+	// overflow list.
+	inlineLocations = 2
+	// evictSample is the number of entries compared to find one to evict.
 	evictSample = 8
 	// gapWeight is the weight of the newest gap in the mean gap.
 	gapWeight = 0.3
 )
 
-// ref names a place; 0 is none.
-type ref uint32
+// locationID identifies a location; 0 is none.
+type locationID uint32
 
-// entry is what is known of one mark. A design-size shard holds tens of
-// thousands, so it has no pointers and names places by number.
+// entry holds the occurrences and locations of one mark. A shard of the size
+// designed for has tens of thousands of them, so entries have no pointers and
+// refer to locations by number.
 type entry struct {
-	last  uint32 // In ticks since Directory.start.
-	gap   uint32 // Mean gap in ticks.
-	times uint16
-	more  bool // There is an overflow list.
-	refs  [inlineRefs]ref
+	lastSeen    uint32 // In ticks since Directory.start.
+	meanGap     uint32 // Mean time between occurrences, in ticks.
+	count       uint16
+	hasOverflow bool // The locations are in Directory.overflow.
+	locations   [inlineLocations]locationID
 }
 
-// place is an engine's hot cache or one object of a store.
-type place struct {
+// location is an engine's own cache or one object of a store.
+type location struct {
 	upstream string
 	object   *Object
 }
 
-// Directory is one shard of the directory of kept state.
+// Directory is one shard of the directory of cached prompt state.
 //
-// It is soft: built from cache events, store listings and finished runs, late
-// and with gaps. A wrong entry costs time and never safety, because an import
-// names key, generation and checksum and engines match their caches by key.
+// Its content is a hint: it is built from cache events, store listings and
+// finished runs, which are late and incomplete. A wrong entry costs time but
+// never correctness, because an import states key, generation and checksum, and
+// engines match their caches by key.
 //
-// A place that goes away is only removed from the places table; entries drop
-// their refs to it when they are next touched. So forgetting all that one
-// engine held costs the same at any size.
+// A location that goes away is only removed from the locations map; entries drop
+// their references to it when they are next used. So dropping an engine takes
+// the same time however much it held.
 type Directory struct {
-	mu       sync.Mutex
-	start    time.Time
-	capacity int
-	entries  map[Key]entry
-	overflow map[Key][]ref
-	places   map[ref]place
-	hot      map[string]ref         // Engine to its place.
-	stored   map[string]map[Key]ref // Store to its objects.
-	lastRef  ref
+	mu        sync.Mutex
+	start     time.Time
+	capacity  int
+	entries   map[Key]entry
+	overflow  map[Key][]locationID
+	locations map[locationID]location
+	hot       map[string]locationID         // By engine.
+	stored    map[string]map[Key]locationID // By store and object key.
+	lastID    locationID
 }
 
 // NewDirectory returns an empty shard of at most capacity marks.
 func NewDirectory(capacity int, now time.Time) *Directory {
 	return &Directory{
-		start:    now,
-		capacity: capacity,
-		entries:  map[Key]entry{},
-		overflow: map[Key][]ref{},
-		places:   map[ref]place{},
-		hot:      map[string]ref{},
-		stored:   map[string]map[Key]ref{},
+		start:     now,
+		capacity:  capacity,
+		entries:   map[Key]entry{},
+		overflow:  map[Key][]locationID{},
+		locations: map[locationID]location{},
+		hot:       map[string]locationID{},
+		stored:    map[string]map[Key]locationID{},
 	}
 }
 
-// Observe looks a chain up and records the sighting.
+// Observe looks up a chain and records the occurrence.
 func (d *Directory) Observe(marks []Mark, now time.Time) Match {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var m Match
 	at := d.ticks(now)
-	seen := map[ref]bool{}
+	seen := map[locationID]bool{}
 	for _, mark := range slices.Backward(marks) {
 		e, known := d.entries[mark.Key]
 		if known {
 			e = d.prune(mark.Key, e)
-			d.addHoldings(&m, mark, e, seen)
-			m.addSighting(mark, e, at)
+			d.appendLocations(&m, mark, e, seen)
+			m.appendOccurrence(mark, e, at)
 		}
-		d.put(mark.Key, e.sighted(at))
+		d.put(mark.Key, e.withOccurrence(at))
 	}
 	return m
 }
 
-// Lookup looks a chain up and records nothing.
+// Lookup looks up a chain without recording an occurrence.
 func (d *Directory) Lookup(marks []Mark, now time.Time) Match {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var m Match
 	at := d.ticks(now)
-	seen := map[ref]bool{}
+	seen := map[locationID]bool{}
 	for _, mark := range slices.Backward(marks) {
 		if e, known := d.entries[mark.Key]; known {
-			d.addHoldings(&m, mark, d.prune(mark.Key, e), seen)
-			m.addSighting(mark, e, at)
+			d.appendLocations(&m, mark, d.prune(mark.Key, e), seen)
+			m.appendOccurrence(mark, e, at)
 		}
 	}
 	return m
 }
 
-// AddHot records that an engine holds the blocks that end at keys.
+// AddHot records that an engine has the blocks of keys in its cache.
 func (d *Directory) AddHot(engine string, keys []Key, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r, ok := d.hot[engine]
+	id, ok := d.hot[engine]
 	if !ok {
-		r = d.newPlace(place{upstream: engine})
-		d.hot[engine] = r
+		id = d.newLocation(location{upstream: engine})
+		d.hot[engine] = id
 	}
 	for _, k := range keys {
-		d.addRef(k, r, now)
+		d.addLocation(k, id, now)
 	}
 }
 
-// RemoveHot records that an engine no longer holds the blocks at keys.
+// RemoveHot records that an engine no longer has the blocks of keys.
 func (d *Directory) RemoveHot(engine string, keys []Key) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r, ok := d.hot[engine]
+	id, ok := d.hot[engine]
 	if !ok {
 		return
 	}
 	for _, k := range keys {
-		d.removeRef(k, r)
+		d.removeLocation(k, id)
 	}
 }
 
-// RemoveEngine drops all that an engine held, after a gap in its events.
+// RemoveEngine drops all locations of an engine, for example after a gap in its
+// cache events.
 func (d *Directory) RemoveEngine(engine string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.places, d.hot[engine])
+	delete(d.locations, d.hot[engine])
 	delete(d.hot, engine)
 }
 
-// AddStored records an object of a store under every mark it covers.
+// AddStored records an object of a store under all marks that it covers.
 func (d *Directory) AddStored(store string, o Object, marks []Mark, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.removeStored(store, o.Key)
-	r := d.newPlace(place{upstream: store, object: &o})
+	id := d.newLocation(location{upstream: store, object: &o})
 	if d.stored[store] == nil {
-		d.stored[store] = map[Key]ref{}
+		d.stored[store] = map[Key]locationID{}
 	}
-	d.stored[store][o.Key] = r
+	d.stored[store][o.Key] = id
 	for _, m := range marks {
 		if m.Chunks <= o.Chunks {
-			d.addRef(m.Key, r, now)
+			d.addLocation(m.Key, id, now)
 		}
 	}
 }
@@ -164,25 +168,25 @@
 	d.removeStored(store, key)
 }
 
-// RetainStored drops the objects of a store for which keep is false, such as
+// RetainStored drops the objects of a store for which keep returns false, such as
 // those of an earlier boot epoch.
 func (d *Directory) RetainStored(store string, keep func(Object) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for key, r := range d.stored[store] {
-		if !keep(*d.places[r].object) {
+	for key, id := range d.stored[store] {
+		if !keep(*d.locations[id].object) {
 			d.removeStored(store, key)
 		}
 	}
 }
 
-// Stored lists the objects that a store is known to keep.
+// Stored lists the known objects of a store.
 func (d *Directory) Stored(store string) []Object {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := make([]Object, 0, len(d.stored[store]))
-	for _, r := range d.stored[store] {
-		list = append(list, *d.places[r].object)
+	for _, id := range d.stored[store] {
+		list = append(list, *d.locations[id].object)
 	}
 	return list
 }
@@ -207,18 +211,18 @@
 
 func (d *Directory) ticks(now time.Time) uint32 { return uint32(max(0, now.Sub(d.start)/tick)) }
 
-func (d *Directory) newPlace(p place) ref {
-	d.lastRef++
-	d.places[d.lastRef] = p
-	return d.lastRef
+func (d *Directory) newLocation(loc location) locationID {
+	d.lastID++
+	d.locations[d.lastID] = loc
+	return d.lastID
 }
 
 func (d *Directory) removeStored(store string, key Key) {
-	delete(d.places, d.stored[store][key])
+	delete(d.locations, d.stored[store][key])
 	delete(d.stored[store], key)
 }
 
-// put writes an entry and keeps the shard within its capacity.
+// put writes an entry and evicts another if the shard is full.
 func (d *Directory) put(k Key, e entry) {
 	if _, known := d.entries[k]; !known && len(d.entries) >= d.capacity {
 		d.evict()
@@ -226,15 +230,15 @@
 	d.entries[k] = e
 }
 
-// evict drops the longest unseen of a few random entries; map iteration starts
-// at a random place, and an exact order would cost a list node an entry.
+// evict drops the least recently seen of a few random entries. Map iteration starts
+// at a random entry; an exact LRU order would cost a list node for each entry.
 func (d *Directory) evict() {
 	var victim Key
 	oldest := ^uint32(0)
 	n := 0
 	for k, e := range d.entries {
-		if e.last <= oldest {
-			victim, oldest = k, e.last
+		if e.lastSeen <= oldest {
+			victim, oldest = k, e.lastSeen
 		}
 		if n++; n == evictSample {
 			break
@@ -244,108 +248,108 @@
 	delete(d.overflow, victim)
 }
 
-// prune drops the refs of an entry to places that are gone.
+// prune drops the references of an entry to locations that have been removed.
 func (d *Directory) prune(k Key, e entry) entry {
-	gone := func(r ref) bool {
-		_, live := d.places[r]
+	gone := func(r locationID) bool {
+		_, live := d.locations[r]
 		return !live
 	}
-	refs := d.refs(k, e)
-	if !slices.ContainsFunc(refs, gone) {
+	ids := d.locationIDs(k, e)
+	if !slices.ContainsFunc(ids, gone) {
 		return e
 	}
-	e = d.setRefs(k, e, slices.DeleteFunc(slices.Clone(refs), gone))
+	e = d.setLocations(k, e, slices.DeleteFunc(slices.Clone(ids), gone))
 	d.entries[k] = e
 	return e
 }
 
-func (d *Directory) refs(k Key, e entry) []ref {
-	if e.more {
+func (d *Directory) locationIDs(k Key, e entry) []locationID {
+	if e.hasOverflow {
 		return d.overflow[k]
 	}
 	n := 0
-	for n < inlineRefs && e.refs[n] != 0 {
+	for n < inlineLocations && e.locations[n] != 0 {
 		n++
 	}
-	return e.refs[:n]
+	return e.locations[:n]
 }
 
-func (d *Directory) setRefs(k Key, e entry, refs []ref) entry {
-	e.refs = [inlineRefs]ref{}
-	e.more = len(refs) > inlineRefs
-	if e.more {
-		d.overflow[k] = refs
+func (d *Directory) setLocations(k Key, e entry, ids []locationID) entry {
+	e.locations = [inlineLocations]locationID{}
+	e.hasOverflow = len(ids) > inlineLocations
+	if e.hasOverflow {
+		d.overflow[k] = ids
 		return e
 	}
 	delete(d.overflow, k)
-	copy(e.refs[:], refs)
+	copy(e.locations[:], ids)
 	return e
 }
 
-func (d *Directory) addRef(k Key, r ref, now time.Time) {
+func (d *Directory) addLocation(k Key, id locationID, now time.Time) {
 	e, known := d.entries[k]
 	if !known {
-		e.last = d.ticks(now)
+		e.lastSeen = d.ticks(now)
 	} else {
 		e = d.prune(k, e)
 	}
-	refs := d.refs(k, e)
-	if !slices.Contains(refs, r) {
-		e = d.setRefs(k, e, append(slices.Clone(refs), r))
+	ids := d.locationIDs(k, e)
+	if !slices.Contains(ids, id) {
+		e = d.setLocations(k, e, append(slices.Clone(ids), id))
 	}
 	d.put(k, e)
 }
 
-func (d *Directory) removeRef(k Key, r ref) {
+func (d *Directory) removeLocation(k Key, id locationID) {
 	e, known := d.entries[k]
 	if !known {
 		return
 	}
-	refs := slices.Clone(d.refs(k, e))
-	if i := slices.Index(refs, r); i >= 0 {
-		d.entries[k] = d.setRefs(k, e, slices.Delete(refs, i, i+1))
+	ids := slices.Clone(d.locationIDs(k, e))
+	if i := slices.Index(ids, id); i >= 0 {
+		d.entries[k] = d.setLocations(k, e, slices.Delete(ids, i, i+1))
 	}
 }
 
-// addHoldings adds the places of one mark that a longer mark has not named.
-func (d *Directory) addHoldings(m *Match, mark Mark, e entry, seen map[ref]bool) {
-	for _, r := range d.refs(mark.Key, e) {
-		if seen[r] {
+// appendLocations adds the locations of one mark that no longer mark has added yet.
+func (d *Directory) appendLocations(m *Match, mark Mark, e entry, seen map[locationID]bool) {
+	for _, id := range d.locationIDs(mark.Key, e) {
+		if seen[id] {
 			continue
 		}
-		seen[r] = true
-		p := d.places[r]
-		m.Locations = append(m.Locations, CacheLocation{Upstream: p.upstream, Chunks: mark.Chunks, Object: p.object})
+		seen[id] = true
+		loc := d.locations[id]
+		m.Locations = append(m.Locations, CacheLocation{Upstream: loc.upstream, Chunks: mark.Chunks, Object: loc.object})
 	}
 }
 
-func (m *Match) addSighting(mark Mark, e entry, at uint32) {
-	if e.times == 0 {
+func (m *Match) appendOccurrence(mark Mark, e entry, at uint32) {
+	if e.count == 0 {
 		return
 	}
-	if n := len(m.Occurrences); n > 0 && m.Occurrences[n-1].Count == int(e.times) {
+	if n := len(m.Occurrences); n > 0 && m.Occurrences[n-1].Count == int(e.count) {
 		return
 	}
 	m.Occurrences = append(m.Occurrences, Occurrence{
 		Chunks: mark.Chunks,
-		Count:  int(e.times),
-		Since:  time.Duration(at-e.last) * tick,
-		Gap:    time.Duration(e.gap) * tick,
+		Count:  int(e.count),
+		Since:  time.Duration(at-e.lastSeen) * tick,
+		Gap:    time.Duration(e.meanGap) * tick,
 	})
 }
 
-// sighted returns the entry with one more sighting.
-func (e entry) sighted(at uint32) entry {
-	switch e.times {
+// withOccurrence returns the entry with one more occurrence.
+func (e entry) withOccurrence(at uint32) entry {
+	switch e.count {
 	case 0:
 	case 1:
-		e.gap = at - e.last
+		e.meanGap = at - e.lastSeen
 	default:
-		e.gap = uint32(float64(e.gap)*(1-gapWeight) + float64(at-e.last)*gapWeight)
+		e.meanGap = uint32(float64(e.meanGap)*(1-gapWeight) + float64(at-e.lastSeen)*gapWeight)
 	}
-	if e.times < ^uint16(0) {
-		e.times++
+	if e.count < ^uint16(0) {
+		e.count++
 	}
-	e.last = at
+	e.lastSeen = at
 	return e
 }
--- a/pkg/prompt/directory_test.go
+++ b/pkg/prompt/directory_test.go
@@ -19,7 +19,7 @@
 	return NewChain(Scope{Organisation: "o"}, strings.Repeat(fmt.Sprintf("%-*s", ChunkBytes, name), chunks))
 }
 
-func TestObserveFindsLongestHolding(t *testing.T) {
+func TestObserveFindsLongestCachedPrefix(t *testing.T) {
 	d := NewDirectory(1000, testStart)
 	c := testChain(t, "a", 40)
 	assert.Equal(t, len(d.Observe(c.Marks, testStart).Locations), 0)
@@ -37,7 +37,7 @@
 	assert.Equal(t, len(d.Observe(c.Marks, testStart).Locations), 0)
 }
 
-func TestSightingsShowWhichPrefixReturns(t *testing.T) {
+func TestOccurrencesShowWhichPrefixReturns(t *testing.T) {
 	d := NewDirectory(1000, testStart)
 	spec := strings.Repeat("s", 32*ChunkBytes)
 	for i := range 3 {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestRestartedStoreForgetsOldEpoch(t *testing.T) {
+func TestObjectsOfAnEarlierStoreBootAreDropped(t *testing.T) {
 	d := NewDirectory(1000, testStart)
 	c := testChain(t, "a", 8)
 	tail, _ := c.Tail()
@@ -61,7 +61,7 @@
 	assert.Equal(t, len(d.Lookup(c.Marks, testStart).Locations), 0)
 }
 
-// The directory agrees with a plain model, whatever order things come in.
+// The directory must agree with a simple map-based model for any order of updates.
 func TestDirectoryAgainstModel(t *testing.T) {
 	chains := make([]Chain, 4)
 	for i := range chains {
@@ -96,8 +96,8 @@
 				}
 			}
 			got := map[string]int{}
-			for _, h := range d.Lookup(c.Marks, testStart).Locations {
-				got[h.Upstream] = h.Chunks
+			for _, loc := range d.Lookup(c.Marks, testStart).Locations {
+				got[loc.Upstream] = loc.Chunks
 			}
 			assert.DeepEqual(t, got, want)
 		}
--- a/pkg/prompt/doc.go
+++ b/pkg/prompt/doc.go
@@ -1,8 +1,8 @@
-// Package prompt gives prompts their identity and keeps the directory of kept
-// prompt state.
+// Package prompt computes cache keys of prompts and has the directory of where
+// their KV cache is kept.
 //
-// A prompt's identity is a chain of keys, one for each fixed-size chunk. The
-// root of a chain covers the organisation, model, weight version, adapter and
-// reuse scope, so two requests that may not share state can never form the
-// same key; there is no check afterwards that could be forgotten.
+// A prompt is identified by a chain of keys, one for each fixed-size chunk. The
+// root of a chain is a hash of the organisation, model, weight version, adapter
+// and reuse scope, so two requests that must not share cached state never have a
+// key in common, and no separate check is needed.
 package prompt
--- a/pkg/prompt/key.go
+++ b/pkg/prompt/key.go
@@ -10,16 +10,16 @@
 // KeySize is the length of a key in bytes.
 const KeySize = 16
 
-// Key names a prefix of a prompt within its scope.
+// Key identifies a prefix of a prompt within its scope.
 type Key [KeySize]byte
 
-// String gives the key in hex.
+// String returns the key in hex.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// MarshalText writes the key in hex.
+// MarshalText returns the key in hex.
 func (k Key) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads what MarshalText writes.
+// UnmarshalText parses a key in hex.
 func (k *Key) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(KeySize) {
 		return eris.Errorf("key: %d hex digits wanted, found %d", hex.EncodedLen(KeySize), len(text))
@@ -28,7 +28,7 @@
 	return err
 }
 
-// next returns the key of the prefix that goes on with chunk.
+// next returns the key of the prefix k extended by chunk.
 func (k Key) next(chunk string) Key {
 	var buf [KeySize + ChunkBytes]byte
 	n := copy(buf[:], k[:])
--- a/pkg/prompt/match.go
+++ b/pkg/prompt/match.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Occurrence is what is known of earlier requests for a prefix.
+// Occurrence sums up the earlier requests for a prefix.
 type Occurrence struct {
 	Chunks int           `json:"chunks"`
 	Count  int           `json:"times"`
-	Since  time.Duration `json:"since_ns"` // Since the last one.
-	Gap    time.Duration `json:"gap_ns"`   // Mean gap, 0 under two sightings.
+	Since  time.Duration `json:"since_ns"` // Time since the last one.
+	Gap    time.Duration `json:"gap_ns"`   // Mean time between them, 0 for fewer than two.
 }
 
-// Match is the directory's answer for one chain.
+// Match is the result of looking up one chain.
 type Match struct {
-	// Locations has one entry for each place, with the longest prefix it shares.
+	// Locations has one entry for each engine or store object, with the longest
+	// prefix it shares.
 	Locations []CacheLocation `json:"holdings,omitempty"`
-	// Occurrences are the earlier sightings, longest prefix first; only the
-	// lengths at which the number of sightings changes are listed.
+	// Occurrences are the earlier requests, longest prefix first. Only the lengths
+	// at which the number of requests changes are listed.
 	Occurrences []Occurrence `json:"sightings,omitempty"`
 }
--- a/pkg/prompt/packed.go
+++ b/pkg/prompt/packed.go
@@ -2,8 +2,8 @@
 
 import "github.com/rotisserie/eris"
 
-// PackedMarks is the compact form of a chain's marks for the wire. Positions
-// follow from the number of chunks, so only keys are sent.
+// PackedMarks is the compact form in which a chain's marks are sent. Their positions
+// follow from the number of chunks, so only the keys are sent.
 type PackedMarks struct {
 	Chunks int    `json:"c"`
 	Keys   []byte `json:"k"`
@@ -25,24 +25,24 @@
 	if err != nil {
 		return nil, err
 	}
-	next := 0
+	used := 0
 	for chunks := 1; chunks <= p.Chunks && chunks <= maxMarkChunks; chunks++ {
 		if !IsMark(chunks) && chunks != p.Chunks {
 			continue
 		}
-		if next == len(keys) {
+		if used == len(keys) {
 			break
 		}
-		marks = append(marks, Mark{Chunks: chunks, Key: keys[next]})
-		next++
+		marks = append(marks, Mark{Chunks: chunks, Key: keys[used]})
+		used++
 	}
-	if next != len(keys) || len(marks) > 0 && marks[len(marks)-1].Chunks != p.Chunks {
+	if used != len(keys) || len(marks) > 0 && marks[len(marks)-1].Chunks != p.Chunks {
 		return nil, eris.Errorf("packed marks: %d keys don't fit %d chunks", len(keys), p.Chunks)
 	}
 	return marks, nil
 }
 
-// PackKeys joins keys for the wire.
+// PackKeys concatenates keys.
 func PackKeys(keys []Key) []byte {
 	b := make([]byte, 0, len(keys)*KeySize)
 	for _, k := range keys {
@@ -51,7 +51,7 @@
 	return b
 }
 
-// UnpackKeys takes joined keys apart.
+// UnpackKeys splits what PackKeys has concatenated.
 func UnpackKeys(b []byte) (keys []Key, err error) {
 	if len(b)%KeySize != 0 {
 		return nil, eris.Errorf("packed keys: %d bytes", len(b))
--- a/pkg/tablestore/breaker.go
+++ b/pkg/tablestore/breaker.go
@@ -12,8 +12,8 @@
 
 const (
 	breakerFailures = 3
-	breakerFirst    = 200 * time.Millisecond
-	breakerMost     = 5 * time.Second
+	breakerMinWait  = 200 * time.Millisecond
+	breakerMaxWait  = 5 * time.Second
 )
 
 // Breaker stops calls to a service that does not answer, and lets single calls
@@ -28,8 +28,8 @@
 // NewBreaker returns a closed breaker.
 func NewBreaker() *Breaker {
 	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = breakerFirst
-	waits.MaxInterval = breakerMost
+	waits.InitialInterval = breakerMinWait
+	waits.MaxInterval = breakerMaxWait
 	return &Breaker{waits: waits}
 }
 
--- a/pkg/timer/service.go
+++ b/pkg/timer/service.go
@@ -41,18 +41,18 @@
 	s.wg.Add(1 + workers)
 	go s.dispatch()
 	for range workers {
-		go s.work()
+		go s.worker()
 	}
 	return s
 }
 
 // Subscribe runs fn every period, first after one jittered period, until the
 // subscription or the service is closed.
-func (s *Service) Subscribe(every time.Duration, fn Func) *Subscription {
+func (s *Service) Subscribe(period time.Duration, fn Func) *Subscription {
 	ctx, cancel := context.WithCancel(context.Background())
-	sub := &Subscription{service: s, every: every, fn: fn, ctx: ctx, cancel: cancel}
+	sub := &Subscription{service: s, period: period, fn: fn, ctx: ctx, cancel: cancel}
 	s.mu.Lock()
-	s.push(sub, time.Now().Add(jitter(every)))
+	s.schedule(sub, time.Now().Add(jitter(period)))
 	s.mu.Unlock()
 	return sub
 }
@@ -74,12 +74,12 @@
 	s.wg.Wait()
 }
 
-// push schedules sub; the caller holds mu.
-func (s *Service) push(sub *Subscription, at time.Time) {
+// schedule schedules sub; the caller holds mu.
+func (s *Service) schedule(sub *Subscription, at time.Time) {
 	if s.closed || sub.closed {
 		return
 	}
-	sub.at = at
+	sub.dueAt = at
 	s.due.Push(sub)
 	select {
 	case s.wake <- struct{}{}:
@@ -92,7 +92,7 @@
 	t := time.NewTimer(time.Hour)
 	defer t.Stop()
 	for {
-		sub, wait := s.next(time.Now())
+		sub, wait := s.nextDue(time.Now())
 		if sub != nil {
 			select {
 			case s.ready <- sub:
@@ -112,14 +112,14 @@
 	}
 }
 
-// next pops the first due subscription, or says how long to wait for one.
-func (s *Service) next(now time.Time) (*Subscription, time.Duration) {
+// nextDue pops the first due subscription, or says how long to wait for one.
+func (s *Service) nextDue(now time.Time) (*Subscription, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.due.Len() == 0 {
 		return nil, time.Hour
 	}
-	if wait := s.due.First().at.Sub(now); wait > 0 {
+	if wait := s.due.First().dueAt.Sub(now); wait > 0 {
 		return nil, wait
 	}
 	sub := s.due.Pop()
@@ -127,7 +127,7 @@
 	return sub, 0
 }
 
-func (s *Service) work() {
+func (s *Service) worker() {
 	defer s.wg.Done()
 	for {
 		select {
@@ -146,7 +146,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.push(sub, time.Now().Add(jitter(sub.every)))
+	s.schedule(sub, time.Now().Add(jitter(sub.period)))
 }
 
 func jitter(d time.Duration) time.Duration {
--- a/pkg/timer/subscription.go
+++ b/pkg/timer/subscription.go
@@ -13,19 +13,19 @@
 	queue.Position
 
 	service *Service
-	every   time.Duration
+	period  time.Duration
 	fn      Func
 	ctx     context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
 	// Guarded by service.mu.
-	at     time.Time
+	dueAt  time.Time
 	closed bool
 }
 
 // Before says whether the subscription is due before another.
-func (s *Subscription) Before(other *Subscription) bool { return s.at.Before(other.at) }
+func (s *Subscription) Before(other *Subscription) bool { return s.dueAt.Before(other.dueAt) }
 
 // Close ends the subscription and waits for a running callback to return; it
 // must not be called from that callback.
--- a/pkg/upstream/doc.go
+++ b/pkg/upstream/doc.go
@@ -1,3 +1,3 @@
-// Package upstream has the clients of the back ends: model engines, stores of
-// kept state and plain services, and the messages they exchange.
+// Package upstream has the clients of the back ends (model engines, KV cache
+// stores and plain services) and the messages they exchange.
 package upstream
--- a/pkg/upstream/engine.go
+++ b/pkg/upstream/engine.go
@@ -23,9 +23,9 @@
 	return &Engine{name: name, http: httpjson.NewClient(addr)}
 }
 
-// Run starts a run and returns its answer stream, which the caller closes; the
-// error is a *NotRunError where it is certain that nothing ran, else a
-// *TruncatedError or *MismatchError.
+// Run starts a run and returns its answer stream, which the caller must close.
+// The error is a *NotRunError only if it is certain that nothing ran, otherwise
+// a *TruncatedError or *MismatchError.
 func (e *Engine) Run(ctx context.Context, r RunRequest) (s *Stream, err error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -36,19 +36,20 @@
 	resp := fasthttp.AcquireResponse()
 	resp.StreamBody = true
 	if err := e.http.Do(ctx, req, resp); err != nil {
-		closeResponse(resp)
+		releaseResponse(resp)
 		return nil, classify(e.name, err)
 	}
 	if id := string(resp.Header.Peek(HeaderRequestID)); id != r.RequestID {
-		closeResponse(resp)
+		releaseResponse(resp)
 		return nil, &MismatchError{Upstream: e.name, Want: r.RequestID, Found: id}
 	}
 	return newStream(ctx, e.name, r, resp), nil
 }
 
-// closeResponse gives a response back; an unread rest closes its connection.
-func closeResponse(resp *fasthttp.Response) {
-	_ = resp.CloseBodyStream() // There is nothing left to lose.
+// releaseResponse returns a response to its pool. If part of the body is
+// unread, its connection is closed.
+func releaseResponse(resp *fasthttp.Response) {
+	_ = resp.CloseBodyStream() // The response is discarded.
 	fasthttp.ReleaseResponse(resp)
 }
 
@@ -73,27 +74,29 @@
 	return b, err
 }
 
-// Import has the engine fetch kept state; any error means to recompute.
+// Import has the engine fetch KV blocks from a store. After any error the engine
+// has to recompute them.
 func (e *Engine) Import(ctx context.Context, o ImportOrder) (a ImportAnswer, err error) {
 	defer func() { err = eris.Wrapf(err, "import on %s", e.name) }()
 	err = classify(e.name, e.http.Call(ctx, http.MethodPost, PathImport, o, &a))
 	return a, err
 }
 
-// Export has the engine copy kept state to a store.
+// Export has the engine copy KV blocks to a store.
 func (e *Engine) Export(ctx context.Context, o ExportOrder) (a ExportAnswer, err error) {
 	defer func() { err = eris.Wrapf(err, "export from %s", e.name) }()
 	err = classify(e.name, e.http.Call(ctx, http.MethodPost, PathExport, o, &a))
 	return a, err
 }
 
-// Order gives the engine an order; a *NotRunError says it was refused.
+// Order sends the engine an order. The error is a *NotRunError if the engine
+// refused it.
 func (e *Engine) Order(ctx context.Context, o Order) (err error) {
 	defer func() { err = eris.Wrapf(err, "order to %s", e.name) }()
 	return classify(e.name, e.http.Call(ctx, http.MethodPost, PathOrders, o, nil))
 }
 
-// State reads back what the engine serves.
+// State returns what the engine serves.
 func (e *Engine) State(ctx context.Context) (s EngineState, err error) {
 	defer func() { err = eris.Wrapf(err, "state of %s", e.name) }()
 	err = e.http.Call(ctx, http.MethodGet, PathOrders, nil, &s)
--- a/pkg/upstream/errors.go
+++ b/pkg/upstream/errors.go
@@ -10,7 +10,7 @@
 )
 
 // NotRunError says that an upstream did not run a request: either it said so
-// by protocol, or no byte of the request reached it.
+// in its answer, or no byte of the request reached it.
 type NotRunError struct {
 	Upstream string
 	Reason   string
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("upstream %s did not run it: %s", e.Upstream, e.Reason)
 }
 
-// MismatchError is an answer that belongs to another request.
+// MismatchError reports an answer that belongs to another request.
 type MismatchError struct {
 	Upstream string
 	Want     string
@@ -33,19 +33,20 @@
 	return fmt.Sprintf("upstream %s answered request %s with the answer to %s", e.Upstream, e.Want, e.Found)
 }
 
-// TruncatedError is an answer that ended before its last event.
+// TruncatedError reports an answer that ended before its last event.
 type TruncatedError struct {
 	Upstream string
-	Tokens   int // Received until then.
+	Tokens   int // Tokens received before it ended.
 	Reason   string
 }
 
-// Error names the upstream, how far it came and why it ended.
+// Error names the upstream, the number of tokens received and the reason.
 func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("upstream %s broke off after %d tokens: %s", e.Upstream, e.Tokens, e.Reason)
 }
 
-// classify turns a call's error into a *NotRunError where that is certain.
+// classify turns a call's error into a *NotRunError if it is certain that the
+// request did not run, and into a *TruncatedError otherwise.
 func classify(name string, err error) error {
 	if err == nil {
 		return nil
--- a/pkg/upstream/load.go
+++ b/pkg/upstream/load.go
@@ -1,6 +1,6 @@
 package upstream
 
-// LoadReport is what an engine says of its load, some time after the fact.
+// LoadReport is an engine's report of its load. Its figures lag.
 type LoadReport struct {
 	Boot uint64 `json:"boot"`
 	// AgeMillis is how old the figures were when they were sent.
@@ -8,12 +8,12 @@
 	Slots        int     `json:"slots"`
 	Running      int     `json:"running"`
 	Queued       int     `json:"queued"`
-	PrefillQueue int     `json:"prefill_queue"` // Tokens not yet prefilled.
-	PrefillRate  float64 `json:"prefill_rate"`  // Tokens a second.
-	DecodeMillis float64 `json:"decode_ms"`     // Between tokens.
-	LinkRate     float64 `json:"link_rate"`     // Bytes a second.
-	LinkQueue    int64   `json:"link_queue"`    // Bytes not yet moved.
-	TokenBytes   int     `json:"token_bytes"`   // Kept state of one token.
+	PrefillQueue int     `json:"prefill_queue"` // Tokens waiting to be prefilled.
+	PrefillRate  float64 `json:"prefill_rate"`  // Tokens per second.
+	DecodeMillis float64 `json:"decode_ms"`     // Time between two tokens.
+	LinkRate     float64 `json:"link_rate"`     // Bytes per second.
+	LinkQueue    int64   `json:"link_queue"`    // Bytes waiting to be transferred.
+	TokenBytes   int     `json:"token_bytes"`   // KV cache size of one token.
 	Model        string  `json:"model"`
 	Weights      string  `json:"weights"`
 	Leaving      bool    `json:"leaving"`
--- a/pkg/upstream/order.go
+++ b/pkg/upstream/order.go
@@ -1,6 +1,6 @@
 package upstream
 
-// OrderAction is what an order tells an engine.
+// OrderAction is what an order tells an engine to do.
 type OrderAction string
 
 // Order actions.
@@ -10,7 +10,7 @@
 )
 
 // Order changes what an engine serves. Engines that check fences refuse an
-// order whose epoch and sequence are not higher than the last one's.
+// order whose (epoch, sequence) is not higher than that of the last one.
 type Order struct {
 	Epoch   uint64      `json:"epoch"`
 	Seq     uint64      `json:"seq"`
@@ -19,7 +19,7 @@
 	Weights string      `json:"weights,omitempty"`
 }
 
-// EngineState is what an engine serves, read back after orders.
+// EngineState is what an engine currently serves. It is read to verify orders.
 type EngineState struct {
 	Model   string `json:"model"`
 	Weights string `json:"weights"`
--- a/pkg/upstream/paths.go
+++ b/pkg/upstream/paths.go
@@ -24,7 +24,7 @@
 	PathStoreFree  = "/v1/objects/free"
 )
 
-// HeaderRequestID carries a request's id both ways.
+// HeaderRequestID carries the request id in requests and in answers.
 const HeaderRequestID = "X-Request-Id"
 
 // HeaderLoad carries an engine's load report, as JSON, with each answer.
--- a/pkg/upstream/run.go
+++ b/pkg/upstream/run.go
@@ -11,10 +11,10 @@
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Priority  int    `json:"priority"`
-	// CacheSalt is the root of the prompt's chain; engines only match blocks
-	// made under the same salt.
+	// CacheSalt is the root key of the prompt's chain. Engines only match cached
+	// blocks that were computed under the same salt.
 	CacheSalt prompt.Key `json:"cache_salt"`
-	// ResumeAfter is how many answer tokens the caller has already.
+	// ResumeAfter is the number of answer tokens that the caller already has.
 	ResumeAfter int `json:"resume_after,omitempty"`
 }
 
@@ -24,16 +24,16 @@
 	// Index counts the answer's tokens from 0.
 	Index int    `json:"index"`
 	Text  string `json:"text,omitempty"`
-	// CachedTokens is how much of the prompt was not recomputed; it comes with
-	// the first event.
+	// CachedTokens is the number of prompt tokens taken from the cache. It is
+	// set in the first event.
 	CachedTokens int `json:"cached_tokens,omitempty"`
 	// Done marks the last event; Index is then the number of tokens.
 	Done bool `json:"done,omitempty"`
-	// Error marks a run that the engine broke off.
+	// Error is set if the engine aborted the run.
 	Error string `json:"error,omitempty"`
 }
 
-// Refusal is an engine's or service's answer that it did not run a request.
+// Refusal is the answer of an engine or service that did not run a request.
 type Refusal struct {
 	NotRun bool   `json:"not_run"`
 	Reason string `json:"reason"`
@@ -48,6 +48,6 @@
 	ReasonNoSpace  = "no_space"
 	ReasonGone     = "gone"
 	ReasonChecksum = "checksum"
-	// ReasonUnreachable is a request that never left.
+	// ReasonUnreachable means that no byte of the request was sent.
 	ReasonUnreachable = "unreachable"
 )
--- a/pkg/upstream/service.go
+++ b/pkg/upstream/service.go
@@ -18,7 +18,7 @@
 	Body        []byte
 }
 
-// ServiceAnswer is a plain service's whole answer.
+// ServiceAnswer is the complete answer of a plain service.
 type ServiceAnswer struct {
 	Status      int
 	ContentType string
@@ -36,8 +36,8 @@
 	return &Service{name: name, http: httpjson.NewClient(addr)}
 }
 
-// Call passes a call on and returns the answer, whatever its status; errors
-// are as for Engine.Run.
+// Call forwards a call and returns the answer, whatever its status. Errors are as
+// for Engine.Run.
 func (s *Service) Call(ctx context.Context, c ServiceCall) (a ServiceAnswer, err error) {
 	req := fasthttp.AcquireRequest()
 	resp := fasthttp.AcquireResponse()
@@ -65,7 +65,7 @@
 }
 
 func isNotRun(err error) bool {
-	_, ok := err.(*NotRunError) // classify returns it bare.
+	_, ok := err.(*NotRunError) // classify does not wrap it.
 	return ok
 }
 
--- a/pkg/upstream/store.go
+++ b/pkg/upstream/store.go
@@ -11,8 +11,8 @@
 	"github.com/drumpath/drumpath/pkg/httpjson"
 )
 
-// Store is a client of one store of kept state. Blocks move between engines
-// and stores; nodes only list and free.
+// Store is a client of one KV cache store. Engines and stores transfer blocks
+// directly; nodes only list and free objects.
 type Store struct {
 	name string
 	http *httpjson.Client
@@ -23,8 +23,8 @@
 	return &Store{name: name, http: httpjson.NewClient(addr)}
 }
 
-// List returns what has changed in a boot epoch since a sequence number, or
-// all that the store keeps if it can't tell.
+// List returns the changes of a boot epoch since a sequence number, or all
+// objects if the store no longer knows what has changed since.
 func (s *Store) List(ctx context.Context, epoch, after uint64) (l StoreListing, err error) {
 	defer func() { err = eris.Wrapf(err, "list of %s", s.name) }()
 	path := fmt.Sprintf("%s?epoch=%d&after=%d", PathStoreList, epoch, after)
@@ -39,7 +39,7 @@
 	return l, err
 }
 
-// Free hides an object and releases it once no reader has it pinned.
+// Free hides an object. The store releases it once no reader has it pinned.
 func (s *Store) Free(ctx context.Context, f FreeObject) (err error) {
 	defer func() { err = eris.Wrapf(err, "free on %s", s.name) }()
 	return classify(s.name, s.http.Call(ctx, http.MethodPost, PathStoreFree, f, nil))
--- a/pkg/upstream/stream.go
+++ b/pkg/upstream/stream.go
@@ -12,116 +12,116 @@
 )
 
 const (
-	sseData     = "data: "
-	sseEnd      = "[DONE]"
-	maxSSELine  = 1 << 20
-	streamRead  = 4 << 10
-	reasonEOF   = "connection ended"
-	reasonOrder = "token out of order"
+	sseData           = "data: "
+	sseEnd            = "[DONE]"
+	maxSSELine        = 1 << 20
+	initialReadBuffer = 4 << 10
+	reasonEOF         = "connection ended"
+	reasonOutOfOrder  = "token out of order"
 )
 
-// Stream reads one answer of an engine.
+// Stream reads one streamed answer of an engine.
 //
-// Every event must carry the request's id and the next index, so a late or
-// crossed answer can't be taken for part of this one. Closing a stream that was
-// not read to its end closes the connection: it must never serve another
-// request, as the rest of this answer may still arrive on it.
+// Every event must carry the request's id and the next index, so that a late
+// answer or that of another request can't be taken for part of this one. Closing
+// a stream that was not read to its end closes the connection: it must not be
+// reused, as the rest of this answer may still arrive on it.
 type Stream struct {
-	upstream string
-	id       string
-	next     int
-	whole    bool
-	resp     *fasthttp.Response
-	body     io.Reader
-	scan     *bufio.Scanner
-	stop     func() bool
-	load     LoadReport
-	loaded   bool
+	upstream      string
+	id            string
+	nextIndex     int
+	complete      bool
+	resp          *fasthttp.Response
+	body          io.Reader
+	scanner       *bufio.Scanner
+	detachContext func() bool
+	load          LoadReport
+	hasLoad       bool
 }
 
 func newStream(ctx context.Context, name string, r RunRequest, resp *fasthttp.Response) *Stream {
 	body := resp.BodyStream()
 	var load LoadReport
 	header := resp.Header.Peek(HeaderLoad)
-	loaded := len(header) > 0 && json.Unmarshal(header, &load) == nil
-	scan := bufio.NewScanner(body)
-	scan.Buffer(make([]byte, 0, streamRead), maxSSELine)
+	hasLoad := len(header) > 0 && json.Unmarshal(header, &load) == nil
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(make([]byte, 0, initialReadBuffer), maxSSELine)
 	return &Stream{
-		upstream: name,
-		id:       r.RequestID,
-		next:     r.ResumeAfter,
-		resp:     resp,
-		body:     body,
-		load:     load,
-		loaded:   loaded,
-		scan:     scan,
-		// Ending the context interrupts a read that waits for the engine.
-		stop: context.AfterFunc(ctx, func() { _ = resp.CloseBodyStream() }), // The reader sees it.
+		upstream:  name,
+		id:        r.RequestID,
+		nextIndex: r.ResumeAfter,
+		resp:      resp,
+		body:      body,
+		load:      load,
+		hasLoad:   hasLoad,
+		scanner:   scanner,
+		// The end of the context interrupts a read that waits for the engine.
+		detachContext: context.AfterFunc(ctx, func() { _ = resp.CloseBodyStream() }), // The reader gets the error.
 	}
 }
 
-// Next returns the next event. After the last one it returns io.EOF; any other
-// error is a *TruncatedError or *MismatchError.
+// Next returns the next event, and io.EOF after the last one. Any other error is
+// a *TruncatedError or *MismatchError.
 func (s *Stream) Next() (ev Event, err error) {
-	if s.whole {
+	if s.complete {
 		return Event{}, io.EOF
 	}
-	for s.scan.Scan() {
-		data, ok := bytes.CutPrefix(s.scan.Bytes(), []byte(sseData))
+	for s.scanner.Scan() {
+		data, ok := bytes.CutPrefix(s.scanner.Bytes(), []byte(sseData))
 		if !ok || string(data) == sseEnd {
 			continue
 		}
 		ev = Event{}
 		if err := json.Unmarshal(data, &ev); err != nil {
-			return Event{}, s.broken(err.Error())
+			return Event{}, s.truncated(err.Error())
 		}
-		return ev, s.check(ev)
+		return ev, s.checkEvent(ev)
 	}
 	reason := reasonEOF
-	if err := s.scan.Err(); err != nil && !errors.Is(err, io.EOF) {
+	if err := s.scanner.Err(); err != nil && !errors.Is(err, io.EOF) {
 		reason = err.Error()
 	}
-	return Event{}, s.broken(reason)
+	return Event{}, s.truncated(reason)
 }
 
-// check verifies that an event is the next one of this answer.
-func (s *Stream) check(ev Event) error {
+// checkEvent verifies that ev is the next event of this answer.
+func (s *Stream) checkEvent(ev Event) error {
 	switch {
 	case ev.RequestID != s.id:
 		return &MismatchError{Upstream: s.upstream, Want: s.id, Found: ev.RequestID}
 	case ev.Error != "":
-		return s.broken(ev.Error)
-	case ev.Index != s.next:
-		return s.broken(reasonOrder)
+		return s.truncated(ev.Error)
+	case ev.Index != s.nextIndex:
+		return s.truncated(reasonOutOfOrder)
 	case ev.Done:
-		s.whole = true
+		s.complete = true
 	default:
-		s.next++
+		s.nextIndex++
 	}
 	return nil
 }
 
-func (s *Stream) broken(reason string) error {
-	return &TruncatedError{Upstream: s.upstream, Tokens: s.next, Reason: reason}
+func (s *Stream) truncated(reason string) error {
+	return &TruncatedError{Upstream: s.upstream, Tokens: s.nextIndex, Reason: reason}
 }
 
-// Load returns the engine's load report that came with the answer; ok is false
-// if there was none.
-func (s *Stream) Load() (r LoadReport, ok bool) { return s.load, s.loaded }
+// Load returns the load report that came with the answer; ok is false if there
+// was none.
+func (s *Stream) Load() (r LoadReport, ok bool) { return s.load, s.hasLoad }
 
-// Tokens is how many answer tokens the caller has, counted from the answer's
-// first.
-func (s *Stream) Tokens() int { return s.next }
+// Tokens returns the number of answer tokens that the caller has, including those
+// it had before a resumed run.
+func (s *Stream) Tokens() int { return s.nextIndex }
 
-// Close ends the stream; the connection is kept only if the whole answer was
+// Close ends the stream. The connection is reused only if the whole answer was
 // read.
 func (s *Stream) Close() {
-	if s.whole {
-		// The end of the body follows the last event; reading it frees the
-		// connection for reuse.
-		_, _ = io.Copy(io.Discard, s.body) // A failed drain only costs the connection.
+	if s.complete {
+		// The end of the body follows the last event; the connection can only be
+		// reused after that has been read.
+		_, _ = io.Copy(io.Discard, s.body) // On an error only the connection is lost.
 	}
-	if s.stop() {
-		closeResponse(s.resp)
+	if s.detachContext() {
+		releaseResponse(s.resp)
 	}
 }
--- a/pkg/upstream/stream_test.go
+++ b/pkg/upstream/stream_test.go
@@ -16,12 +16,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeEngine answers each request on a connection with the given events and
-// counts the connections it was given.
+// fakeEngine answers each request with the given events and counts the
+// connections it has accepted.
 type fakeEngine struct {
 	ln    net.Listener
 	conns atomic.Int64
-	// answer writes the body's events; it returns false to drop the connection.
+	// answer writes the events of the body, and returns false to drop the connection.
 	answer func(id string, write func(event string)) bool
 }
 
@@ -71,11 +71,11 @@
 			return
 		}
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n", HeaderRequestID, id)
-		whole := f.answer(id, func(event string) {
+		complete := f.answer(id, func(event string) {
 			body := "data: " + event + "\n\n"
 			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(body), body)
 		})
-		if !whole {
+		if !complete {
 			return
 		}
 		_, _ = io.WriteString(c, "0\r\n\r\n")
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestWholeAnswerKeepsTheConnection(t *testing.T) {
+func TestConnectionIsReusedAfterACompleteAnswer(t *testing.T) {
 	f, e := newFakeEngine(t, func(id string, write func(string)) bool {
 		write(token(id, 0))
 		write(token(id, 1))
@@ -143,24 +143,24 @@
 	assert.Equal(t, f.conns.Load(), int64(2), "the connection of a cancelled answer was used again")
 }
 
-func TestWrongAnswersAreErrors(t *testing.T) {
-	var broken *TruncatedError
-	var crossed *MismatchError
+func TestInvalidAnswerStreamsAreErrors(t *testing.T) {
+	var truncated *TruncatedError
+	var mismatch *MismatchError
 	tests := map[string]struct {
 		events func(id string) []string
 		whole  bool
 		want   any
 	}{
-		"cut":              {func(id string) []string { return []string{token(id, 0)} }, false, &broken},
-		"ended early":      {func(id string) []string { return []string{token(id, 0)} }, true, &broken},
-		"token missing":    {func(id string) []string { return []string{token(id, 0), token(id, 2)} }, true, &broken},
-		"token twice":      {func(id string) []string { return []string{token(id, 0), token(id, 0)} }, true, &broken},
-		"end too early":    {func(id string) []string { return []string{token(id, 0), done(id, 5)} }, true, &broken},
-		"another's token":  {func(id string) []string { return []string{token(id, 0), token("other", 1)} }, true, &crossed},
-		"another's end":    {func(id string) []string { return []string{token(id, 0), done("other", 1)} }, true, &crossed},
-		"not JSON":         {func(string) []string { return []string{"{"} }, true, &broken},
-		"engine gave up":   {func(id string) []string { return []string{fmt.Sprintf(`{"id":%q,"error":"x"}`, id)} }, true, &broken},
-		"nothing happened": {func(string) []string { return nil }, true, &broken},
+		"cut":              {func(id string) []string { return []string{token(id, 0)} }, false, &truncated},
+		"ended early":      {func(id string) []string { return []string{token(id, 0)} }, true, &truncated},
+		"token missing":    {func(id string) []string { return []string{token(id, 0), token(id, 2)} }, true, &truncated},
+		"token twice":      {func(id string) []string { return []string{token(id, 0), token(id, 0)} }, true, &truncated},
+		"end too early":    {func(id string) []string { return []string{token(id, 0), done(id, 5)} }, true, &truncated},
+		"another's token":  {func(id string) []string { return []string{token(id, 0), token("other", 1)} }, true, &mismatch},
+		"another's end":    {func(id string) []string { return []string{token(id, 0), done("other", 1)} }, true, &mismatch},
+		"not JSON":         {func(string) []string { return []string{"{"} }, true, &truncated},
+		"engine gave up":   {func(id string) []string { return []string{fmt.Sprintf(`{"id":%q,"error":"x"}`, id)} }, true, &truncated},
+		"nothing happened": {func(string) []string { return nil }, true, &truncated},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -185,7 +185,7 @@
 	assert.Equal(t, notRun.Reason, ReasonUnreachable)
 }
 
-func TestDroppedConnectionMayHaveRun(t *testing.T) {
+func TestDroppedConnectionIsNotReportedAsNotRun(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = ln.Close() }()
--- a/pkg/upstream/transfer.go
+++ b/pkg/upstream/transfer.go
@@ -6,34 +6,35 @@
 	"github.com/drumpath/drumpath/pkg/prompt"
 )
 
-// ExportOrder asks an engine to copy kept state to a store.
+// ExportOrder asks an engine to copy KV blocks to a store.
 type ExportOrder struct {
 	RequestID string         `json:"request_id"`
-	Key       prompt.Key     `json:"key"` // The last block of the chain.
+	Key       prompt.Key     `json:"key"` // Key of the last block of the chain.
 	Chunks    int            `json:"chunks"`
 	Store     netip.AddrPort `json:"store"`
-	// Marks go with the object, so that any node can list it.
+	// Marks are stored with the object, so that any node can add it to its
+	// directory.
 	Marks prompt.PackedMarks `json:"marks"`
 }
 
-// ImportOrder asks an engine to fetch kept state from a store.
+// ImportOrder asks an engine to fetch KV blocks from a store.
 type ImportOrder struct {
 	RequestID string         `json:"request_id"`
 	CacheSalt prompt.Key     `json:"cache_salt"`
 	Weights   string         `json:"weights"`
 	Object    prompt.Object  `json:"object"`
-	Chunks    int            `json:"chunks"` // How much of the object is wanted.
+	Chunks    int            `json:"chunks"` // Number of chunks of the object to fetch.
 	Store     netip.AddrPort `json:"store"`
-	// WaitMillis is after how long the engine gives the import up.
+	// WaitMillis is the time after which the engine gives up the import.
 	WaitMillis int64 `json:"wait_ms"`
 }
 
-// ImportAnswer says what an import brought.
+// ImportAnswer says how much an import transferred.
 type ImportAnswer struct {
 	Chunks int   `json:"chunks"`
 	Bytes  int64 `json:"bytes"`
 	Millis int64 `json:"ms"`
-	// Store is the load of the store's link, as of the last read.
+	// Store is the load of the store's link at the last read.
 	Store StoreLoad `json:"store"`
 }
 
@@ -66,8 +67,8 @@
 	Checksum   uint64     `json:"checksum"`
 }
 
-// PinObject keeps an object from being released for a time, named by generation and
-// boot epoch so that an older or newer one can't be meant.
+// PinObject keeps an object from being released for a time. Generation and boot
+// epoch make sure that no older or newer object of the same key is pinned.
 type PinObject struct {
 	Key        prompt.Key `json:"key"`
 	Generation uint64     `json:"generation"`
@@ -92,35 +93,34 @@
 	Load   StoreLoad    `json:"load"`
 }
 
-// FreeObject hides an object at once and releases it when its pins have ended.
+// FreeObject hides an object at once and releases it when its pins have expired.
 type FreeObject struct {
 	Key        prompt.Key `json:"key"`
 	Generation uint64     `json:"generation"`
 	Epoch      uint64     `json:"epoch"`
 }
 
-// StoreLoad is what a store says of its link.
+// StoreLoad is a store's report of the load of its link.
 type StoreLoad struct {
-	LinkRate  float64 `json:"link_rate"`  // Bytes a second.
-	LinkQueue int64   `json:"link_queue"` // Bytes not yet moved.
-	// Moved and BusyMillis count bytes and the time it took to move them.
+	LinkRate  float64 `json:"link_rate"`  // Bytes per second.
+	LinkQueue int64   `json:"link_queue"` // Bytes waiting to be transferred.
+	// Moved and BusyMillis count transferred bytes and the time that took.
 	Moved      int64 `json:"moved"`
 	BusyMillis int64 `json:"busy_ms"`
 }
 
-// StoreChange is one object sealed or freed.
+// StoreChange reports that an object was sealed or freed.
 type StoreChange struct {
 	Freed  bool               `json:"freed,omitempty"`
 	Object prompt.Object      `json:"object"`
 	Marks  prompt.PackedMarks `json:"marks"`
 }
 
-// StoreListing is what a store keeps, or what has changed since a sequence
-// number.
+// StoreListing is the content of a store, or its changes since a sequence number.
 type StoreListing struct {
 	Epoch uint64 `json:"epoch"`
 	Seq   uint64 `json:"seq"`
-	// Full says that Changes has all there is, not just what is new.
+	// Full says that Changes lists all objects, not only recent changes.
 	Full     bool          `json:"full"`
 	Used     int64         `json:"used"`
 	Capacity int64         `json:"capacity"`
