--- a/pkg/boottime/clock_test.go
+++ b/pkg/boottime/clock_test.go
@@ -9,8 +9,8 @@
 	"github.com/drumpath/drumpath/pkg/boottime"
 )
 
-// maxRefreshTime is over what passes while the clocks are read, beside a few looks for what a
-// pause of the process has hidden: on a busy machine that can be some time slices.
+// maxRefreshTime is more than the time of a few calls of Refresh that make up for a pause of
+// the process: on a busy machine that can be several time slices.
 const maxRefreshTime = time.Second
 
 func TestSuspensionCountsOnlyAfterRefresh(t *testing.T) {
@@ -18,9 +18,9 @@
 	known := boottime.Refresh()
 	before := boottime.Now()
 	boottime.SimulateSuspend(8 * time.Second)
-	assert.Assert(t, boottime.Since(before) < time.Second, "nobody has looked")
-	for begun := time.Now(); boottime.Refresh()-known < 8*time.Second-time.Millisecond; {
-		assert.Assert(t, time.Since(begun) < maxRefreshTime, "found %v", boottime.Refresh()-known)
+	assert.Assert(t, boottime.Since(before) < time.Second, "counted before Refresh")
+	for start := time.Now(); boottime.Refresh()-known < 8*time.Second-time.Millisecond; {
+		assert.Assert(t, time.Since(start) < maxRefreshTime, "found %v", boottime.Refresh()-known)
 	}
 	assert.Assert(t, boottime.Refresh()-known <= 8*time.Second+time.Millisecond, "found %v", boottime.Refresh()-known)
 	since := boottime.Since(before)
@@ -31,8 +31,8 @@
 	assert.Assert(t, left > 59*time.Second && left <= time.Minute, "%v", left)
 }
 
-// Between two looks only a suspension counts, not the time that passes, nor a pause of the
-// process between the two readings.
+// Neither the time between two calls of Refresh nor a pause of the process between its two
+// readings may be counted as suspension.
 func TestRunningTimeIsNotCountedAsSuspension(t *testing.T) {
 	first := boottime.Refresh()
 	for range 2000 {
--- a/pkg/boottime/doc.go
+++ b/pkg/boottime/doc.go
@@ -1,13 +1,12 @@
-// Package boottime tells the time with that which the steady clock leaves out: a machine
-// may be suspended for seconds, and the runtime's steady clock stands still meanwhile.
-// After that everything that is remembered with time.Now seems as fresh as before: leases,
-// keys, loads of others.
+// Package boottime is a clock that includes the time during which the machine was
+// suspended. The runtime's monotonic clock stands still during a suspension, so that
+// afterwards everything recorded with time.Now seems as fresh as before: leases, keys,
+// loads of other nodes.
 //
-// Now is time.Now and what the machine was suspended since the program started, as far as
-// that has been found. Refresh finds it: it reads the system's clock that counts everything.
-// A step of the time of day moves neither. Whatever must not act on old knowledge looks
-// first, and whatever only keeps an age takes Now.
+// Now is time.Now plus the measured suspension since the program started. Refresh measures
+// it with CLOCK_BOOTTIME. Steps of the wall clock affect neither. Code that must not act on
+// stale data calls Refresh first; code that only records an age uses Now.
 //
-// Timers and deadlines of the runtime go by the steady clock; Monotonic turns a time of Now
-// into theirs.
+// Timers and deadlines of the runtime use the monotonic clock; Monotonic converts a time
+// of Now for them.
 package boottime
--- a/pkg/boottime/reading_test.go
+++ b/pkg/boottime/reading_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Clocks that agree but for a suspension of 8 s told 7.9999999 s in nearly each run but the
-// first: the reading itself takes time, another one at each look. What a pause hides may be
-// left out until the next look, and nothing may be found that there was not.
+// Reading the clocks takes time that differs from call to call: a suspension of 8 s was
+// measured as 7.9999999 s in nearly every run. The measured time may be too short by the
+// pauses during the readings until the next call, but never longer than the real suspension.
 func TestMeasuredSuspensionNeverExceedsTheRealOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(what string, most time.Duration) time.Duration {
@@ -25,15 +25,15 @@
 				return now + *lead, nil
 			}
 		}
-		none := time.Duration(0)
-		atStart, err := lead(read(&none), read(&ahead))
+		noLead := time.Duration(0)
+		atStart, err := lead(read(&noLead), read(&ahead))
 		assert.NilError(t, err)
-		slept := draw("slept", time.Minute)
-		ahead += slept
-		atLook, err := lead(read(&ahead), read(&none))
+		suspension := draw("slept", time.Minute)
+		ahead += suspension
+		atRefresh, err := lead(read(&ahead), read(&noLead))
 		assert.NilError(t, err)
-		found := atLook + atStart
-		assert.Assert(t, found <= slept, "%v of %v", found, slept)
-		assert.Assert(t, found >= slept-unmeasured, "%v of %v, %v open", found, slept, unmeasured)
+		measured := atRefresh + atStart
+		assert.Assert(t, measured <= suspension, "%v of %v", measured, suspension)
+		assert.Assert(t, measured >= suspension-unmeasured, "%v of %v, %v open", measured, suspension, unmeasured)
 	})
 }
--- a/pkg/http1/body.go
+++ b/pkg/http1/body.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Framing is how the end of a body is found.
+// Framing is how the end of a body is determined.
 type Framing int
 
 // Framings of bodies.
@@ -16,19 +16,19 @@
 	FramingNone Framing = iota
 	FramingLength
 	FramingChunked
-	// FramingClose: the body ends with the connection. It can't be told from
-	// one that was cut by an orderly close.
+	// FramingClose: the body ends with the connection. A body truncated by an
+	// orderly close can't be detected.
 	FramingClose
 )
 
-// Body is the body of one message. Reading it never goes past its end.
+// Body is the body of one message. It never reads past its end.
 type Body struct {
 	r           *bufio.Reader
 	framing     Framing
-	remaining   int64 // Of the length, or of the chunk.
+	remaining   int64 // Bytes left of the whole body or of the current chunk.
 	done        bool
 	err         error
-	pendingCRLF bool // A chunk has been read, so its line end is due.
+	pendingCRLF bool // The CR LF after the last chunk has not been read yet.
 }
 
 // RequestBody returns the body of a request whose head was read from r.
@@ -59,8 +59,9 @@
 	return &Body{r: r, framing: framing, remaining: n, done: framing == FramingNone}
 }
 
-// parseFraming refuses every head that two readers could frame differently:
-// both ways at once, lengths that differ, codings other than chunked.
+// parseFraming returns the framing and the length of a body. It refuses ambiguous
+// heads: those with both Content-Length and Transfer-Encoding, different lengths,
+// or codings other than chunked.
 func parseFraming(h *Head) (Framing, int64, error) {
 	chunked, length, hasLength := false, int64(0), false
 	for _, f := range h.Fields {
@@ -90,7 +91,7 @@
 	}
 }
 
-// maxLengthDigits keeps a length inside an int64.
+// maxLengthDigits makes sure that a length fits an int64.
 const maxLengthDigits = 18
 
 func parseLength(s string) (int64, bool) {
@@ -106,13 +107,13 @@
 	return n, err == nil
 }
 
-// Framing returns how the body's end is found.
+// Framing returns how the end of the body is determined.
 func (b *Body) Framing() Framing { return b.framing }
 
 // Done says whether the whole body has been read.
 func (b *Body) Done() bool { return b.done }
 
-// Read implements io.Reader; the error is ErrBodyTruncated when the connection ends
+// Read implements io.Reader; the error is ErrBodyTruncated if the connection ends
 // inside the body.
 func (b *Body) Read(p []byte) (n int, err error) {
 	if b.err != nil {
@@ -143,7 +144,8 @@
 	}
 }
 
-// readLeft reads from what is left of a length or a chunk.
+// readRemaining reads from the rest of the body or chunk; endsBody says that the
+// body ends there.
 func (b *Body) readRemaining(p []byte, endsBody bool) (int, error) {
 	if int64(len(p)) > b.remaining {
 		p = p[:b.remaining]
@@ -159,7 +161,7 @@
 	return n, nil
 }
 
-// readChunk reads from the chunk at hand, or from the next one.
+// readChunk reads from the current chunk, or from the next one if that is used up.
 func (b *Body) readChunk(p []byte) (int, error) {
 	if b.remaining == 0 {
 		if err := b.nextChunk(); err != nil {
@@ -172,8 +174,8 @@
 	return b.readRemaining(p, false)
 }
 
-// maxChunkLine bounds the line of a chunk's size, with its extensions, and each
-// trailer.
+// maxChunkLine limits the length of chunk size lines, including extensions, and of
+// trailer lines.
 const maxChunkLine = 1024
 
 func (b *Body) nextChunk() error {
@@ -201,7 +203,7 @@
 
 func isHex(s string) bool { return strings.Contains("0123456789abcdefABCDEF", s) }
 
-// skipTrailers reads on to the end of the body; trailers are dropped.
+// skipTrailers reads and drops the trailers after the last chunk.
 func (b *Body) skipTrailers() error {
 	for {
 		line, err := readLine(b.r, maxChunkLine)
@@ -224,7 +226,7 @@
 	}
 }
 
-// eofAsTruncated turns an orderly end inside a body into ErrBodyTruncated.
+// eofAsTruncated turns the end of the connection into ErrBodyTruncated.
 func eofAsTruncated(err error) error {
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrBodyTruncated
--- a/pkg/http1/conn.go
+++ b/pkg/http1/conn.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial connects to an address. A peer that acknowledges nothing for unacked
-// ends the connection: without that, one that has lost power holds a sender for
-// minutes.
+// Dial connects to an address. The connection fails if the peer does not
+// acknowledge sent data for ackTimeout: without that, a peer that has lost power
+// blocks the sender for minutes.
 func Dial(addr string, timeout, ackTimeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:   timeout,
@@ -29,9 +29,9 @@
 	return d.Dial("tcp", addr)
 }
 
-// PeerClosed says whether the peer of a TCP connection has closed it, or its own side of
-// it, or reset it. It tells so also while bytes that came before are unread, where
-// reading would not. The error says that the connection was closed here.
+// PeerClosed says whether the peer of a TCP connection has closed, half-closed or reset
+// it. Unlike a read, it also detects that while received bytes are still unread. It
+// returns an error if the connection was closed on this side.
 func PeerClosed(conn net.Conn) (closed bool, err error) {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -48,14 +48,14 @@
 	return closed, err
 }
 
-// Abort closes a connection and drops what its peer has not acknowledged: after a mere
-// close the system goes on sending that. Where there is nothing to drop the close is an
-// orderly one, which is told again if it is lost, as a reset is not.
+// Abort closes a connection and drops data that the peer has not acknowledged, which
+// the kernel would go on sending after a plain close. If there is no such data it
+// closes in an orderly way, since a lost FIN is retransmitted and a lost reset is not.
 func Abort(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok && hasUnacknowledged(tcp) {
-		_ = tcp.SetLinger(0) // A connection that has been closed has nothing to drop.
+		_ = tcp.SetLinger(0) // It fails only if the connection is already closed.
 	}
-	_ = conn.Close() // Nothing is left to be done with it.
+	_ = conn.Close() // The connection is not used any more.
 }
 
 func hasUnacknowledged(conn *net.TCPConn) bool {
@@ -65,14 +65,14 @@
 	}
 	n := 0
 	err = raw.Control(func(fd uintptr) {
-		n, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) // A socket of TCP has it.
+		n, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) // Every TCP socket supports it.
 	})
 	return err == nil && n > 0
 }
 
-// Idle says whether a connection that rests between two messages is still open
-// and has nothing to be read; it may take a byte out, so one that is not quiet
-// has to be closed.
+// Idle says whether a connection between two messages is still open and has no
+// data to read. It may consume a byte, so a connection that is not idle must be
+// closed.
 func Idle(conn net.Conn) bool {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
--- a/pkg/http1/errors.go
+++ b/pkg/http1/errors.go
@@ -2,14 +2,14 @@
 
 import "errors"
 
-// Errors of reading messages. Anything else is an error of the connection.
+// Errors of reading messages. Any other error comes from the connection.
 var (
-	// ErrMalformed says that the bytes are not a message of HTTP/1.1, or one
-	// whose end two readers could see at different places.
+	// ErrMalformed says that the message is not valid HTTP/1, or that its
+	// framing is ambiguous.
 	ErrMalformed = errors.New("malformed HTTP message")
-	// ErrHeadTooLarge says that the head is over the limit.
+	// ErrHeadTooLarge says that the head exceeds the limit.
 	ErrHeadTooLarge = errors.New("HTTP head too large")
-	// ErrBodyTooLarge says that the body is over the limit.
+	// ErrBodyTooLarge says that the body exceeds the limit.
 	ErrBodyTooLarge = errors.New("HTTP body too large")
 	// ErrBodyTruncated says that the connection ended inside a body.
 	ErrBodyTruncated = errors.New("HTTP body cut short")
--- a/pkg/http1/head.go
+++ b/pkg/http1/head.go
@@ -12,15 +12,15 @@
 
 // Head is the head of a request or of a response.
 type Head struct {
-	// Method and Target are those of a request; Target is as it was sent.
+	// Method and Target are set for requests; Target is not normalized.
 	Method string
 	Target string
-	// Status and Reason are those of a response.
+	// Status and Reason are set for responses.
 	Status int
 	Reason string
 	// Minor is the minor version of HTTP/1: 0 or 1.
 	Minor int
-	// Fields are the header lines in the order in which they came.
+	// Fields are the header lines in the order received.
 	Fields []Field
 }
 
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// Has says whether a header is there.
+// Has says whether a header is present.
 func (h *Head) Has(name string) bool {
 	for i := range h.Fields {
 		if strings.EqualFold(h.Fields[i].Name, name) {
@@ -55,15 +55,15 @@
 	return path
 }
 
-// hopByHop are headers that concern one connection only (RFC 9110, 7.6.1), and
-// those that say how a body is framed, which the writer decides anew.
+// hopByHop are the headers that apply to one connection only (RFC 9110, 7.6.1), and
+// those for the framing of the body, which the writer sets itself.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// EndToEnd returns the header lines that are passed on: all but those that
-// concern one connection only or that Connection names.
+// EndToEnd returns the header lines to forward: all but the hop-by-hop headers and
+// those named by Connection.
 func (h *Head) EndToEnd() []Field {
 	connectionNamed := h.connectionTokens()
 	list := make([]Field, 0, len(h.Fields)+extraFields)
@@ -75,7 +75,7 @@
 	return list
 }
 
-// extraFields is room for the headers that a forwarder adds.
+// extraFields is spare capacity for the headers that a proxy adds.
 const extraFields = 8
 
 func (h *Head) connectionTokens() []string {
@@ -91,7 +91,7 @@
 	return tokens
 }
 
-// Close says whether the sender ends the connection after this message.
+// Close says whether the sender closes the connection after this message.
 func (h *Head) Close() bool {
 	tokens := h.connectionTokens()
 	if h.Minor == 0 {
--- a/pkg/http1/read.go
+++ b/pkg/http1/read.go
@@ -51,8 +51,8 @@
 	return h, err
 }
 
-// readStartLine reads the first line, after at most one empty one, which some
-// senders leave behind a body (RFC 9112, 2.2).
+// readStartLine reads the first line. It skips one empty line before it, as some
+// senders put one after a body (RFC 9112, 2.2).
 func readStartLine(r *bufio.Reader, limit int) (line string, remaining int, err error) {
 	for range 2 {
 		line, err = readLine(r, limit)
--- a/pkg/http1/read_test.go
+++ b/pkg/http1/read_test.go
@@ -196,8 +196,8 @@
 	assert.Equal(t, b.Framing(), FramingClose)
 }
 
-// Whatever is accepted says the same when it is written and read again, and no
-// body is read past its end.
+// An accepted request must be unchanged after it is written and read again, and its
+// body must not be read past its end.
 func FuzzRequest(f *testing.F) {
 	for _, seed := range []string{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -238,7 +238,7 @@
 	})
 }
 
-// No answer, however odd, is read without an end or an error.
+// Reading any response must end with a complete body or an expected error.
 func FuzzResponse(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
--- a/pkg/http1/write.go
+++ b/pkg/http1/write.go
@@ -5,12 +5,12 @@
 	"strconv"
 )
 
-// NoLength stands for a body without a length: chunks for a response, none for
-// a request.
+// NoLength as a body length means a chunked body for a response, and no body for a
+// request.
 const NoLength = -1
 
-// AppendRequest appends the head of a request with a body of n bytes, or
-// without one if n is NoLength.
+// AppendRequest appends the head of a request with a body of bodyLen bytes, or
+// without a body if that is NoLength.
 func AppendRequest(b []byte, method, target string, fields []Field, bodyLen int) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -23,8 +23,9 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendResponse appends the head of a response with a body of n bytes, or in
-// chunks if n is NoLength; last announces that the connection ends after it.
+// AppendResponse appends the head of a response with a body of bodyLen bytes, or a
+// chunked body if that is NoLength. closeAfter announces that the connection is
+// closed after it.
 func AppendResponse(b []byte, status int, fields []Field, bodyLen int, closeAfter bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -68,11 +69,11 @@
 	return append(b, "\r\n"...)
 }
 
-// LastChunk ends a body in chunks.
+// LastChunk ends a chunked body.
 const LastChunk = "0\r\n\r\n"
 
 // AppendUntilCloseResponse appends the head of a response whose body ends with the
-// connection, for clients of HTTP/1.0.
+// connection, for HTTP/1.0 clients.
 func AppendUntilCloseResponse(b []byte, status int, fields []Field) []byte {
 	b = append(b, "HTTP/1.0 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
--- a/pkg/httpjson/client.go
+++ b/pkg/httpjson/client.go
@@ -16,22 +16,24 @@
 
 const (
 	dialTimeout = time.Second
-	// ackTimeout ends a connection whose server acknowledges nothing.
+	// ackTimeout is how long sent data may stay unacknowledged before the
+	// connection fails.
 	ackTimeout      = 1200 * time.Millisecond
 	maxConns        = 512
 	idleConnTimeout = 5 * time.Second
 	maxResponseBody = 64 << 20
-	// idleClosedRetries is how often a call is begun anew where its connection had been closed at
-	// rest. Each time all that rest are closed; those of calls that end meanwhile come back.
+	// idleClosedRetries is how often a call is retried if the server had closed its connection
+	// while idle. Each retry first closes all idle connections, but calls that end meanwhile
+	// can put further closed ones back into the pool.
 	idleClosedRetries = 3
 	contentType       = "application/json"
 )
 
-// Client calls one server; it never repeats a call by itself.
+// Client calls one server. It never repeats a call of which a byte may have been sent.
 type Client struct {
 	addr      string
 	http      *fasthttp.HostClient
-	lastLarge atomic.Pointer[time.Time] // When a large answer last began.
+	lastLarge atomic.Pointer[time.Time] // When an answer last reached largeResponseBytes.
 }
 
 // NewClient returns a client of the server at addr.
@@ -50,13 +52,14 @@
 			}
 			return &progressConn{Conn: conn, client: c}, nil
 		},
-		// Whether a call may be repeated is the caller's decision.
+		// Only the caller knows whether a call may be repeated.
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 	return c
 }
 
-// LastLargeResponse is when a large answer last began to come in, zero if none has.
+// LastLargeResponse returns when the last large answer was recognised as such, zero if
+// there was none.
 func (c *Client) LastLargeResponse() time.Time {
 	if at := c.lastLarge.Load(); at != nil {
 		return *at
@@ -64,14 +67,15 @@
 	return time.Time{}
 }
 
-// Call sends in as JSON, unless it is nil, and decodes the answer into out,
-// unless it is nil; the answer must begin by the context's deadline. The error is
-// a *StatusError for an answer other than 2xx and a *CallError when there was none.
+// Call sends in as JSON, unless it is nil, and decodes the answer into out, unless
+// it is nil. The answer must begin by the context's deadline. The error is a
+// *StatusError for a status other than 2xx, and a *CallError if there was no usable
+// answer.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	return c.CallWith(ctx, method, path, nil, in, out)
 }
 
-// CallWith is Call with further headers.
+// CallWith is Call with additional headers.
 func (c *Client) CallWith(ctx context.Context, method, path string, header map[string]string, in, out any) error {
 	req := fasthttp.AcquireRequest()
 	resp := fasthttp.AcquireResponse()
@@ -111,8 +115,8 @@
 	return nil
 }
 
-// Do sends a request; its answer must begin by the context's deadline, and goes on
-// while its bytes keep coming. Errors are as for Call.
+// Do sends a request. Its answer must begin by the context's deadline, and may then
+// go on as long as bytes keep arriving. Errors are as for Call.
 func (c *Client) Do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
 	path := string(req.URI().Path())
 	if err := ctx.Err(); err != nil {
@@ -123,14 +127,14 @@
 		if !errors.Is(err, errClosedWhileIdle) {
 			break
 		}
-		c.http.CloseIdleConnections() // The others are likely closed as well.
+		c.http.CloseIdleConnections() // They are probably closed as well.
 		err = c.do(ctx, req, resp)
 	}
 	if err != nil {
 		callErr := &CallError{Path: path, NotSent: neverSent(err), Err: err}
 		if !callErr.NotSent && timedOut(err) {
-			// The path may have lost what was open on it: each connection that
-			// rests would cost a call its limit.
+			// All open connections may be dead, for example after a network failure.
+			// If kept, each idle one would make another call time out.
 			c.http.CloseIdleConnections()
 		}
 		return callErr
@@ -151,13 +155,13 @@
 // Close drops idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// timedOut says whether a server did not answer, or acknowledge, in time.
+// timedOut says whether the server did not answer or acknowledge in time.
 func timedOut(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// neverSent says whether no byte of the request can have left.
+// neverSent says whether it is certain that no byte of the request was sent.
 func neverSent(err error) bool {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/pkg/httpjson/doc.go
+++ b/pkg/httpjson/doc.go
@@ -1,2 +1,2 @@
-// Package httpjson makes JSON calls over HTTP to the platform and to upstreams.
+// Package httpjson makes JSON calls over HTTP to platform services and upstreams.
 package httpjson
--- a/pkg/httpjson/errors.go
+++ b/pkg/httpjson/errors.go
@@ -5,33 +5,33 @@
 	"fmt"
 )
 
-// StatusError is an answer other than 2xx.
+// StatusError is an answer with a status other than 2xx.
 type StatusError struct {
 	Path string
 	Code int
 	Body []byte
 }
 
-// Error gives path, status code and body.
+// Error returns path, status code and the beginning of the body.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("%s: status %d: %.200s", e.Path, e.Code, e.Body)
 }
 
-// CallError is a call that brought no usable answer.
+// CallError is a call without a usable answer.
 type CallError struct {
 	Path string
-	// NotSent says that no byte of the request can have reached the server.
+	// NotSent says that no byte of the request reached the server.
 	NotSent bool
 	Err     error
 }
 
-// Error gives path and cause.
+// Error returns path and cause.
 func (e *CallError) Error() string { return fmt.Sprintf("%s: %v", e.Path, e.Err) }
 
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// NotSent says whether err shows that the request never reached the server.
+// NotSent says whether err is a *CallError whose request never reached the server.
 func NotSent(err error) bool {
 	var call *CallError
 	return errors.As(err, &call) && call.NotSent
--- a/pkg/httpjson/idle_close_test.go
+++ b/pkg/httpjson/idle_close_test.go
@@ -12,14 +12,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// A server ended while connections to it rested, and the next calls were sent on those:
-// "write: broken pipe". That was taken for calls that may have run, and for a server that
-// ended under them, although it had ended long before: callers got 502 for prompts that no
-// engine had begun, and the prompts were suspected.
+// A server ended while connections to it were idle, and the next calls were sent on
+// these and failed with "write: broken pipe". They were taken for calls that may have run
+// and ended the server: callers got 502 for prompts that no engine had started, and the
+// prompts were suspected.
 func TestCallIsNotSentOnAConnectionClosedByTheServer(t *testing.T) {
 	const (
 		idleConns = 5
-		largeBody = 1 << 20 // More than goes out in one write.
+		largeBody = 1 << 20 // More than one write.
 		timeout   = 5 * time.Second
 	)
 	for name, serverEnds := range map[string]bool{"its connections are closed": false, "the server ends": true} {
@@ -43,7 +43,7 @@
 			} else {
 				server.CloseClientConnections()
 			}
-			time.Sleep(50 * time.Millisecond) // The close is on its way.
+			time.Sleep(50 * time.Millisecond) // Let the close arrive.
 			for range idleConns + 1 {
 				err := call("/", strings.Repeat("x", largeBody))
 				if !serverEnds {
--- a/pkg/httpjson/progress_conn.go
+++ b/pkg/httpjson/progress_conn.go
@@ -10,38 +10,40 @@
 )
 
 const (
-	// maxReadPause is the longest pause within an answer that has begun. A link of
-	// 10 Mbit/s that carries a burst of 0.5 MB besides pauses for 0.4 s.
+	// maxReadPause is the longest allowed pause within an answer. An answer pauses
+	// for 0.4 s while a link of 10 Mbit/s carries another burst of 0.5 MB.
 	maxReadPause = 700 * time.Millisecond
-	// maxOverrun is how much longer than the caller's limit an answer may take
-	// in all: 5 MB at 10 Mbit/s. It is well under the time that a stop has.
+	// maxOverrun is how long after the deadline an answer may end: the time of 5 MB
+	// at 10 Mbit/s. It is well below the time allowed for a shutdown.
 	maxOverrun = 4 * time.Second
 )
 
-// largeResponseBytes is from how many bytes on an answer is taken to be a large one: 50 ms of a
+// largeResponseBytes is the size from which an answer counts as large: 50 ms on a
 // link of 10 Mbit/s.
 const largeResponseBytes = 64 << 10
 
-// progressConn takes a call's limit as the time by which its answer must begin: the
-// answer then goes on as long as its bytes keep coming. A limit of the whole call
-// would have a large answer over a narrow link begin again and again, and never
-// arrive: 2 MB take 1.6 s at 10 Mbit/s.
+// progressConn applies a call's deadline to the beginning of its answer, which may
+// then go on as long as bytes keep arriving. With a deadline for the whole call, a
+// large answer over a slow link would be retried again and again and never complete:
+// 2 MB take 1.6 s at 10 Mbit/s.
 type progressConn struct {
 	net.Conn
 	client   *Client
-	deadline time.Time // Zero without a limit.
-	received int       // Bytes of this answer.
-	// idle says that it has answered before and nothing has been sent since.
+	deadline time.Time // Zero if there is none.
+	received int       // Bytes received of this answer.
+	// idle is set by reads and cleared by writes: a write to an idle connection
+	// begins a new call.
 	idle bool
 }
 
-// errClosedWhileIdle is a connection that its server had closed before anything of the call
-// was sent on it.
+// errClosedWhileIdle says that the server had closed the connection before anything
+// of the call was sent on it.
 var errClosedWhileIdle = errors.New("connection was closed while it rested")
 
-// Write implements net.Conn. Sent on a connection that its server has closed, a call would
-// seem to have been lost underway: prompts were answered 502 that no engine had begun, and
-// engines that had ended before were counted as ended under them.
+// Write implements net.Conn. It first checks whether the server has closed an idle
+// connection: a call sent on it would fail as if it might have run. Prompts that no
+// engine had started got status 502, and engines that had ended earlier were counted
+// as ended while running them.
 func (c *progressConn) Write(b []byte) (int, error) {
 	if c.idle {
 		if closed, err := http1.PeerClosed(c.Conn); closed || err != nil {
@@ -67,8 +69,8 @@
 	}
 	now := time.Now()
 	if c.received < largeResponseBytes && c.received+n >= largeResponseBytes {
-		startedAt := boottime.Now()
-		c.client.lastLarge.Store(&startedAt)
+		reachedAt := boottime.Now()
+		c.client.lastLarge.Store(&reachedAt)
 	}
 	c.received += n
 	readDeadline := now.Add(maxReadPause)
--- a/pkg/httpjson/progress_conn_test.go
+++ b/pkg/httpjson/progress_conn_test.go
@@ -12,16 +12,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// A store told a table of 2 MB over a link of 10 Mbit/s, which takes 1.6 s; calls
-// ended after 1.5 s in all, so that the table was begun again and again. What
-// settled it: calls of such nodes failed with "timeout" while the bytes that they had
-// read showed the whole table several times over.
+// An answer of 2 MB takes 1.6 s over a link of 10 Mbit/s. With a limit of 1.5 s for the
+// whole call it timed out and was started again and again, although bytes kept arriving.
 func TestSlowAnswerIsReadToItsEndWhileBytesArrive(t *testing.T) {
 	const limit = 100 * time.Millisecond
 	pause := make(chan time.Duration, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d := <-pause
-		_, _ = w.Write([]byte(`"`)) // A caller that has gone needs none.
+		_, _ = w.Write([]byte(`"`)) // The caller may have gone.
 		for range 6 {
 			w.(http.Flusher).Flush()
 			select {
@@ -42,7 +40,7 @@
 		err = c.Call(ctx, http.MethodGet, "/", nil, &got)
 		return got, err
 	}
-	pause <- limit / 2 // Three times the limit in all.
+	pause <- limit / 2 // Three times the limit in total.
 	got, err := call()
 	assert.NilError(t, err)
 	assert.Equal(t, len(got), 6000)
@@ -50,7 +48,7 @@
 	start := time.Now()
 	_, err = call()
 	assert.ErrorContains(t, err, "timeout")
-	assert.Assert(t, time.Since(start) < 2*maxReadPause, "silence within an answer ends it")
+	assert.Assert(t, time.Since(start) < 2*maxReadPause, "a call must end after a long pause within its answer")
 }
 
 func TestAnswerThatDoesNotStartByTheDeadlineTimesOut(t *testing.T) {
--- a/pkg/httpjson/silent_path_test.go
+++ b/pkg/httpjson/silent_path_test.go
@@ -14,8 +14,8 @@
 	"github.com/drumpath/drumpath/internal/netproxy"
 )
 
-// newBarrierServer answers calls of /together only once there are as many, so that each has
-// a connection of its own.
+// newBarrierServer answers calls to /together only once the given number of them is
+// open, so that each has its own connection.
 func newBarrierServer(calls int) *httptest.Server {
 	var barrier sync.WaitGroup
 	barrier.Add(calls)
@@ -27,16 +27,15 @@
 	}))
 }
 
-// The path to a server lost what was on its open connections, without a reset. The
-// call that found out closed its connection, but each other one that rested cost the
-// next call its whole limit again: with five at rest, five writes in a row failed and
-// the sixth was answered. What settled it: time-outs one after the other while new
-// connections to the same server were answered at once.
+// All open connections to a server went silent without a reset. The call that timed out
+// closed only its own connection, so each further idle one made another call time out:
+// with five idle connections five calls failed in a row, although new connections were
+// answered at once.
 func TestSilentPathTimesOutOnlyOneCall(t *testing.T) {
 	const (
 		limit     = 200 * time.Millisecond
 		idleConns = 5
-		slack     = time.Second // For a machine that has other things to do.
+		slack     = time.Second // For a busy machine.
 	)
 	for name, silenced := range map[string][2]bool{"to": {true, false}, "from": {false, true}, "both": {true, true}} {
 		t.Run(name, func(t *testing.T) {
@@ -63,7 +62,7 @@
 			assert.ErrorContains(t, call("/", limit), "timeout")
 			assert.Assert(t, time.Since(start) < limit+slack, "%v", time.Since(start))
 			for range idleConns {
-				assert.NilError(t, call("/", slack), "another silent connection was used")
+				assert.NilError(t, call("/", slack), "a silent connection was reused")
 			}
 			assert.Equal(t, proxy.Open(), 1)
 		})
--- a/pkg/load/doc.go
+++ b/pkg/load/doc.go
@@ -1,3 +1,3 @@
-// Package load puts an open-loop load of returning prompts on a running system
-// and reports what its callers saw.
+// Package load generates an open-loop load with recurring prompts on a running
+// system and reports the results as its callers see them.
 package load
--- a/pkg/load/entries.go
+++ b/pkg/load/entries.go
@@ -11,18 +11,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// entryCache asks the system which address to use, and keeps the answer for as
-// long as it may.
+// entryCache asks the system which entry addresses to use, and caches the answer
+// for the time that the answer allows.
 type entryCache struct {
 	client *http.Client
 	seeds  []netip.AddrPort
 
 	mu          sync.Mutex
 	byKey       map[string]*entryList
-	failedUntil map[netip.AddrPort]time.Time // Addresses that failed, until when to go round them.
+	failedUntil map[netip.AddrPort]time.Time // When failed addresses may be used again.
 }
 
-// failedEntryCooldown is how long a caller goes round an address that did not answer.
+// failedEntryCooldown is how long an address that did not answer is avoided.
 const failedEntryCooldown = 3 * time.Second
 
 type entryList struct {
@@ -35,8 +35,8 @@
 	return &entryCache{client: client, seeds: seeds, byKey: map[string]*entryList{}, failedUntil: map[netip.AddrPort]time.Time{}}
 }
 
-// get returns the address that a caller with this key should use now. Callers
-// of one organisation take turns over the addresses they were given.
+// get returns the address to use for the next request with this API key. The
+// requests of one organisation go round-robin over its addresses.
 func (c *entryCache) get(ctx context.Context, key string) (netip.AddrPort, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +58,7 @@
 	return e.addrs[e.next%len(e.addrs)], nil
 }
 
-// markFailed notes an address that did not answer, so that the next one is used.
+// markFailed records that an address did not answer, so that others are used.
 func (c *entryCache) markFailed(addr netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,9 +67,9 @@
 
 const fetchTimeout = 2 * time.Second
 
-// fetch asks the first address that answers.
+// fetch gets the entry addresses from the first seed that answers.
 func (c *entryCache) fetch(ctx context.Context, key string) (*entryList, error) {
-	err := eris.New("no entry addresses")
+	err := eris.New("no usable entry addresses")
 	for _, addr := range c.seeds {
 		if !time.Now().After(c.failedUntil[addr]) {
 			continue
@@ -112,7 +112,7 @@
 		e.addrs = append(e.addrs, entry.Address)
 	}
 	if len(e.addrs) == 0 {
-		return nil, eris.Errorf("%s named no address", addr)
+		return nil, eris.Errorf("%s returned no entry addresses", addr)
 	}
 	return e, nil
 }
--- a/pkg/load/profile.go
+++ b/pkg/load/profile.go
@@ -18,37 +18,37 @@
 type Profile struct {
 	Name string `json:"name"`
 	Seed uint64 `json:"seed"`
-	// Rate is the mean number of requests a second; arrivals don't wait for
-	// answers.
+	// Rate is the mean number of requests per second. Requests don't wait for
+	// earlier answers.
 	Rate     float64         `json:"rate"`
 	Duration config.Duration `json:"duration"`
-	// Warm is how much of the beginning is not counted.
+	// Warm is the length of the warm-up, whose requests are not counted.
 	Warm      config.Duration `json:"warm"`
 	Model     string          `json:"model"`
 	MaxTokens int             `json:"max_tokens"`
-	// Deadline counts for goodput; with SendDeadline it is also told to the
-	// system.
+	// Deadline is the limit of the first token for goodput. With SendDeadline it
+	// is also sent to the system.
 	Deadline      config.Duration `json:"deadline"`
 	SendDeadline  bool            `json:"send_deadline"`
 	Organisations []Organisation  `json:"organisations"`
-	// Prompts is how many long texts return, SharedBytes how long each is, and
-	// OwnBytes how long the part is that each request has for itself.
+	// Prompts is the number of recurring prompts, SharedBytes the length of each,
+	// and OwnBytes the length of the unique suffix of each request.
 	Prompts     int `json:"prompts"`
 	SharedBytes int `json:"shared_bytes"`
 	OwnBytes    int `json:"own_bytes"`
-	// HotShare of the requests are for one single prompt.
+	// HotShare is the share of the requests that use one and the same prompt.
 	HotShare float64 `json:"hot_share"`
 	Burst    *Burst  `json:"burst"`
 }
 
-// Organisation is one caller of a load.
+// Organisation is one of the customers that send the requests.
 type Organisation struct {
 	Name   string  `json:"name"`
 	Key    string  `json:"key"`
-	Weight float64 `json:"weight"` // Of its share of the requests.
+	Weight float64 `json:"weight"` // Share of the requests, relative to the others.
 }
 
-// Burst is a time of a higher rate.
+// Burst is a period with a higher rate.
 type Burst struct {
 	At     config.Duration `json:"at"`
 	Length config.Duration `json:"length"`
@@ -75,20 +75,20 @@
 func (p *Profile) validate() error {
 	switch {
 	case p.Rate <= 0:
-		return eris.New("rate: more than 0 is wanted")
+		return eris.New("rate must be greater than 0")
 	case p.Duration <= p.Warm:
-		return eris.New("duration: more than warm is wanted")
+		return eris.New("duration must be greater than warm")
 	case p.Model == "" || p.MaxTokens < 1:
-		return eris.New("model and max_tokens are wanted")
+		return eris.New("model and max_tokens are required")
 	case len(p.Organisations) == 0:
-		return eris.New("organisations: at least one is wanted")
+		return eris.New("organisations must not be empty")
 	case p.Prompts < 1 || p.SharedBytes < 1:
-		return eris.New("prompts and shared_bytes: at least 1 is wanted")
+		return eris.New("prompts and shared_bytes must be at least 1")
 	}
 	return nil
 }
 
-// arrival is one request of a load.
+// arrival is one scheduled request.
 type arrival struct {
 	at           time.Duration
 	organisation *Organisation
@@ -96,7 +96,7 @@
 	seq          int
 }
 
-// schedule lays out all arrivals; the same profile gives the same ones.
+// schedule returns all requests of the profile; it is deterministic.
 func (p *Profile) schedule() []arrival {
 	rng := rand.New(rand.NewPCG(p.Seed, 0))
 	total := 0.0
@@ -118,7 +118,8 @@
 			a.prompt = 0
 		}
 		pick := rng.Float64() * total
-		// A prompt belongs to one organisation, so that it can return.
+		// A prompt always belongs to the same organisation, so that it recurs within
+		// one scope.
 		if a.prompt > 0 {
 			pick = rand.New(rand.NewPCG(p.Seed, uint64(a.prompt))).Float64() * total
 		}
@@ -135,7 +136,8 @@
 	}
 }
 
-// promptText is the prompt of an arrival: the part that returns, then its own.
+// promptText returns the prompt of a request: the recurring part, then the unique
+// suffix.
 func (p *Profile) promptText(a arrival) string {
 	var b strings.Builder
 	b.Grow(p.SharedBytes + p.OwnBytes)
@@ -144,7 +146,7 @@
 	return b.String()
 }
 
-// appendWords fills up to a length with words that a seed gives.
+// appendWords fills b up to a length with pseudo-random words.
 func appendWords(b *strings.Builder, seed, stream uint64, length int) {
 	rng := rand.New(rand.NewPCG(seed, stream))
 	for b.Len() < length {
--- a/pkg/load/report.go
+++ b/pkg/load/report.go
@@ -8,21 +8,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what the callers of a load saw.
+// Report is the result of a load as its callers see it.
 type Report struct {
 	Profile  string  `json:"profile"`
-	Seconds  float64 `json:"seconds"` // Counted.
+	Seconds  float64 `json:"seconds"` // Without the warm-up.
 	Sent     int     `json:"sent"`
 	Answered int     `json:"answered"`
-	// Retries is how often a request was sent another time.
+	// Retries is the number of repeated requests.
 	Retries int `json:"again"`
-	// Refused are those told not_run.
+	// Refused counts errors that say not_run.
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 	Unknown int `json:"outcome_unknown"`
-	// Wrong are answers that are not the right one for their request.
+	// Wrong counts answers whose text is not the expected one.
 	Wrong int `json:"wrong"`
-	// Lost are requests without a final answer.
+	// Lost counts requests without a final answer.
 	Lost             int     `json:"lost"`
 	InDeadline       int     `json:"in_deadline"`
 	FirstTokenP50    float64 `json:"first_token_p50_ms"`
@@ -30,7 +30,8 @@
 	FirstTokenP99    float64 `json:"first_token_p99_ms"`
 	BetweenTokensP95 float64 `json:"between_tokens_p95_ms"`
 	RecomputedShare  float64 `json:"recomputed_share"`
-	// Fairness is the worst organisation's 95th percentile over the median's.
+	// Fairness is the first-token p95 of the worst organisation divided by that of
+	// the median organisation.
 	Fairness      float64            `json:"fairness"`
 	Organisations map[string]float64 `json:"first_token_p95_ms_by_organisation"`
 	Sources       map[string]int     `json:"sources"`
@@ -47,7 +48,7 @@
 	return hdrhistogram.New(1, histogramMax, histogramDigits)
 }
 
-// tally gathers results as they come.
+// tally collects the results of requests.
 type tally struct {
 	mu               sync.Mutex
 	report           Report
@@ -56,7 +57,7 @@
 	firstTokenByOrg  map[string]*hdrhistogram.Histogram
 	promptTokens     int
 	recomputedTokens int
-	finished         int // Whether counted or not.
+	finished         int // All requests that have ended, including the warm-up.
 }
 
 func newTally(name string) *tally {
@@ -69,10 +70,10 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(histogramMax, max(1, d.Microseconds()))) // It is within the range.
+	_ = h.RecordValue(min(histogramMax, max(1, d.Microseconds()))) // The value is always in range.
 }
 
-// finish works out the figures that need all results.
+// finish computes the figures that need all results.
 func (t *tally) finish(counted time.Duration) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/load/run.go
+++ b/pkg/load/run.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// answerTimeout is how long a caller waits before its request counts as lost.
+	// answerTimeout is the time after which a request without an answer is lost.
 	answerTimeout = 60 * time.Second
 	maxIdleConns  = 1024
 )
 
-// Options say how a load is put on.
+// Options configure Run.
 type Options struct {
-	// Entries are addresses to ask first which addresses to use.
+	// Entries are the addresses from which to get the list of entry addresses.
 	Entries []netip.AddrPort
-	// Verify returns the right answer to a prompt, nil to verify nothing.
+	// Verify returns the expected answer to a prompt; if nil, answers are not
+	// verified.
 	Verify func(text string, tokens int) string
-	// Attempts is how often a caller sends a request at most, when it was
-	// refused with not_run or its node died; 0 stands for once. It waits for as
-	// long as it was told.
+	// Attempts is the maximum number of attempts of a request that was refused
+	// with not_run or whose node died; 0 means one. Before each retry the caller
+	// waits for as long as the answer asked.
 	Attempts int
-	// Observe is called with each answer that came and its time since the load's
-	// start; it may be nil.
+	// Observe is called with each complete answer and the time since the start of
+	// the load; it may be nil.
 	Observe func(since time.Duration, s StreamResult)
 	// Progress is called about once a second.
 	Progress func(Progress)
-	// OnTick is called when the load has run for some time; it may be nil.
+	// OnTick is called about once a second; it may be nil.
 	OnTick func(since time.Duration)
 }
 
-// Progress is how far a load has come.
+// Progress is the state of a running load.
 type Progress struct {
 	Since   time.Duration
 	Sent    int
@@ -45,7 +46,7 @@
 	Wrong   int
 }
 
-// runner puts one load on.
+// runner runs one load.
 type runner struct {
 	profile *Profile
 	opts    Options
@@ -55,7 +56,7 @@
 	start   time.Time
 }
 
-// Run puts a load on and waits for its last answer.
+// Run sends the requests of a profile and waits for the last answer.
 func Run(ctx context.Context, p Profile, opts Options) (r Report, err error) {
 	if err := p.validate(); err != nil {
 		return r, err
@@ -95,7 +96,7 @@
 	callbacks.Wait()
 }
 
-// runCallbacks calls the options' callbacks as time goes on.
+// runCallbacks calls OnTick and Progress once a second until done is closed.
 func (r *runner) runCallbacks(done <-chan struct{}) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
@@ -122,7 +123,7 @@
 	return Progress{Since: since, Sent: rep.Sent, Done: r.tally.finished, Refused: rep.Refused, Wrong: rep.Wrong}
 }
 
-// requestBody is the body of a completion.
+// requestBody is the body of a completion request.
 type requestBody struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -130,7 +131,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// sendWithRetries sends one request and tallies its end.
+// sendWithRetries sends one request, with retries, and records its result.
 func (r *runner) sendWithRetries(ctx context.Context, a arrival) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
@@ -155,7 +156,8 @@
 
 const minRetryWait = 100 * time.Millisecond
 
-// waitBeforeRetry waits before the next attempt, for as long as the answer asked.
+// waitBeforeRetry waits for as long as the last answer asked, at least
+// minRetryWait.
 func (r *runner) waitBeforeRetry(ctx context.Context, err error) {
 	wait := minRetryWait
 	var answer *AnswerError
@@ -206,7 +208,7 @@
 	return ReadStream(resp, start)
 }
 
-// recordResult tallies one request that came after the warm-up.
+// recordResult records the result of a request after the warm-up.
 func (r *runner) recordResult(a arrival, text string, s StreamResult, err error) {
 	t := r.tally
 	wrong := err == nil && r.opts.Verify != nil && s.Text != r.opts.Verify(text, r.profile.MaxTokens)
@@ -238,7 +240,7 @@
 	}
 }
 
-// countError tallies a request that was not answered; the caller holds mu.
+// countError records a request that failed; the caller holds mu.
 func (t *tally) countError(err error) {
 	var answer *AnswerError
 	if !errors.As(err, &answer) {
--- a/pkg/load/stream.go
+++ b/pkg/load/stream.go
@@ -10,18 +10,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// StreamResult is what a caller saw of one streamed answer.
+// StreamResult is one streamed answer with its timing.
 type StreamResult struct {
 	Text         string
-	FirstToken   time.Duration // To the first token.
+	FirstToken   time.Duration // Time to the first token.
 	LastToken    time.Duration
 	Tokens       int
-	PromptTokens int // Tokens.
-	CachedTokens int // Tokens.
+	PromptTokens int
+	CachedTokens int
 	Source       string
 }
 
-// streamChunk is the part of an answer's chunk that is read.
+// streamChunk has the fields used from a chunk of the answer.
 type streamChunk struct {
 	Choices []struct {
 		Text string `json:"text"`
@@ -44,13 +44,13 @@
 	RetryAfterMillis int64  `json:"retry_after_ms"`
 }
 
-// Error gives code, certainty and message.
+// Error returns code, not_run status and message.
 func (e *AnswerError) Error() string { return e.Code + " (" + e.Ran + "): " + e.Message }
 
 const maxStreamLine = 1 << 20
 
-// ReadStream reads a streamed answer to its end; an answer without its end mark
-// is an error.
+// ReadStream reads a streamed answer to its end. An answer without the final
+// [DONE] is an error.
 func ReadStream(resp *http.Response, start time.Time) (s StreamResult, err error) {
 	if resp.StatusCode != http.StatusOK {
 		return s, readError(resp)
@@ -81,7 +81,7 @@
 		return s, err
 	}
 	if !complete {
-		return s, eris.New("the answer was cut without an error")
+		return s, eris.New("answer ended without [DONE]")
 	}
 	s.Text = text.String()
 	return s, nil
@@ -97,7 +97,7 @@
 	return body.Error
 }
 
-// addChunk adds a chunk that came after some time.
+// addChunk adds a chunk that arrived the given time after the start.
 func (s *StreamResult) addChunk(c streamChunk, text *strings.Builder, after time.Duration) {
 	for _, ch := range c.Choices {
 		if ch.Text == "" {
--- a/pkg/prompt/directory.go
+++ b/pkg/prompt/directory.go
@@ -27,8 +27,8 @@
 type entry struct {
 	lastSeen    uint32 // In ticks since Directory.start.
 	meanGap     uint32 // Mean time between occurrences, in ticks.
-	count       uint16
-	hasOverflow bool // The locations are in Directory.overflow.
+	count       uint16 // Occurrences.
+	hasOverflow bool   // The locations are in Directory.overflow.
 	locations   [inlineLocations]locationID
 }
 
@@ -250,8 +250,8 @@
 
 // prune drops the references of an entry to locations that have been removed.
 func (d *Directory) prune(k Key, e entry) entry {
-	gone := func(r locationID) bool {
-		_, live := d.locations[r]
+	gone := func(id locationID) bool {
+		_, live := d.locations[id]
 		return !live
 	}
 	ids := d.locationIDs(k, e)
--- a/pkg/tablestore/breaker.go
+++ b/pkg/tablestore/breaker.go
@@ -16,12 +16,12 @@
 	breakerMaxWait  = 5 * time.Second
 )
 
-// Breaker stops calls to a service that does not answer, and lets single calls
-// through after growing, jittered waits.
+// Breaker is a circuit breaker: it stops calls to a service that does not answer, and
+// allows single calls after increasing, jittered waits.
 type Breaker struct {
 	mu       sync.Mutex
 	failures int
-	until    time.Time
+	retryAt  time.Time
 	waits    *backoff.ExponentialBackOff
 }
 
@@ -33,30 +33,30 @@
 	return &Breaker{waits: waits}
 }
 
-// Allow says whether a call may be made now; once the wait has passed it lets
-// one call through and starts the next wait.
+// Allow says whether a call may be made now. Once the wait has passed it allows one
+// call and starts the next wait.
 func (b *Breaker) Allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.failures < breakerFailures {
 		return true
 	}
-	if now.Before(b.until) {
+	if now.Before(b.retryAt) {
 		return false
 	}
-	b.until = now.Add(b.waits.NextBackOff())
+	b.retryAt = now.Add(b.waits.NextBackOff())
 	return true
 }
 
-// Open says whether calls are being stopped.
+// Open says whether calls are currently stopped.
 func (b *Breaker) Open(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.failures >= breakerFailures && now.Before(b.until)
+	return b.failures >= breakerFailures && now.Before(b.retryAt)
 }
 
-// Done records how a call ended; an answer of any status below 500 counts as
-// the service being there.
+// Done records the result of a call. Any answer with a status below 500 shows that
+// the service is available.
 func (b *Breaker) Done(err error, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,6 +68,6 @@
 	}
 	b.failures++
 	if b.failures == breakerFailures {
-		b.until = now.Add(b.waits.NextBackOff())
+		b.retryAt = now.Add(b.waits.NextBackOff())
 	}
 }
--- a/pkg/tablestore/objects.go
+++ b/pkg/tablestore/objects.go
@@ -11,7 +11,7 @@
 	"github.com/drumpath/drumpath/pkg/httpjson"
 )
 
-// PathObjects is where the object store serves objects, by name.
+// PathObjects is the path prefix of objects; the name follows.
 const PathObjects = "/v1/objects/"
 
 // Objects is a client of the object store.
@@ -33,7 +33,7 @@
 	return o.http.Call(ctx, http.MethodPut, PathObjects+name, v, nil)
 }
 
-// Get reads the JSON object of a name into v; the error wraps ErrNotFound if
+// Get reads the JSON object with a name into v; the error wraps ErrNotFound if
 // there is none.
 func (o *Objects) Get(ctx context.Context, name string, v any) (err error) {
 	defer func() { err = eris.Wrapf(err, "get object %s", name) }()
--- a/pkg/tablestore/row.go
+++ b/pkg/tablestore/row.go
@@ -3,12 +3,12 @@
 // Row is one row of the table service.
 type Row struct {
 	Key string `json:"key"`
-	// Version rises by one with each write; 0 stands for an absent row.
+	// Version is incremented by each write; 0 means that the row does not exist.
 	Version uint64 `json:"version"`
 	Value   []byte `json:"value,omitempty"`
 }
 
-// Condition is a version that a row must have for a transaction to commit.
+// Condition is the version that a row must have for a transaction to commit.
 type Condition struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -26,7 +26,7 @@
 	Puts       []Put       `json:"puts"`
 }
 
-// ConflictError says which rows kept a transaction from committing.
+// ConflictError has the rows whose conditions did not hold.
 type ConflictError struct {
 	Rows []Row `json:"rows"`
 }
--- a/pkg/tablestore/table.go
+++ b/pkg/tablestore/table.go
@@ -24,7 +24,7 @@
 	Keys []string `json:"keys"`
 }
 
-// ReadAnswer has one row for each key asked for, in that order.
+// ReadAnswer has one row for each requested key, in the same order.
 type ReadAnswer struct {
 	Rows []Row `json:"rows"`
 }
@@ -36,14 +36,14 @@
 	breaker *Breaker
 }
 
-// NewTable returns a client of the table service at addr that waits for an
-// answer no longer than timeout.
+// NewTable returns a client of the table service at addr; timeout is that of each
+// call.
 func NewTable(addr netip.AddrPort, timeout time.Duration) *Table {
 	return &Table{http: httpjson.NewClient(addr), timeout: timeout, breaker: NewBreaker()}
 }
 
-// Commit carries out a transaction. The error is a *ConflictError when a
-// condition does not hold, and otherwise wraps ErrNotApplied or ErrUnknown.
+// Commit executes a transaction. The error is a *ConflictError if a condition does
+// not hold, otherwise it wraps ErrNotApplied or ErrUnknown.
 func (t *Table) Commit(ctx context.Context, txn Txn) (err error) {
 	defer func() { err = eris.Wrap(err, "table commit") }()
 	if !t.breaker.Allow(time.Now()) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Read returns the rows of the keys, absent ones with version 0; the error
+// Read returns the rows of the keys; rows that do not exist have version 0. The error
 // wraps ErrUnavailable.
 func (t *Table) Read(ctx context.Context, keys ...string) (rows []Row, err error) {
 	defer func() { err = eris.Wrap(err, "table read") }()
@@ -95,7 +95,7 @@
 	return answer.Rows, nil
 }
 
-// Available says whether the service has answered lately.
+// Available says whether the breaker allows calls to the service.
 func (t *Table) Available() bool { return !t.breaker.Open(time.Now()) }
 
 // Close drops idle connections.
--- a/pkg/tablestore/vms.go
+++ b/pkg/tablestore/vms.go
@@ -11,7 +11,7 @@
 	"github.com/drumpath/drumpath/pkg/httpjson"
 )
 
-// PathVMs is where the platform serves its list of VMs.
+// PathVMs is the path of the platform's list of VMs.
 const PathVMs = "/v1/vms"
 
 // VM is one machine of the platform's list.
@@ -22,7 +22,7 @@
 	Leaving bool           `json:"leaving"`
 }
 
-// VMs is a client of the platform's lagging list of VMs.
+// VMs is a client of the platform's list of VMs, which lags behind.
 type VMs struct {
 	http    *httpjson.Client
 	timeout time.Duration
@@ -33,7 +33,7 @@
 	return &VMs{http: httpjson.NewClient(addr), timeout: timeout}
 }
 
-// List returns the list as the platform has it now.
+// List returns the current list.
 func (v *VMs) List(ctx context.Context) (list []VM, err error) {
 	defer func() { err = eris.Wrap(err, "list VMs") }()
 	ctx, cancel := context.WithTimeout(ctx, v.timeout)
--- a/pkg/timer/doc.go
+++ b/pkg/timer/doc.go
@@ -1,3 +1,2 @@
-// Package timer holds the timer service: parts of a process subscribe a
-// callback and a period, and a small pool of workers runs whatever is due.
+// Package timer runs periodic callbacks on a small pool of workers.
 package timer
--- a/pkg/timer/service.go
+++ b/pkg/timer/service.go
@@ -9,8 +9,8 @@
 	"github.com/drumpath/drumpath/pkg/queue"
 )
 
-// jitterShare is the share of a period by which each tick is moved at random,
-// so that many nodes started together do not act together.
+// jitterShare is the share of a period by which each tick is randomly shifted, so
+// that nodes started together do not act at the same time.
 const jitterShare = 0.1
 
 // Func is a subscriber's callback; ctx ends when its subscription closes.
@@ -18,9 +18,9 @@
 
 // Service runs subscribed callbacks on a fixed pool of workers.
 //
-// A subscription is put back on the schedule only after its callback has
-// returned, so a slow callback is never run twice at once and never piles up.
-// Lock order: Service.mu is the only lock, and no callback runs under it.
+// A subscription is rescheduled only after its callback has returned, so a slow
+// callback never runs concurrently with itself and its runs never queue up.
+// Service.mu is the only lock, and it is not held while callbacks run.
 type Service struct {
 	mu     sync.Mutex
 	due    queue.Heap[*Subscription]
@@ -74,7 +74,7 @@
 	s.wg.Wait()
 }
 
-// schedule schedules sub; the caller holds mu.
+// schedule makes sub due at the given time; the caller holds mu.
 func (s *Service) schedule(sub *Subscription, at time.Time) {
 	if s.closed || sub.closed {
 		return
@@ -112,7 +112,7 @@
 	}
 }
 
-// nextDue pops the first due subscription, or says how long to wait for one.
+// nextDue pops the first due subscription, or returns how long to wait for one.
 func (s *Service) nextDue(now time.Time) (*Subscription, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/timer/subscription.go
+++ b/pkg/timer/subscription.go
@@ -35,6 +35,6 @@
 	s.closed = true
 	s.service.due.Remove(s)
 	s.service.mu.Unlock()
-	// Waiting under the lock would block the callback's own rescheduling.
+	// With the lock held this would deadlock with the rescheduling after the callback.
 	s.running.Wait()
 }
