--- a/pkg/boottime/clock_test.go
+++ b/pkg/boottime/clock_test.go
@@ -9,18 +9,18 @@
 	"github.com/drumpath/drumpath/pkg/boottime"
 )
 
-// readTime is over what passes while the clocks are read, beside a few looks for what a
-// pause of the process has hidden: on a busy machine that can be some time slices.
-const readTime = time.Second
+// maxRefreshTime is more than the time of a few calls of Refresh that make up for a pause of
+// the process: on a busy machine that can be several time slices.
+const maxRefreshTime = time.Second
 
-func TestSuspensionCountsOnceItIsFound(t *testing.T) {
+func TestSuspensionCountsOnlyAfterRefresh(t *testing.T) {
 	assert.NilError(t, boottime.Err())
 	known := boottime.Refresh()
 	before := boottime.Now()
 	boottime.SimulateSuspend(8 * time.Second)
-	assert.Assert(t, boottime.Since(before) < time.Second, "nobody has looked")
-	for begun := time.Now(); boottime.Refresh()-known < 8*time.Second-time.Millisecond; {
-		assert.Assert(t, time.Since(begun) < readTime, "found %v", boottime.Refresh()-known)
+	assert.Assert(t, boottime.Since(before) < time.Second, "counted before Refresh")
+	for start := time.Now(); boottime.Refresh()-known < 8*time.Second-time.Millisecond; {
+		assert.Assert(t, time.Since(start) < maxRefreshTime, "found %v", boottime.Refresh()-known)
 	}
 	assert.Assert(t, boottime.Refresh()-known <= 8*time.Second+time.Millisecond, "found %v", boottime.Refresh()-known)
 	since := boottime.Since(before)
@@ -31,9 +31,9 @@
 	assert.Assert(t, left > 59*time.Second && left <= time.Minute, "%v", left)
 }
 
-// Between two looks only a suspension counts, not the time that passes, nor a pause of the
-// process between the two readings.
-func TestRunningOnIsNoSuspension(t *testing.T) {
+// Neither the time between two calls of Refresh nor a pause of the process between its two
+// readings may be counted as suspension.
+func TestRunningTimeIsNotCountedAsSuspension(t *testing.T) {
 	first := boottime.Refresh()
 	for range 2000 {
 		time.Sleep(10 * time.Microsecond)
@@ -42,7 +42,7 @@
 	assert.Assert(t, boottime.Refresh()-first < time.Millisecond, "%v", boottime.Refresh()-first)
 }
 
-func BenchmarkLook(b *testing.B) {
+func BenchmarkRefresh(b *testing.B) {
 	for b.Loop() {
 		boottime.Refresh()
 	}
--- a/pkg/http1/body.go
+++ b/pkg/http1/body.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Framing is how the end of a body is found.
+// Framing is how the end of a body is determined.
 type Framing int
 
 // Framings of bodies.
@@ -16,24 +16,24 @@
 	FramingNone Framing = iota
 	FramingLength
 	FramingChunked
-	// FramingClose: the body ends with the connection. It can't be told from
-	// one that was cut by an orderly close.
+	// FramingClose: the body ends with the connection. A body truncated by an
+	// orderly close can't be detected.
 	FramingClose
 )
 
-// Body is the body of one message. Reading it never goes past its end.
+// Body is the body of one message. It never reads past its end.
 type Body struct {
-	r       *bufio.Reader
-	framing Framing
-	left    int64 // Of the length, or of the chunk.
-	done    bool
-	err     error
-	started bool // A chunk has been read, so its line end is due.
+	r           *bufio.Reader
+	framing     Framing
+	remaining   int64 // Bytes left of the whole body or of the current chunk.
+	done        bool
+	err         error
+	pendingCRLF bool // The CR LF after the last chunk has not been read yet.
 }
 
 // RequestBody returns the body of a request whose head was read from r.
 func RequestBody(h *Head, r *bufio.Reader) (*Body, error) {
-	framing, n, err := framingOf(h)
+	framing, n, err := parseFraming(h)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 	if method == "HEAD" || h.Status < 200 || h.Status == 204 || h.Status == 304 {
 		return newBody(r, FramingNone, 0), nil
 	}
-	framing, n, err := framingOf(h)
+	framing, n, err := parseFraming(h)
 	if err != nil {
 		return nil, err
 	}
@@ -56,13 +56,14 @@
 }
 
 func newBody(r *bufio.Reader, framing Framing, n int64) *Body {
-	return &Body{r: r, framing: framing, left: n, done: framing == FramingNone}
+	return &Body{r: r, framing: framing, remaining: n, done: framing == FramingNone}
 }
 
-// framingOf refuses every head that two readers could frame differently:
-// both ways at once, lengths that differ, codings other than chunked.
-func framingOf(h *Head) (Framing, int64, error) {
-	chunked, length, found := false, int64(0), false
+// parseFraming returns the framing and the length of a body. It refuses ambiguous
+// heads: those with both Content-Length and Transfer-Encoding, different lengths,
+// or codings other than chunked.
+func parseFraming(h *Head) (Framing, int64, error) {
+	chunked, length, hasLength := false, int64(0), false
 	for _, f := range h.Fields {
 		switch {
 		case strings.EqualFold(f.Name, "Transfer-Encoding"):
@@ -71,15 +72,15 @@
 			}
 			chunked = true
 		case strings.EqualFold(f.Name, "Content-Length"):
-			n, ok := decimal(f.Value)
-			if !ok || found && n != length {
+			n, ok := parseLength(f.Value)
+			if !ok || hasLength && n != length {
 				return 0, 0, ErrMalformed
 			}
-			length, found = n, true
+			length, hasLength = n, true
 		}
 	}
 	switch {
-	case chunked && found:
+	case chunked && hasLength:
 		return 0, 0, ErrMalformed
 	case chunked:
 		return FramingChunked, 0, nil
@@ -90,11 +91,11 @@
 	}
 }
 
-// maxDigits keeps a length inside an int64.
-const maxDigits = 18
+// maxLengthDigits makes sure that a length fits an int64.
+const maxLengthDigits = 18
 
-func decimal(s string) (int64, bool) {
-	if s == "" || len(s) > maxDigits {
+func parseLength(s string) (int64, bool) {
+	if s == "" || len(s) > maxLengthDigits {
 		return 0, false
 	}
 	for i := range len(s) {
@@ -106,13 +107,13 @@
 	return n, err == nil
 }
 
-// Framing returns how the body's end is found.
+// Framing returns how the end of the body is determined.
 func (b *Body) Framing() Framing { return b.framing }
 
 // Done says whether the whole body has been read.
 func (b *Body) Done() bool { return b.done }
 
-// Read implements io.Reader; the error is ErrBodyTruncated when the connection ends
+// Read implements io.Reader; the error is ErrBodyTruncated if the connection ends
 // inside the body.
 func (b *Body) Read(p []byte) (n int, err error) {
 	if b.err != nil {
@@ -131,7 +132,7 @@
 func (b *Body) read(p []byte) (int, error) {
 	switch b.framing {
 	case FramingLength:
-		return b.readLeft(p, true)
+		return b.readRemaining(p, true)
 	case FramingChunked:
 		return b.readChunk(p)
 	default:
@@ -143,25 +144,26 @@
 	}
 }
 
-// readLeft reads from what is left of a length or a chunk.
-func (b *Body) readLeft(p []byte, last bool) (int, error) {
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+// readRemaining reads from the rest of the body or chunk; endsBody says that the
+// body ends there.
+func (b *Body) readRemaining(p []byte, endsBody bool) (int, error) {
+	if int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.r.Read(p)
-	b.left -= int64(n)
-	if err != nil && b.left > 0 {
-		return n, cut(err)
+	b.remaining -= int64(n)
+	if err != nil && b.remaining > 0 {
+		return n, eofAsTruncated(err)
 	}
-	if b.left == 0 && last {
+	if b.remaining == 0 && endsBody {
 		b.done = true
 	}
 	return n, nil
 }
 
-// readChunk reads from the chunk at hand, or from the next one.
+// readChunk reads from the current chunk, or from the next one if that is used up.
 func (b *Body) readChunk(p []byte) (int, error) {
-	if b.left == 0 {
+	if b.remaining == 0 {
 		if err := b.nextChunk(); err != nil {
 			return 0, err
 		}
@@ -169,44 +171,44 @@
 			return 0, io.EOF
 		}
 	}
-	return b.readLeft(p, false)
+	return b.readRemaining(p, false)
 }
 
-// maxChunkLine bounds the line of a chunk's size, with its extensions, and each
-// trailer.
+// maxChunkLine limits the length of chunk size lines, including extensions, and of
+// trailer lines.
 const maxChunkLine = 1024
 
 func (b *Body) nextChunk() error {
-	if b.started {
+	if b.pendingCRLF {
 		if line, err := readLine(b.r, maxChunkLine); err != nil || line != "" {
-			return chunkError(err)
+			return chunkLineError(err)
 		}
 	}
-	b.started = true
+	b.pendingCRLF = true
 	line, err := readLine(b.r, maxChunkLine)
 	if err != nil {
-		return chunkError(err)
+		return chunkLineError(err)
 	}
 	size, _, _ := strings.Cut(line, ";")
 	n, err := strconv.ParseUint(strings.TrimRight(size, " \t"), 16, 62)
 	if err != nil || !isHex(size[:1]) {
 		return ErrMalformed
 	}
-	b.left = int64(n)
+	b.remaining = int64(n)
 	if n == 0 {
-		return b.trailers()
+		return b.skipTrailers()
 	}
 	return nil
 }
 
 func isHex(s string) bool { return strings.Contains("0123456789abcdefABCDEF", s) }
 
-// trailers reads on to the end of the body; trailers are dropped.
-func (b *Body) trailers() error {
+// skipTrailers reads and drops the trailers after the last chunk.
+func (b *Body) skipTrailers() error {
 	for {
 		line, err := readLine(b.r, maxChunkLine)
 		if err != nil {
-			return chunkError(err)
+			return chunkLineError(err)
 		}
 		if line == "" {
 			b.done = true
@@ -215,17 +217,17 @@
 	}
 }
 
-func chunkError(err error) error {
+func chunkLineError(err error) error {
 	switch {
 	case err == nil, errors.Is(err, ErrHeadTooLarge):
 		return ErrMalformed
 	default:
-		return cut(err)
+		return eofAsTruncated(err)
 	}
 }
 
-// cut turns an orderly end inside a body into ErrBodyTruncated.
-func cut(err error) error {
+// eofAsTruncated turns the end of the connection into ErrBodyTruncated.
+func eofAsTruncated(err error) error {
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrBodyTruncated
 	}
@@ -234,13 +236,13 @@
 
 // ReadAll reads a body of at most limit bytes.
 func ReadAll(b *Body, limit int) ([]byte, error) {
-	if b.framing == FramingLength && b.left > int64(limit) {
+	if b.framing == FramingLength && b.remaining > int64(limit) {
 		return nil, ErrBodyTooLarge
 	}
 	if b.framing == FramingLength {
-		all := make([]byte, b.left)
+		all := make([]byte, b.remaining)
 		_, err := io.ReadFull(b, all)
-		return all, cut(err)
+		return all, eofAsTruncated(err)
 	}
 	all, err := io.ReadAll(io.LimitReader(b, int64(limit)+1))
 	if err != nil {
--- a/pkg/load/run.go
+++ b/pkg/load/run.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// answerWait is how long a caller waits before its request counts as lost.
-	answerWait   = 60 * time.Second
-	maxIdleConns = 1024
+	// answerTimeout is the time after which a request without an answer is lost.
+	answerTimeout = 60 * time.Second
+	maxIdleConns  = 1024
 )
 
-// Options say how a load is put on.
+// Options configure Run.
 type Options struct {
-	// Entries are addresses to ask first which addresses to use.
+	// Entries are the addresses from which to get the list of entry addresses.
 	Entries []netip.AddrPort
-	// Verify returns the right answer to a prompt, nil to verify nothing.
+	// Verify returns the expected answer to a prompt; if nil, answers are not
+	// verified.
 	Verify func(text string, tokens int) string
-	// Attempts is how often a caller sends a request at most, when it was
-	// refused with not_run or its node died; 0 stands for once. It waits for as
-	// long as it was told.
+	// Attempts is the maximum number of attempts of a request that was refused
+	// with not_run or whose node died; 0 means one. Before each retry the caller
+	// waits for as long as the answer asked.
 	Attempts int
-	// Observe is called with each answer that came and its time since the load's
-	// start; it may be nil.
+	// Observe is called with each complete answer and the time since the start of
+	// the load; it may be nil.
 	Observe func(since time.Duration, s StreamResult)
 	// Progress is called about once a second.
 	Progress func(Progress)
-	// OnTime is called when the load has run for some time; it may be nil.
-	OnTime func(since time.Duration)
+	// OnTick is called about once a second; it may be nil.
+	OnTick func(since time.Duration)
 }
 
-// Progress is how far a load has come.
+// Progress is the state of a running load.
 type Progress struct {
 	Since   time.Duration
 	Sent    int
@@ -45,7 +46,7 @@
 	Wrong   int
 }
 
-// runner puts one load on.
+// runner runs one load.
 type runner struct {
 	profile *Profile
 	opts    Options
@@ -55,9 +56,9 @@
 	start   time.Time
 }
 
-// Run puts a load on and waits for its last answer.
+// Run sends the requests of a profile and waits for the last answer.
 func Run(ctx context.Context, p Profile, opts Options) (r Report, err error) {
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return r, err
 	}
 	transport := &http.Transport{MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: 10 * time.Second}
@@ -77,8 +78,8 @@
 
 func (r *runner) sendAll(ctx context.Context) {
 	done := make(chan struct{})
-	var watch sync.WaitGroup
-	watch.Go(func() { r.watch(done) })
+	var callbacks sync.WaitGroup
+	callbacks.Go(func() { r.runCallbacks(done) })
 	var wg sync.WaitGroup
 	for _, a := range r.profile.schedule() {
 		select {
@@ -88,15 +89,15 @@
 		if ctx.Err() != nil {
 			break
 		}
-		wg.Go(func() { r.one(ctx, a) })
+		wg.Go(func() { r.sendWithRetries(ctx, a) })
 	}
 	wg.Wait()
 	close(done)
-	watch.Wait()
+	callbacks.Wait()
 }
 
-// watch calls the options' callbacks as time goes on.
-func (r *runner) watch(done <-chan struct{}) {
+// runCallbacks calls OnTick and Progress once a second until done is closed.
+func (r *runner) runCallbacks(done <-chan struct{}) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for {
@@ -106,8 +107,8 @@
 		case <-t.C:
 		}
 		since := time.Since(r.start)
-		if r.opts.OnTime != nil {
-			r.opts.OnTime(since)
+		if r.opts.OnTick != nil {
+			r.opts.OnTick(since)
 		}
 		if r.opts.Progress != nil {
 			r.opts.Progress(r.progress(since))
@@ -119,10 +120,10 @@
 	r.tally.mu.Lock()
 	defer r.tally.mu.Unlock()
 	rep := r.tally.report
-	return Progress{Since: since, Sent: rep.Sent, Done: r.tally.done, Refused: rep.Refused, Wrong: rep.Wrong}
+	return Progress{Since: since, Sent: rep.Sent, Done: r.tally.finished, Refused: rep.Refused, Wrong: rep.Wrong}
 }
 
-// requestBody is the body of a completion.
+// requestBody is the body of a completion request.
 type requestBody struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -130,34 +131,35 @@
 	Stream    bool   `json:"stream"`
 }
 
-// one sends one request and tallies its end.
-func (r *runner) one(ctx context.Context, a arrival) {
-	ctx, cancel := context.WithTimeout(ctx, answerWait)
+// sendWithRetries sends one request, with retries, and records its result.
+func (r *runner) sendWithRetries(ctx context.Context, a arrival) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	text := r.profile.text(a)
+	text := r.profile.promptText(a)
 	start := time.Now()
 	s, err := r.send(ctx, a, text, start)
 	for n := 1; err != nil && n < r.opts.Attempts && ctx.Err() == nil; n++ {
-		r.pause(ctx, err)
-		r.again()
+		r.waitBeforeRetry(ctx, err)
+		r.countRetry()
 		s, err = r.send(ctx, a, text, start)
 	}
 	if err == nil && r.opts.Observe != nil {
 		r.opts.Observe(time.Since(r.start), s)
 	}
 	if a.at >= r.profile.Warm.Std() {
-		r.count(a, text, s, err)
+		r.recordResult(a, text, s, err)
 	}
 	r.tally.mu.Lock()
 	defer r.tally.mu.Unlock()
-	r.tally.done++
+	r.tally.finished++
 }
 
-const minPause = 100 * time.Millisecond
+const minRetryWait = 100 * time.Millisecond
 
-// pause waits before the next attempt, for as long as the answer asked.
-func (r *runner) pause(ctx context.Context, err error) {
-	wait := minPause
+// waitBeforeRetry waits for as long as the last answer asked, at least
+// minRetryWait.
+func (r *runner) waitBeforeRetry(ctx context.Context, err error) {
+	wait := minRetryWait
 	var answer *AnswerError
 	if errors.As(err, &answer) {
 		wait = max(wait, time.Duration(answer.RetryAfterMillis)*time.Millisecond)
@@ -168,10 +170,10 @@
 	}
 }
 
-func (r *runner) again() {
+func (r *runner) countRetry() {
 	r.tally.mu.Lock()
 	defer r.tally.mu.Unlock()
-	r.tally.report.Again++
+	r.tally.report.Retries++
 }
 
 func (r *runner) send(ctx context.Context, a arrival, text string, start time.Time) (s StreamResult, err error) {
@@ -199,15 +201,15 @@
 	}
 	resp, err := r.client.Do(req)
 	if err != nil {
-		r.entries.failed(entry)
+		r.entries.markFailed(entry)
 		return s, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return ReadStream(resp, start)
 }
 
-// count tallies one request that came after the warm-up.
-func (r *runner) count(a arrival, text string, s StreamResult, err error) {
+// recordResult records the result of a request after the warm-up.
+func (r *runner) recordResult(a arrival, text string, s StreamResult, err error) {
 	t := r.tally
 	wrong := err == nil && r.opts.Verify != nil && s.Text != r.opts.Verify(text, r.profile.MaxTokens)
 	t.mu.Lock()
@@ -223,22 +225,22 @@
 	}
 	t.report.Answered++
 	t.report.Sources[s.Source]++
-	t.prompt += s.Prompt
-	t.recomputed += s.Prompt - s.Cached
-	record(t.first, s.First)
+	t.promptTokens += s.PromptTokens
+	t.recomputedTokens += s.PromptTokens - s.CachedTokens
+	record(t.firstToken, s.FirstToken)
 	if s.Tokens > 1 {
-		record(t.between, (s.Last-s.First)/time.Duration(s.Tokens-1))
+		record(t.betweenTokens, (s.LastToken-s.FirstToken)/time.Duration(s.Tokens-1))
 	}
-	if t.byOrg[a.organisation.Name] == nil {
-		t.byOrg[a.organisation.Name] = newHistogram()
+	if t.firstTokenByOrg[a.organisation.Name] == nil {
+		t.firstTokenByOrg[a.organisation.Name] = newHistogram()
 	}
-	record(t.byOrg[a.organisation.Name], s.First)
-	if d := r.profile.Deadline.Std(); d == 0 || s.First <= d {
+	record(t.firstTokenByOrg[a.organisation.Name], s.FirstToken)
+	if d := r.profile.Deadline.Std(); d == 0 || s.FirstToken <= d {
 		t.report.InDeadline++
 	}
 }
 
-// countError tallies a request that was not answered; the caller holds mu.
+// countError records a request that failed; the caller holds mu.
 func (t *tally) countError(err error) {
 	var answer *AnswerError
 	if !errors.As(err, &answer) {
--- a/pkg/load/stream.go
+++ b/pkg/load/stream.go
@@ -10,18 +10,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// StreamResult is what a caller saw of one streamed answer.
+// StreamResult is one streamed answer with its timing.
 type StreamResult struct {
-	Text   string
-	First  time.Duration // To the first token.
-	Last   time.Duration
-	Tokens int
-	Prompt int // Tokens.
-	Cached int // Tokens.
-	Source string
+	Text         string
+	FirstToken   time.Duration // Time to the first token.
+	LastToken    time.Duration
+	Tokens       int
+	PromptTokens int
+	CachedTokens int
+	Source       string
 }
 
-// streamChunk is the part of an answer's chunk that is read.
+// streamChunk has the fields used from a chunk of the answer.
 type streamChunk struct {
 	Choices []struct {
 		Text string `json:"text"`
@@ -44,28 +44,28 @@
 	RetryAfterMillis int64  `json:"retry_after_ms"`
 }
 
-// Error gives code, certainty and message.
+// Error returns code, not_run status and message.
 func (e *AnswerError) Error() string { return e.Code + " (" + e.Ran + "): " + e.Message }
 
 const maxStreamLine = 1 << 20
 
-// ReadStream reads a streamed answer to its end; an answer without its end mark
-// is an error.
+// ReadStream reads a streamed answer to its end. An answer without the final
+// [DONE] is an error.
 func ReadStream(resp *http.Response, start time.Time) (s StreamResult, err error) {
 	if resp.StatusCode != http.StatusOK {
 		return s, readError(resp)
 	}
 	var text strings.Builder
-	scan := bufio.NewScanner(resp.Body)
-	scan.Buffer(nil, maxStreamLine)
-	ended := false
-	for scan.Scan() {
-		data, ok := strings.CutPrefix(scan.Text(), "data: ")
+	scanner := bufio.NewScanner(resp.Body)
+	scanner.Buffer(nil, maxStreamLine)
+	complete := false
+	for scanner.Scan() {
+		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			ended = true
+			complete = true
 			continue
 		}
 		var c streamChunk
@@ -75,13 +75,13 @@
 		if c.Error != nil {
 			return s, c.Error
 		}
-		s.take(c, &text, time.Since(start))
+		s.addChunk(c, &text, time.Since(start))
 	}
-	if err := scan.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return s, err
 	}
-	if !ended {
-		return s, eris.New("the answer was cut without an error")
+	if !complete {
+		return s, eris.New("answer ended without [DONE]")
 	}
 	s.Text = text.String()
 	return s, nil
@@ -97,22 +97,22 @@
 	return body.Error
 }
 
-// take adds a chunk that came after some time.
-func (s *StreamResult) take(c streamChunk, text *strings.Builder, after time.Duration) {
+// addChunk adds a chunk that arrived the given time after the start.
+func (s *StreamResult) addChunk(c streamChunk, text *strings.Builder, after time.Duration) {
 	for _, ch := range c.Choices {
 		if ch.Text == "" {
 			continue
 		}
 		if s.Tokens == 0 {
-			s.First = after
+			s.FirstToken = after
 		}
 		s.Tokens++
-		s.Last = after
+		s.LastToken = after
 		text.WriteString(ch.Text)
 	}
 	if c.Usage != nil {
-		s.Prompt = c.Usage.PromptTokens
-		s.Cached = c.Usage.Details.CachedTokens
+		s.PromptTokens = c.Usage.PromptTokens
+		s.CachedTokens = c.Usage.Details.CachedTokens
 		s.Source = c.Usage.Details.Source
 	}
 }
