--- a/internal/netproxy/doc.go
+++ b/internal/netproxy/doc.go
@@ -1,3 +1,3 @@
-// Package netproxy is a loopback proxy that brings faults upon the connections
-// through it.
+// Package netproxy implements a loopback TCP proxy that injects faults into the
+// connections through it.
 package netproxy
--- a/internal/netproxy/proxy.go
+++ b/internal/netproxy/proxy.go
@@ -8,52 +8,54 @@
 	"time"
 )
 
-// Link is how a proxy treats the bytes of one direction.
+// Link describes how a proxy forwards the bytes of one direction.
 type Link struct {
-	Held  bool // Nothing passes until it is healed.
+	Held  bool // Hold back all bytes while set.
 	Delay time.Duration
 }
 
-// Proxy stands before one address and harms the connections to it.
+// Proxy forwards connections to one address and injects faults into them.
 type Proxy struct {
 	ln net.Listener
 
 	mu      sync.Mutex
 	target  netip.AddrPort
-	links   [2]Link // To the target, and back.
-	pairs   map[*pair]struct{}
+	links   [2]Link // Indexed by toTarget and fromTarget.
+	conns   map[*proxiedConn]struct{}
 	changed chan struct{}
 	closed  bool
 	wg      sync.WaitGroup
 }
 
+// Directions of a connection.
 const (
 	toTarget = iota
 	fromTarget
 )
 
-// pair is one connection through the proxy.
-type pair struct {
+// proxiedConn is one client connection with its connection to the target.
+type proxiedConn struct {
 	ends [2]*net.TCPConn // The client's and the target's.
-	// silent directions acknowledge all and pass on nothing, nor their end.
+	// silent directions discard all bytes, which TCP still acknowledges, and do not
+	// forward a close.
 	silent [2]bool
 }
 
-// New starts a proxy before a target.
+// New starts a proxy in front of a target.
 func New(target netip.AddrPort) (*Proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{ln: ln, target: target, pairs: map[*pair]struct{}{}, changed: make(chan struct{})}
+	p := &Proxy{ln: ln, target: target, conns: map[*proxiedConn]struct{}{}, changed: make(chan struct{})}
 	p.wg.Go(p.accept)
 	return p, nil
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address that the proxy listens at.
 func (p *Proxy) Addr() netip.AddrPort { return p.ln.Addr().(*net.TCPAddr).AddrPort() }
 
-// Set changes how bytes pass.
+// Set changes how each direction is forwarded.
 func (p *Proxy) Set(to, from Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,10 +64,10 @@
 	p.changed = make(chan struct{})
 }
 
-// Heal lets all bytes pass, but on connections that were silenced.
+// Heal forwards all bytes without delay again, except on silenced connections.
 func (p *Proxy) Heal() { p.Set(Link{}, Link{}) }
 
-// CutOneWay holds the bytes of one direction up for a while.
+// CutOneWay holds back the bytes of one direction, chosen at random, for d.
 func (p *Proxy) CutOneWay(rng *rand.Rand, d time.Duration) {
 	if rng.IntN(2) == 0 {
 		p.Set(Link{Held: true}, Link{})
@@ -76,146 +78,149 @@
 	p.Heal()
 }
 
-// Silence ends what passes on each open connection that pick chooses, for good and
-// without a sign to either end; new connections are not touched. It returns how many
-// it silenced.
-func (p *Proxy) Silence(to, from bool, pick func() bool) (silenced int) {
+// Silence discards all further bytes of the given directions on each open connection
+// for which choose returns true, without closing or resetting it. New connections are
+// not affected. It returns how many connections it silenced.
+func (p *Proxy) Silence(to, from bool, choose func() bool) (silenced int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.pairs {
-		if pick() {
-			c.silent[toTarget] = c.silent[toTarget] || to
-			c.silent[fromTarget] = c.silent[fromTarget] || from
+	for conn := range p.conns {
+		if choose() {
+			conn.silent[toTarget] = conn.silent[toTarget] || to
+			conn.silent[fromTarget] = conn.silent[fromTarget] || from
 			silenced++
 		}
 	}
 	return silenced
 }
 
-// Open is how many connections are open that were not silenced.
-func (p *Proxy) Open() (n int) {
+// OpenConnections returns the number of open connections that were not silenced.
+func (p *Proxy) OpenConnections() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.pairs {
-		if !c.hushed() {
+	for c := range p.conns {
+		if !c.silenced() {
 			n++
 		}
 	}
 	return n
 }
 
-// Reset resets all connections, but those that were silenced.
-func (p *Proxy) Reset() { p.reset(func(c *pair) bool { return !c.hushed() }) }
+// Reset resets all connections except those that were silenced.
+func (p *Proxy) Reset() { p.reset(func(c *proxiedConn) bool { return !c.silenced() }) }
 
-func (p *Proxy) reset(pick func(*pair) bool) {
+func (p *Proxy) reset(choose func(*proxiedConn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.pairs {
-		if !pick(c) {
+	for conn := range p.conns {
+		if !choose(conn) {
 			continue
 		}
-		for _, end := range c.ends {
-			_ = end.SetLinger(0) // Closing resets then.
-			_ = end.Close()      // Its copying ends.
+		for _, end := range conn.ends {
+			_ = end.SetLinger(0) // Makes Close send a reset.
+			_ = end.Close()      // Ends the forwarding of its bytes.
 		}
 	}
 }
 
-// Close ends all connections and waits for their copying.
+// Close stops the proxy, resets all connections and waits for their goroutines.
 func (p *Proxy) Close() {
-	_ = p.ln.Close() // Accepting ends.
+	_ = p.ln.Close() // Ends accept.
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
 	p.Heal()
-	p.reset(func(*pair) bool { return true })
+	p.reset(func(*proxiedConn) bool { return true })
 	p.wg.Wait()
 }
 
 func (p *Proxy) accept() {
 	for {
-		in, err := p.ln.Accept()
+		client, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		p.wg.Go(func() { p.serve(in.(*net.TCPConn)) })
+		p.wg.Go(func() { p.serve(client.(*net.TCPConn)) })
 	}
 }
 
-func (p *Proxy) serve(in *net.TCPConn) {
-	out, err := net.DialTimeout("tcp", p.target.String(), time.Second)
+func (p *Proxy) serve(client *net.TCPConn) {
+	target, err := net.DialTimeout("tcp", p.target.String(), time.Second)
 	if err != nil {
-		_ = in.SetLinger(0)
-		_ = in.Close() // As if nothing listened.
+		_ = client.SetLinger(0)
+		_ = client.Close() // Reset, as if nothing listened there.
 		return
 	}
-	c := &pair{ends: [2]*net.TCPConn{in, out.(*net.TCPConn)}}
+	c := &proxiedConn{ends: [2]*net.TCPConn{client, target.(*net.TCPConn)}}
 	if !p.add(c) {
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { p.copy(c, toTarget) })
-	wg.Go(func() { p.copy(c, fromTarget) })
+	wg.Go(func() { p.forward(c, toTarget) })
+	wg.Go(func() { p.forward(c, fromTarget) })
 	wg.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.close() // Both directions have ended.
-	delete(p.pairs, c)
+	delete(p.conns, c)
 }
 
-func (p *Proxy) add(c *pair) bool {
+func (p *Proxy) add(c *proxiedConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		c.close()
 		return false
 	}
-	p.pairs[c] = struct{}{}
+	p.conns[c] = struct{}{}
 	return true
 }
 
-// hushed says whether a direction is silent; the caller holds the proxy's mu.
-func (c *pair) hushed() bool { return c.silent[toTarget] || c.silent[fromTarget] }
+// silenced reports whether any direction is silent; the caller holds the proxy's mu.
+func (c *proxiedConn) silenced() bool { return c.silent[toTarget] || c.silent[fromTarget] }
 
-func (c *pair) close() {
+func (c *proxiedConn) close() {
 	for _, end := range c.ends {
-		_ = end.Close() // Nothing of it is wanted.
+		_ = end.Close() // The connection is of no further use.
 	}
 }
 
-// copy passes bytes on until either side ends, which ends both: HTTP knows no
-// half-closed connections worth keeping.
-func (p *Proxy) copy(c *pair, way int) {
-	from, to := c.ends[way], c.ends[1-way]
+// forward copies the bytes of one direction until it ends or fails, and then passes
+// the close on, so that the other side closes too: HTTP does not use half-closed
+// connections.
+func (p *Proxy) forward(c *proxiedConn, direction int) {
+	from, to := c.ends[direction], c.ends[1-direction]
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && p.passes(c, way) {
+		if n > 0 && p.waitToForward(c, direction) {
 			if _, e := to.Write(buffer[:n]); e != nil {
 				err = e
 			}
 		}
 		if err != nil {
-			p.end(c, way)
+			p.forwardEnd(c, direction)
 			return
 		}
 	}
 }
 
-// end passes on that one side has ended, unless that is silenced too.
-func (p *Proxy) end(c *pair, way int) {
+// forwardEnd closes the receiving side's input after the sending side has ended,
+// unless the direction is silent.
+func (p *Proxy) forwardEnd(c *proxiedConn, direction int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !c.silent[way] {
-		_ = c.ends[1-way].CloseWrite() // The other side reads its end.
+	if !c.silent[direction] {
+		_ = c.ends[1-direction].CloseWrite() // The receiver reads EOF.
 	}
 }
 
-// passes holds bytes up as the link has it; ok is false if they are to be lost.
-func (p *Proxy) passes(c *pair, way int) (ok bool) {
+// waitToForward blocks while the link is held and for its delay; ok is false if the
+// bytes must be discarded.
+func (p *Proxy) waitToForward(c *proxiedConn, direction int) (ok bool) {
 	for {
 		p.mu.Lock()
-		l, changed, silent := p.links[way], p.changed, c.silent[way]
+		l, changed, silent := p.links[direction], p.changed, c.silent[direction]
 		p.mu.Unlock()
 		switch {
 		case silent:
--- a/internal/netproxy/proxy_test.go
+++ b/internal/netproxy/proxy_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// echo starts a server that sends back what it gets, and tells of each connection
-// that ends.
-func echo(t *testing.T) (ln net.Listener, ended chan struct{}) {
+// startEchoServer starts a server that sends back what it receives; ended gets a
+// value for each connection that ends.
+func startEchoServer(t *testing.T) (ln net.Listener, ended chan struct{}) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
@@ -25,8 +25,8 @@
 				return
 			}
 			go func() {
-				_, _ = io.Copy(conn, conn) // Either end closes it.
-				_ = conn.Close()           // Its end has been read.
+				_, _ = io.Copy(conn, conn) // Ends when either side closes.
+				_ = conn.Close()           // All data has been read.
 				ended <- struct{}{}
 			}()
 		}
@@ -35,56 +35,57 @@
 }
 
 const (
-	passes = 5 * time.Second        // By when what passes has come, on a busy machine, too.
-	lost   = 200 * time.Millisecond // After which nothing is taken to come.
+	arrivalTimeout = 5 * time.Second        // Long enough for an answer on a busy machine.
+	silenceTimeout = 200 * time.Millisecond // No answer within this time counts as silence.
 )
 
-// says writes on a connection and tells whether something comes back within a time.
-func says(t *testing.T, conn net.Conn, within time.Duration) error {
+// roundTrip writes a byte and returns an error unless one comes back within timeout.
+func roundTrip(t *testing.T, conn net.Conn, timeout time.Duration) error {
 	_, err := conn.Write([]byte("x"))
 	assert.NilError(t, err)
-	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(within)))
+	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(timeout)))
 	_, err = conn.Read(make([]byte, 1))
 	return err
 }
 
-// A proxy that resets or closes what it silences would show what a silent path hides.
+// If the proxy reset or closed silenced connections, tests of undetected network
+// failures would see an error that a real silent path does not give.
 func TestSilencedConnectionsStayOpenAndNewOnesPass(t *testing.T) {
-	for _, way := range []struct {
+	for _, test := range []struct {
 		name     string
 		to, from bool
 	}{{"to", true, false}, {"from", false, true}, {"both", true, true}} {
-		t.Run(way.name, func(t *testing.T) {
-			ln, ended := echo(t)
+		t.Run(test.name, func(t *testing.T) {
+			ln, ended := startEchoServer(t)
 			p, err := New(ln.Addr().(*net.TCPAddr).AddrPort())
 			assert.NilError(t, err)
 			defer p.Close()
 			dial := func() net.Conn {
 				conn, err := net.Dial("tcp", p.Addr().String())
 				assert.NilError(t, err)
-				assert.NilError(t, says(t, conn, passes))
+				assert.NilError(t, roundTrip(t, conn, arrivalTimeout))
 				return conn
 			}
 			old := dial()
-			assert.Equal(t, p.Open(), 1)
-			assert.Equal(t, p.Silence(way.to, way.from, func() bool { return true }), 1)
-			assert.Equal(t, p.Open(), 0)
+			assert.Equal(t, p.OpenConnections(), 1)
+			assert.Equal(t, p.Silence(test.to, test.from, func() bool { return true }), 1)
+			assert.Equal(t, p.OpenConnections(), 0)
 			fresh := dial()
 			p.Reset()
 			for range 3 {
-				assert.Assert(t, errors.Is(says(t, old, lost), os.ErrDeadlineExceeded))
+				assert.Assert(t, errors.Is(roundTrip(t, old, silenceTimeout), os.ErrDeadlineExceeded))
 			}
-			<-ended // The fresh one, by the reset.
+			<-ended // The fresh connection, which Reset closed.
 			_ = fresh.Close()
 			_ = old.Close()
-			if !way.to {
+			if !test.to {
 				<-ended
 				return
 			}
 			select {
 			case <-ended:
-				t.Error("the end of a silent connection came through")
-			case <-time.After(lost):
+				t.Error("the close of a silenced connection was forwarded")
+			case <-time.After(silenceTimeout):
 			}
 		})
 	}
--- a/internal/standin/onplatform/silence_test.go
+++ b/internal/standin/onplatform/silence_test.go
@@ -199,7 +199,7 @@
 				assert.ErrorContains(t, call(e, p.Addr()), "timeout")
 				assert.Assert(t, time.Since(begun) < 2*time.Second+busy, "%v", time.Since(begun))
 				assert.NilError(t, call(e, p.Addr()))
-				assert.Equal(t, p.Open(), 1)
+				assert.Equal(t, p.OpenConnections(), 1)
 			})
 		})
 	}
--- a/pkg/httpjson/silence_test.go
+++ b/pkg/httpjson/silence_test.go
@@ -65,7 +65,7 @@
 			for range resting {
 				assert.NilError(t, call("/", busy), "another silent connection was used")
 			}
-			assert.Equal(t, p.Open(), 1)
+			assert.Equal(t, p.OpenConnections(), 1)
 		})
 	}
 }
--- a/service/peer/silence_test.go
+++ b/service/peer/silence_test.go
@@ -59,7 +59,7 @@
 			assert.ErrorIs(t, call(), errSilent)
 			assert.Assert(t, time.Since(begun) < limit+busy, "%v", time.Since(begun))
 			assert.NilError(t, call())
-			assert.Equal(t, p.Open(), 1)
+			assert.Equal(t, p.OpenConnections(), 1)
 		})
 	}
 }
