--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,6 +1,6 @@
-// Package standin has small stand-ins for what surrounds drumpath: model
-// engines, stores of kept state, plain services, the table service, the object
-// store and the list of VMs. They are honest where decisions depend on them,
-// such as limited memory, slots and links, and simple elsewhere. Faults are
-// switched over POST /fault.
+// Package standin implements small stand-ins for the systems around drumpath:
+// model engines, stores of KV cache blocks, plain services, the table service,
+// the object store and the list of VMs. They model what drumpath's decisions
+// depend on, such as limited memory, slots and link rates, and are simple
+// otherwise. POST /fault sets their faults.
 package standin
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,32 +13,34 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// Priorities on links: imports that a caller waits on go before exports.
+// Priorities on links: imports, which a client waits for, go before exports.
 const (
 	priorityExport = 0
 	priorityImport = 1
 )
 
-// EngineConfig sizes an engine.
+// EngineConfig sets an engine's capacity, speed and delays.
 type EngineConfig struct {
 	Model       string  `json:"model"`
 	Weights     string  `json:"weights"`
 	Slots       int     `json:"slots"`
 	MaxQueue    int     `json:"max_queue"`
-	PrefillRate float64 `json:"prefill_rate"` // Tokens a second.
-	DecodeMS    float64 `json:"decode_ms"`    // Between tokens.
+	PrefillRate float64 `json:"prefill_rate"` // Tokens per second.
+	DecodeMS    float64 `json:"decode_ms"`    // Time between tokens.
 	CacheTokens int     `json:"cache_tokens"` // Size of the prefix cache.
-	LinkRate    float64 `json:"link_rate"`    // Bytes a second.
-	TokenBytes  int     `json:"token_bytes"`  // Kept state of one token.
+	LinkRate    float64 `json:"link_rate"`    // Bytes per second.
+	TokenBytes  int     `json:"token_bytes"`  // KV cache bytes of one token.
 	ReportLagMS int64   `json:"report_lag_ms"`
 	EventLagMS  int64   `json:"event_lag_ms"`
-	LoadMS      int64   `json:"load_ms"` // To swap weights.
-	Unfenced    bool    `json:"unfenced"`
-	// EndUnder has the engine's process end when it begins a prompt with this text.
-	EndUnder string `json:"end_under"`
+	LoadMS      int64   `json:"load_ms"`  // Time to load other weights.
+	Unfenced    bool    `json:"unfenced"` // Accept stale orders.
+	// ExitOnText makes the engine's process exit when it starts a prompt that
+	// contains this text.
+	ExitOnText string `json:"end_under"`
 }
 
-// DefaultEngineConfig is a small, quick engine for tests and trials.
+// DefaultEngineConfig returns the configuration of a small, fast engine for tests
+// and measurements.
 func DefaultEngineConfig() EngineConfig {
 	return EngineConfig{
 		Model:       "m",
@@ -58,47 +60,47 @@
 
 // Engine stands in for a model engine.
 type Engine struct {
-	*host
-	cfg    EngineConfig
-	cache  *cache
-	link   *link
-	slots  *lane
-	lane   *lane // Prefill runs one prompt at a time.
-	ctx    context.Context
-	cancel context.CancelFunc
-
-	running atomic.Int64
-	backlog atomic.Int64 // Prompt tokens waiting or in prefill.
-	load    *laggingLoad
-
-	mu       sync.Mutex
-	state    upstream.EngineState
-	boot     uint64
-	refused  int // Stale orders.
-	runs     map[string]int
-	computed int64
-	reused   int64
+	*httpServer
+	cfg     EngineConfig
+	cache   *prefixCache
+	link    *link
+	slots   *semaphore
+	prefill *semaphore // Prefill runs one prompt at a time.
+	ctx     context.Context
+	cancel  context.CancelFunc
+
+	running        atomic.Int64
+	prefillBacklog atomic.Int64 // Prompt tokens waiting or in prefill.
+	load           *delayedLoad
+
+	mu             sync.Mutex
+	state          upstream.EngineState
+	bootEpoch      uint64
+	refusedOrders  int // Orders that were stale.
+	runs           map[string]int
+	computedTokens int64
+	reusedTokens   int64
 }
 
 // StartEngine starts an engine.
 func StartEngine(addr netip.AddrPort, cfg EngineConfig) (*Engine, error) {
-	h, err := newHost(addr)
+	h, err := newHTTPServer(addr)
 	if err != nil {
 		return nil, err
 	}
 	e := &Engine{
-		host:  h,
-		cfg:   cfg,
-		cache: newCache(cfg.CacheTokens, time.Duration(cfg.EventLagMS)*time.Millisecond),
-		slots: newLane(cfg.Slots),
-		lane:  newLane(1),
-		state: upstream.EngineState{Model: cfg.Model, Weights: cfg.Weights},
-		boot:  uint64(time.Now().UnixNano()),
-		runs:  map[string]int{},
+		httpServer: h,
+		cfg:        cfg,
+		cache:      newPrefixCache(cfg.CacheTokens, time.Duration(cfg.EventLagMS)*time.Millisecond),
+		slots:      newSemaphore(cfg.Slots),
+		prefill:    newSemaphore(1),
+		state:      upstream.EngineState{Model: cfg.Model, Weights: cfg.Weights},
+		bootEpoch:  uint64(time.Now().UnixNano()),
+		runs:       map[string]int{},
 	}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
-	e.link = newLink(cfg.LinkRate, func() float64 { return h.faults.get().LinkFactor })
-	e.load = newLaggingLoad(time.Duration(cfg.ReportLagMS)*time.Millisecond, e.report)
+	e.link = newLink(cfg.LinkRate, func() float64 { return h.fault.get().LinkFactor })
+	e.load = newDelayedLoad(time.Duration(cfg.ReportLagMS)*time.Millisecond, e.currentLoad)
 	h.onFault = e.applyFault
 	h.router.POST(upstream.PathRun, e.run)
 	h.router.GET(upstream.PathLoad, e.serveLoad)
@@ -106,7 +108,7 @@
 	h.router.GET(upstream.PathCacheBlocks, e.serveBlocks)
 	h.router.POST(upstream.PathImport, e.importBlocks)
 	h.router.POST(upstream.PathExport, e.exportBlocks)
-	h.router.POST(upstream.PathOrders, e.order)
+	h.router.POST(upstream.PathOrders, e.executeOrder)
 	h.router.GET(upstream.PathOrders, e.serveState)
 	h.router.GET("/runs", e.serveRuns)
 	h.start()
@@ -115,10 +117,10 @@
 
 // EngineStats counts what an engine has done.
 type EngineStats struct {
-	Computed int64 // Prompt tokens.
-	Reused   int64 // Prompt tokens.
+	Computed int64 // Prompt tokens that went through prefill.
+	Reused   int64 // Prompt tokens that were cached.
 	Moved    int64 // Bytes over its link.
-	Refused  int   // Stale orders.
+	Refused  int   // Orders that were stale.
 	State    upstream.EngineState
 }
 
@@ -127,39 +129,39 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return EngineStats{
-		Computed: e.computed,
-		Reused:   e.reused,
-		Moved:    e.link.moved.Load(),
-		Refused:  e.refused,
+		Computed: e.computedTokens,
+		Reused:   e.reusedTokens,
+		Moved:    e.link.movedBytes.Load(),
+		Refused:  e.refusedOrders,
 		State:    e.state,
 	}
 }
 
-// Runs is how often a prompt was run.
+// Runs returns how often a prompt was run.
 func (e *Engine) Runs(text string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[text]
 }
 
-// Evict empties the prefix cache, as if other prompts had pushed it out.
+// Evict empties the prefix cache, as if other prompts had evicted its blocks.
 func (e *Engine) Evict() { e.cache.clear() }
 
-// Close breaks off runs and waits.
+// Close cancels runs and waits for them.
 func (e *Engine) Close() {
 	e.cancel()
-	e.host.Close()
+	e.httpServer.Close()
 }
 
 func (e *Engine) applyFault(f Fault) {
-	e.cache.skipEvents(f.SkipEvents)
+	e.cache.setSkipEvents(f.SkipEvents)
 	if !f.Restart {
 		return
 	}
 	e.cache.clear()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.boot++
+	e.bootEpoch++
 }
 
 func (e *Engine) serveRuns(c *fasthttp.RequestCtx) {
@@ -168,24 +170,24 @@
 	reply(c, http.StatusOK, e.runs)
 }
 
-// report is the load as it is now.
-func (e *Engine) report() upstream.LoadReport {
+// currentLoad returns the load at this moment.
+func (e *Engine) currentLoad() upstream.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return upstream.LoadReport{
-		Boot:         e.boot,
+		Boot:         e.bootEpoch,
 		Slots:        e.cfg.Slots,
 		Running:      int(e.running.Load()),
-		Queued:       e.slots.queued(),
-		PrefillQueue: int(e.backlog.Load()),
+		Queued:       e.slots.waiterCount(),
+		PrefillQueue: int(e.prefillBacklog.Load()),
 		PrefillRate:  e.cfg.PrefillRate,
 		DecodeMillis: e.cfg.DecodeMS,
 		LinkRate:     e.cfg.LinkRate,
-		LinkQueue:    e.link.queue.Load(),
+		LinkQueue:    e.link.queuedBytes.Load(),
 		TokenBytes:   e.cfg.TokenBytes,
 		Model:        e.state.Model,
 		Weights:      e.state.Weights,
-		Leaving:      e.faults.get().Leaving,
+		Leaving:      e.fault.get().Leaving,
 	}
 }
 
--- a/internal/standin/engine_cache.go
+++ b/internal/standin/engine_cache.go
@@ -9,174 +9,177 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// maxEvents is how many events are kept; whoever is further behind sees a gap.
-const maxEvents = 20_000
-
-// cache is a prefix cache of limited size that evicts the least recently used
-// block and publishes late events.
-type cache struct {
-	mu       sync.Mutex
-	capacity int // Blocks.
-	lag      time.Duration
-	skip     bool
-	blocks   map[prompt.Key]*list.Element
-	order    *list.List // Front is the most recently used.
-	seq      uint64
-	events   []timedEvent
-	holds    map[string][]prompt.Key // Imported blocks that a request will use.
-	held     map[prompt.Key]int      // By how many.
+// maxKeptEvents is how many events are kept; a reader further behind sees a gap.
+const maxKeptEvents = 20_000
+
+// prefixCache is a prefix cache of limited size that evicts the least recently
+// used block and publishes its events after a delay.
+type prefixCache struct {
+	mu            sync.Mutex
+	capacity      int // In blocks.
+	eventDelay    time.Duration
+	skipEvents    bool
+	blocks        map[prompt.Key]*list.Element
+	recentlyUsed  *list.List // Front is the most recently used.
+	seq           uint64
+	events        []timedEvent
+	heldByRequest map[string][]prompt.Key // Imported blocks by the id of the request they are for.
+	holdCount     map[prompt.Key]int      // Number of requests that hold each block.
 }
 
 type timedEvent struct {
 	upstream.CacheEvent
-	at time.Time
+	publishedAt time.Time
 }
 
-func newCache(tokens int, lag time.Duration) *cache {
-	return &cache{
-		capacity: max(1, tokens/prompt.ChunkTokens),
-		lag:      lag,
-		blocks:   map[prompt.Key]*list.Element{},
-		order:    list.New(),
-		holds:    map[string][]prompt.Key{},
-		held:     map[prompt.Key]int{},
+func newPrefixCache(tokens int, eventDelay time.Duration) *prefixCache {
+	return &prefixCache{
+		capacity:      max(1, tokens/prompt.ChunkTokens),
+		eventDelay:    eventDelay,
+		blocks:        map[prompt.Key]*list.Element{},
+		recentlyUsed:  list.New(),
+		heldByRequest: map[string][]prompt.Key{},
+		holdCount:     map[prompt.Key]int{},
 	}
 }
 
-// holdTerm is how long imported blocks wait for their request.
-const holdTerm = 10 * time.Second
+// maxHold is how long imported blocks are kept for their request.
+const maxHold = 10 * time.Second
 
-// hold keeps imported blocks from eviction until their request has used them;
-// it returns false if there is no room for them beside what is held already.
-func (c *cache) hold(request string, keys []prompt.Key) bool {
+// hold protects imported blocks from eviction until their request has used them;
+// it returns false if they do not fit beside the blocks already held.
+func (c *prefixCache) hold(request string, keys []prompt.Key) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.held)+len(keys) > c.capacity {
+	if len(c.holdCount)+len(keys) > c.capacity {
 		return false
 	}
-	c.holds[request] = keys
+	c.heldByRequest[request] = keys
 	for _, k := range keys {
-		c.held[k]++
+		c.holdCount[k]++
 	}
-	time.AfterFunc(holdTerm, func() { c.unhold(request) })
+	time.AfterFunc(maxHold, func() { c.unhold(request) })
 	return true
 }
 
-func (c *cache) unhold(request string) {
+func (c *prefixCache) unhold(request string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.holds[request] {
-		if c.held[k]--; c.held[k] == 0 {
-			delete(c.held, k)
+	for _, k := range c.heldByRequest[request] {
+		if c.holdCount[k]--; c.holdCount[k] == 0 {
+			delete(c.holdCount, k)
 		}
 	}
-	delete(c.holds, request)
+	delete(c.heldByRequest, request)
 }
 
-func (c *cache) skipEvents(skip bool) {
+func (c *prefixCache) setSkipEvents(skip bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.skip = skip
+	c.skipEvents = skip
 }
 
-// match returns how many of the keys, from the first, are held, and marks them
-// as used.
-func (c *cache) match(keys []prompt.Key) int {
+// matchPrefix returns how many of the keys, from the first, are cached, and marks
+// them as used.
+func (c *prefixCache) matchPrefix(keys []prompt.Key) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for n < len(keys) && c.blocks[keys[n]] != nil {
 		n++
 	}
-	// The chain's end is evicted before its beginning.
+	// The blocks at the end of the chain become the first to be evicted.
 	for i := n - 1; i >= 0; i-- {
-		c.order.MoveToFront(c.blocks[keys[i]])
+		c.recentlyUsed.MoveToFront(c.blocks[keys[i]])
 	}
 	return n
 }
 
-// add takes in the blocks of a chain from its start.
-func (c *cache) add(salt prompt.Key, keys []prompt.Key) {
+// add stores the blocks of a chain, from its start, and evicts others beyond the
+// capacity.
+func (c *prefixCache) add(salt prompt.Key, keys []prompt.Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	parent := salt
 	for i, key := range keys {
 		if c.blocks[key] == nil {
 			b := upstream.CacheEvent{Key: key, Parent: parent, Position: i + 1}
-			c.blocks[key] = c.order.PushFront(b)
+			c.blocks[key] = c.recentlyUsed.PushFront(b)
 			c.publish(b)
 		}
 		parent = key
 	}
 	for i := len(keys) - 1; i >= 0; i-- {
 		if el := c.blocks[keys[i]]; el != nil {
-			c.order.MoveToFront(el)
+			c.recentlyUsed.MoveToFront(el)
 		}
 	}
-	for el := c.order.Back(); el != nil && c.order.Len() > c.capacity; {
-		before := el.Prev()
-		if c.held[el.Value.(upstream.CacheEvent).Key] == 0 { // The list holds nothing else.
+	for el := c.recentlyUsed.Back(); el != nil && c.recentlyUsed.Len() > c.capacity; {
+		previous := el.Prev()
+		if c.holdCount[el.Value.(upstream.CacheEvent).Key] == 0 { // The list holds only this type.
 			c.evict(el)
 		}
-		el = before
+		el = previous
 	}
 }
 
-func (c *cache) evict(el *list.Element) {
-	b := c.order.Remove(el).(upstream.CacheEvent) // The list holds nothing else.
+func (c *prefixCache) evict(el *list.Element) {
+	b := c.recentlyUsed.Remove(el).(upstream.CacheEvent) // The list holds only this type.
 	delete(c.blocks, b.Key)
 	b.Removed = true
 	c.publish(b)
 }
 
-func (c *cache) clear() {
+func (c *prefixCache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.order.Len() > 0 {
-		c.evict(c.order.Back())
+	for c.recentlyUsed.Len() > 0 {
+		c.evict(c.recentlyUsed.Back())
 	}
 }
 
-// publish gives a change its number; a skipped event's number is used up.
-func (c *cache) publish(b upstream.CacheEvent) {
+// publish numbers and records a change; a skipped event uses up its number.
+func (c *prefixCache) publish(b upstream.CacheEvent) {
 	c.seq++
-	if c.skip {
+	if c.skipEvents {
 		return
 	}
 	b.Seq = c.seq
-	c.events = append(c.events, timedEvent{CacheEvent: b, at: time.Now()})
-	if len(c.events) > maxEvents {
-		c.events = c.events[len(c.events)-maxEvents/2:]
+	c.events = append(c.events, timedEvent{CacheEvent: b, publishedAt: time.Now()})
+	if len(c.events) > maxKeptEvents {
+		c.events = c.events[len(c.events)-maxKeptEvents/2:]
 	}
 }
 
-// since returns the events after a number that are old enough to be published.
-func (c *cache) since(after uint64) (last uint64, list []upstream.CacheEvent) {
+// eventsSince returns the events after a number that are old enough to be
+// visible.
+func (c *prefixCache) eventsSince(after uint64) (last uint64, events []upstream.CacheEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last = after
-	visible := time.Now().Add(-c.lag)
+	publishedBefore := time.Now().Add(-c.eventDelay)
 	for _, ev := range c.events {
-		if ev.Seq > after && ev.at.Before(visible) {
-			list = append(list, ev.CacheEvent)
+		if ev.Seq > after && ev.publishedAt.Before(publishedBefore) {
+			events = append(events, ev.CacheEvent)
 			last = ev.Seq
 		}
 	}
-	return last, list
+	return last, events
 }
 
-func (c *cache) all() (seq uint64, list []upstream.CacheEvent) {
+// allBlocks returns all cached blocks and the number of the last event.
+func (c *prefixCache) allBlocks() (seq uint64, blocks []upstream.CacheEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for el := c.order.Front(); el != nil; el = el.Next() {
-		list = append(list, el.Value.(upstream.CacheEvent)) // The list holds nothing else.
+	for el := c.recentlyUsed.Front(); el != nil; el = el.Next() {
+		blocks = append(blocks, el.Value.(upstream.CacheEvent)) // The list holds only this type.
 	}
-	return c.seq, list
+	return c.seq, blocks
 }
 
 // chain returns the keys from a chain's start to the block at tail, or nil if
-// one is gone.
-func (c *cache) chain(tail prompt.Key, chunks int) []prompt.Key {
+// one of them is no longer cached.
+func (c *prefixCache) chain(tail prompt.Key, chunks int) []prompt.Key {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	keys := make([]prompt.Key, chunks)
@@ -187,7 +190,7 @@
 			return nil
 		}
 		keys[i] = key
-		key = el.Value.(upstream.CacheEvent).Parent // The list holds nothing else.
+		key = el.Value.(upstream.CacheEvent).Parent // The list holds only this type.
 	}
 	return keys
 }
--- a/internal/standin/engine_load.go
+++ b/internal/standin/engine_load.go
@@ -7,29 +7,30 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// laggingLoad reports a load as it was some time ago.
-type laggingLoad struct {
-	lag time.Duration
-	now func() upstream.LoadReport
+// delayedLoad reports a load that may be out of date by refreshInterval.
+type delayedLoad struct {
+	refreshInterval time.Duration
+	measure         func() upstream.LoadReport
 
-	mu    sync.Mutex
-	at    time.Time
-	taken upstream.LoadReport
+	mu         sync.Mutex
+	reportTime time.Time
+	report     upstream.LoadReport
 }
 
-func newLaggingLoad(lag time.Duration, now func() upstream.LoadReport) *laggingLoad {
-	return &laggingLoad{lag: lag, now: now}
+func newDelayedLoad(refreshInterval time.Duration, measure func() upstream.LoadReport) *delayedLoad {
+	return &delayedLoad{refreshInterval: refreshInterval, measure: measure}
 }
 
-// get takes a new report only when the last is older than the lag.
-func (l *laggingLoad) get() upstream.LoadReport {
+// get measures the load again only when the last report is older than
+// refreshInterval.
+func (l *delayedLoad) get() upstream.LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.at.IsZero() || time.Since(l.at) > l.lag {
-		l.taken = l.now()
-		l.at = time.Now()
+	if l.reportTime.IsZero() || time.Since(l.reportTime) > l.refreshInterval {
+		l.report = l.measure()
+		l.reportTime = time.Now()
 	}
-	r := l.taken
-	r.AgeMillis = time.Since(l.at).Milliseconds()
-	return r
+	report := l.report
+	report.AgeMillis = time.Since(l.reportTime).Milliseconds()
+	return report
 }
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -9,9 +9,9 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// order carries out an order; unless the engine is unfenced, one that is not
-// newer than the last is refused.
-func (e *Engine) order(c *fasthttp.RequestCtx) {
+// executeOrder executes an order; unless the engine is unfenced, it refuses an
+// order that is not newer than the last.
+func (e *Engine) executeOrder(c *fasthttp.RequestCtx) {
 	var o upstream.Order
 	if !decode(c, &o) {
 		return
@@ -20,7 +20,7 @@
 	defer e.mu.Unlock()
 	stale := o.Epoch < e.state.Epoch || (o.Epoch == e.state.Epoch && o.Seq <= e.state.Seq)
 	if stale && !e.cfg.Unfenced {
-		e.refused++
+		e.refusedOrders++
 		refuse(c, upstream.ReasonFence)
 		return
 	}
@@ -29,8 +29,8 @@
 		return
 	}
 	e.state.Model, e.state.Weights, e.state.Loading = o.Model, o.Weights, true
-	// Blocks of the old weights may not serve new runs; runs under way have
-	// theirs already.
+	// New runs must not use blocks of the old weights; runs in progress
+	// already have theirs.
 	e.cache.clear()
 	weights := o.Weights
 	time.AfterFunc(time.Duration(e.cfg.LoadMS)*time.Millisecond, func() {
--- a/internal/standin/engine_run.go
+++ b/internal/standin/engine_run.go
@@ -17,7 +17,8 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// run serves one prompt: a slot, prefill of what is not cached, then tokens.
+// run serves one prompt: it waits for a slot, prefills what is not cached and
+// then generates tokens.
 func (e *Engine) run(c *fasthttp.RequestCtx) {
 	var req upstream.RunRequest
 	if !decode(c, &req) {
@@ -30,17 +31,17 @@
 	case req.Model != state.Model || req.Weights != state.Weights || state.Loading:
 		refuse(c, upstream.ReasonWeights)
 		return
-	case e.slots.queued() >= e.cfg.MaxQueue:
+	case e.slots.waiterCount() >= e.cfg.MaxQueue:
 		refuse(c, upstream.ReasonFull)
 		return
 	}
-	if end := e.cfg.EndUnder; end != "" && strings.Contains(req.Prompt, end) {
+	if exitText := e.cfg.ExitOnText; exitText != "" && strings.Contains(req.Prompt, exitText) {
 		os.Exit(1)
 	}
 	e.mu.Lock()
 	e.runs[req.Prompt]++
 	e.mu.Unlock()
-	f := e.faults.get()
+	f := e.fault.get()
 	id := req.RequestID
 	if f.CrossAnswers {
 		id = "crossed-" + id
@@ -59,7 +60,7 @@
 	})
 }
 
-// engineRun is one run of an engine.
+// engineRun is one run of a prompt on an engine.
 type engineRun struct {
 	engine     *Engine
 	req        upstream.RunRequest
@@ -72,50 +73,50 @@
 	e := r.engine
 	keys := prompt.Keys(r.req.CacheSalt, r.req.Prompt)
 	tokens := prompt.TokenCount(r.req.Prompt)
-	e.backlog.Add(int64(tokens))
-	waiting := int64(tokens)
-	defer func() { e.backlog.Add(-waiting) }()
-	if !e.slots.enter(ctx, r.req.Priority) {
+	e.prefillBacklog.Add(int64(tokens))
+	backlog := int64(tokens)
+	defer func() { e.prefillBacklog.Add(-backlog) }()
+	if !e.slots.acquire(ctx, r.req.Priority) {
 		return
 	}
-	defer e.slots.leave()
+	defer e.slots.release()
 	e.running.Add(1)
 	defer e.running.Add(-1)
-	if !e.lane.enter(ctx, r.req.Priority) {
+	if !e.prefill.acquire(ctx, r.req.Priority) {
 		return
 	}
-	cached := e.cache.match(keys) * prompt.ChunkTokens
+	cached := e.cache.matchPrefix(keys) * prompt.ChunkTokens
 	e.cache.unhold(r.req.RequestID)
-	e.backlog.Add(int64(-cached))
-	waiting -= int64(cached)
+	e.prefillBacklog.Add(int64(-cached))
+	backlog -= int64(cached)
 	ok := sleep(ctx, time.Duration(float64(tokens-cached)/e.cfg.PrefillRate*float64(time.Second)))
-	e.lane.leave()
-	e.backlog.Add(-waiting)
-	waiting = 0
+	e.prefill.release()
+	e.prefillBacklog.Add(-backlog)
+	backlog = 0
 	if !ok {
 		return
 	}
 	e.cache.add(r.req.CacheSalt, keys)
 	e.mu.Lock()
-	e.computed += int64(tokens - cached)
-	e.reused += int64(cached)
+	e.computedTokens += int64(tokens - cached)
+	e.reusedTokens += int64(cached)
 	e.mu.Unlock()
 	r.decode(ctx, cached)
 }
 
-// decode sends the answer's tokens; a caller who is gone ends it.
+// decode sends the answer's tokens; it ends when the client has disconnected.
 func (r *engineRun) decode(ctx context.Context, cached int) {
-	base := xxhash.Sum64String(r.req.Prompt)
-	gap := time.Duration(r.engine.cfg.DecodeMS * float64(time.Millisecond))
+	promptHash := xxhash.Sum64String(r.req.Prompt)
+	interval := time.Duration(r.engine.cfg.DecodeMS * float64(time.Millisecond))
 	for i := r.req.ResumeAfter; i < r.req.MaxTokens; i++ {
 		if r.breakAfter > 0 && i-r.req.ResumeAfter >= r.breakAfter {
 			return
 		}
-		ev := upstream.Event{RequestID: r.id, Index: i, Text: AnswerToken(base, i)}
+		ev := upstream.Event{RequestID: r.id, Index: i, Text: AnswerToken(promptHash, i)}
 		if i == r.req.ResumeAfter {
 			ev.CachedTokens = cached
 		}
-		if !r.send(ev) || !sleep(ctx, gap) {
+		if !r.send(ev) || !sleep(ctx, interval) {
 			return
 		}
 	}
@@ -127,20 +128,20 @@
 	if err != nil {
 		return false
 	}
-	_, _ = fmt.Fprintf(r.w, "data: %s\n\n", data) // Flush reports it.
+	_, _ = fmt.Fprintf(r.w, "data: %s\n\n", data) // Flush returns the error.
 	return r.w.Flush() == nil
 }
 
 func (e *Engine) serveEvents(c *fasthttp.RequestCtx) {
-	last, events := e.cache.since(uint64(c.QueryArgs().GetUintOrZero("after")))
+	last, events := e.cache.eventsSince(uint64(c.QueryArgs().GetUintOrZero("after")))
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(c, http.StatusOK, upstream.CacheEvents{Boot: e.boot, Last: last, Events: events})
+	reply(c, http.StatusOK, upstream.CacheEvents{Boot: e.bootEpoch, Last: last, Events: events})
 }
 
 func (e *Engine) serveBlocks(c *fasthttp.RequestCtx) {
-	seq, blocks := e.cache.all()
+	seq, blocks := e.cache.allBlocks()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(c, http.StatusOK, upstream.CacheBlocks{Boot: e.boot, Seq: seq, Blocks: blocks})
+	reply(c, http.StatusOK, upstream.CacheBlocks{Boot: e.bootEpoch, Seq: seq, Blocks: blocks})
 }
--- a/internal/standin/engine_transfer.go
+++ b/internal/standin/engine_transfer.go
@@ -12,24 +12,27 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// transferChunks is how many blocks move in one message.
-const transferChunks = 64
+// blocksPerMessage is how many blocks are sent in one message.
+const blocksPerMessage = 64
 
-const pinTerm = 30 * time.Second
+// pinDuration is how long an import pins an object.
+const pinDuration = 30 * time.Second
 
+// blockBytes returns the size of this many blocks.
 func (e *Engine) blockBytes(chunks int) int64 {
 	return int64(chunks) * prompt.ChunkTokens * int64(e.cfg.TokenBytes)
 }
 
-// importBlocks fetches kept state: pin, read, verify, take in.
+// importBlocks copies KV cache blocks from a store: it pins the object, reads and
+// verifies the blocks and adds them to the cache.
 func (e *Engine) importBlocks(c *fasthttp.RequestCtx) {
 	var o upstream.ImportOrder
 	if !decode(c, &o) {
 		return
 	}
 	start := time.Now()
-	wait := time.Duration(o.WaitMillis) * time.Millisecond
-	ctx, cancel := context.WithTimeout(e.ctx, wait)
+	timeout := time.Duration(o.WaitMillis) * time.Millisecond
+	ctx, cancel := context.WithTimeout(e.ctx, timeout)
 	defer cancel()
 	e.mu.Lock()
 	weights := e.state.Weights
@@ -45,14 +48,14 @@
 		Generation: o.Object.Generation,
 		Epoch:      o.Object.Epoch,
 		Reader:     o.RequestID,
-		Millis:     pinTerm.Milliseconds(),
+		Millis:     pinDuration.Milliseconds(),
 	}
 	if err := store.Call(ctx, http.MethodPost, upstream.PathStorePin, pin, nil); err != nil {
 		refuse(c, upstream.ReasonGone)
 		return
 	}
 	defer func() {
-		_ = store.Call(e.ctx, http.MethodPost, upstream.PathStoreUnpin, pin, nil) // The pin ends by itself.
+		_ = store.Call(e.ctx, http.MethodPost, upstream.PathStoreUnpin, pin, nil) // A pin that is not removed expires.
 	}()
 	blocks, load, reason := e.fetch(ctx, store, o)
 	if reason != "" {
@@ -72,36 +75,36 @@
 	})
 }
 
-// fetch reads the wanted blocks; it gives a reason if it can't.
+// fetch reads the blocks of an order; if it fails, it returns the reason.
 func (e *Engine) fetch(
 	ctx context.Context,
 	store *httpjson.Client,
 	o upstream.ImportOrder,
 ) (blocks []prompt.Key, load upstream.StoreLoad, reason string) {
-	// The engine's link takes a part in while the store sends the next.
-	taken := make(chan bool, 1)
-	taken <- true
-	for from := 0; from < o.Chunks; from += transferChunks {
+	// The engine's link receives a part while the store sends the next.
+	linkDone := make(chan bool, 1)
+	linkDone <- true
+	for from := 0; from < o.Chunks; from += blocksPerMessage {
 		req := upstream.GetBlocks{
 			Key:        o.Object.Key,
 			Generation: o.Object.Generation,
 			Epoch:      o.Object.Epoch,
 			Reader:     o.RequestID,
 			From:       from,
-			Count:      min(transferChunks, o.Chunks-from),
+			Count:      min(blocksPerMessage, o.Chunks-from),
 		}
 		var part upstream.Blocks
 		if err := store.Call(ctx, http.MethodPost, upstream.PathStoreGet, req, &part); err != nil {
 			return nil, load, upstream.ReasonGone
 		}
-		if !<-taken {
+		if !<-linkDone {
 			return nil, load, upstream.ReasonGone
 		}
-		go func() { taken <- e.link.move(ctx, e.blockBytes(len(part.Blocks)), priorityImport) }()
+		go func() { linkDone <- e.link.move(ctx, e.blockBytes(len(part.Blocks)), priorityImport) }()
 		blocks = append(blocks, part.Blocks...)
 		load = part.Load
 	}
-	if !<-taken {
+	if !<-linkDone {
 		return nil, load, upstream.ReasonGone
 	}
 	if len(blocks) != o.Chunks {
@@ -113,7 +116,7 @@
 	return blocks, load, ""
 }
 
-// exportBlocks copies kept state to a store: begin, put, seal.
+// exportBlocks copies KV cache blocks to a store: begin, put, seal.
 func (e *Engine) exportBlocks(c *fasthttp.RequestCtx) {
 	var o upstream.ExportOrder
 	if !decode(c, &o) {
@@ -133,8 +136,8 @@
 		refuse(c, upstream.ReasonNoSpace)
 		return
 	}
-	for from := 0; from < len(keys); from += transferChunks {
-		part := keys[from:min(from+transferChunks, len(keys))]
+	for from := 0; from < len(keys); from += blocksPerMessage {
+		part := keys[from:min(from+blocksPerMessage, len(keys))]
 		put := upstream.PutBlocks{Key: o.Key, Generation: obj.Generation, Blocks: part, Bytes: e.blockBytes(len(part))}
 		if !e.link.move(e.ctx, put.Bytes, priorityExport) ||
 			store.Call(e.ctx, http.MethodPost, upstream.PathStorePut, put, nil) != nil {
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -5,76 +5,81 @@
 	"time"
 )
 
-// Fault is what a stand-in does wrong, until the next one is set.
+// Fault describes what a stand-in does wrong until the next Fault is set.
 type Fault struct {
 	// LatencyMillis is added to each answer.
 	LatencyMillis int64 `json:"latency_ms"`
-	// HoldMillis is for how long a plain service works on each call.
+	// HoldMillis is how long a plain service takes to execute each call.
 	HoldMillis int64 `json:"hold_ms"`
-	// Down closes each connection without an answer, and nothing takes effect.
+	// Down closes each connection without an answer and without executing the
+	// call.
 	Down bool `json:"down"`
-	// LoseAnswers is how many of the next calls take effect unanswered.
+	// LoseAnswers is how many of the next calls are executed but not answered.
 	LoseAnswers int `json:"lose_answers"`
-	// LateMillis is after how long the calls of LoseAnswers take effect.
+	// LateMillis delays the execution of the calls of LoseAnswers.
 	LateMillis int64 `json:"late_ms"`
 	// Path limits the fault to one path.
 	Path string `json:"path"`
-	// LinkFactor multiplies link rates, 0 for 1.
+	// LinkFactor multiplies link rates; 0 leaves them unchanged.
 	LinkFactor float64 `json:"link_factor"`
-	// BreakAfter has an engine break off runs after so many tokens, 0 for not.
+	// BreakAfter makes an engine cut off each answer after this many tokens; 0
+	// disables it.
 	BreakAfter int `json:"break_after"`
-	// SkipEvents has an engine drop all further cache events unannounced.
+	// SkipEvents makes an engine drop all further cache events; only their
+	// missing numbers show it.
 	SkipEvents bool `json:"skip_events"`
-	// CrossAnswers has an engine answer under a wrong request id.
+	// CrossAnswers makes an engine answer with a wrong request id.
 	CrossAnswers bool `json:"cross_answers"`
-	// PartialPut has a store lose the last block of each object put into it.
+	// PartialPut makes a store lose the last block of each object written to it.
 	PartialPut bool `json:"partial_put"`
-	// Restart clears what the stand-in holds and starts a new boot epoch.
+	// Restart clears the stand-in's contents and starts a new boot epoch.
 	Restart bool `json:"restart"`
-	// Leaving says the VM is leaving.
+	// Leaving makes the stand-in report that its VM is leaving.
 	Leaving bool `json:"leaving"`
 }
 
-// faults is the current Fault of one stand-in.
-type faults struct {
-	mu sync.Mutex
-	f  Fault
+// currentFault is the Fault in effect at one stand-in.
+type currentFault struct {
+	mu    sync.Mutex
+	fault Fault
 }
 
-func (s *faults) set(f Fault) {
+func (s *currentFault) set(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.f = f
+	s.fault = f
 }
 
-func (s *faults) get() Fault {
+func (s *currentFault) get() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.f
+	return s.fault
 }
 
-// verdict says what happens to one call.
-type verdict struct {
-	wait time.Duration
-	drop bool // No effect and no answer.
-	lose bool // Effect, no answer.
-	late time.Duration
+// faultEffect describes how a fault affects one call.
+type faultEffect struct {
+	latency        time.Duration
+	dropCall       bool // Neither executed nor answered.
+	loseAnswer     bool // Executed but not answered.
+	executionDelay time.Duration
 }
 
-func (s *faults) judge(path string) verdict {
+// applyTo returns how the fault affects a call of path, and counts the call
+// towards LoseAnswers.
+func (s *currentFault) applyTo(path string) faultEffect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.f.Path != "" && s.f.Path != path {
-		return verdict{}
+	if s.fault.Path != "" && s.fault.Path != path {
+		return faultEffect{}
 	}
-	v := verdict{
-		wait: time.Duration(s.f.LatencyMillis) * time.Millisecond,
-		drop: s.f.Down,
+	effect := faultEffect{
+		latency:  time.Duration(s.fault.LatencyMillis) * time.Millisecond,
+		dropCall: s.fault.Down,
 	}
-	if !v.drop && s.f.LoseAnswers > 0 {
-		s.f.LoseAnswers--
-		v.lose = true
-		v.late = time.Duration(s.f.LateMillis) * time.Millisecond
+	if !effect.dropCall && s.fault.LoseAnswers > 0 {
+		s.fault.LoseAnswers--
+		effect.loseAnswer = true
+		effect.executionDelay = time.Duration(s.fault.LateMillis) * time.Millisecond
 	}
-	return v
+	return effect
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -6,63 +6,65 @@
 	"time"
 )
 
-// linkSlice is how long a transfer holds a link before others get a turn.
+// linkSlice is how long a transfer occupies a link before others get a turn.
 const linkSlice = 5 * time.Millisecond
 
-// link is a connection of limited rate, shared in slices by priority.
+// link models a network link of limited rate that transfers share in time
+// slices, by priority.
 type link struct {
-	lane   *lane
-	rate   float64 // Bytes a second.
-	factor func() float64
-	queue  atomic.Int64 // Bytes not yet moved that go before a new import.
-	moved  atomic.Int64
-	busy   atomic.Int64 // Nanoseconds.
+	semaphore   *semaphore
+	rate        float64 // Bytes per second.
+	rateFactor  func() float64
+	queuedBytes atomic.Int64 // Bytes of imports that are still to be moved.
+	movedBytes  atomic.Int64
+	busyNanos   atomic.Int64
 }
 
-func newLink(rate float64, factor func() float64) *link {
-	return &link{lane: newLane(1), rate: rate, factor: factor}
+func newLink(rate float64, rateFactor func() float64) *link {
+	return &link{semaphore: newSemaphore(1), rate: rate, rateFactor: rateFactor}
 }
 
-// move takes as long as the bytes need; it returns false if ctx ends first.
+// move blocks for as long as the link needs for the bytes; it returns false if
+// ctx ends first.
 func (l *link) move(ctx context.Context, bytes int64, priority int) bool {
-	left := bytes
+	remaining := bytes
 	if priority >= priorityImport {
-		l.queue.Add(bytes)
-		defer func() { l.queue.Add(-left) }()
+		l.queuedBytes.Add(bytes)
+		defer func() { l.queuedBytes.Add(-remaining) }()
 	}
-	for left > 0 {
-		if priority < priorityImport && l.queue.Load() > 0 {
-			// An import is under way; taking turns with it would halve its rate.
+	for remaining > 0 {
+		if priority < priorityImport && l.queuedBytes.Load() > 0 {
+			// Alternating with an import in progress would halve its rate.
 			if !sleep(ctx, linkSlice) {
 				return false
 			}
 			continue
 		}
-		if !l.lane.enter(ctx, priority) {
+		if !l.semaphore.acquire(ctx, priority) {
 			return false
 		}
-		rate := l.current()
-		part := min(left, max(1, int64(rate*linkSlice.Seconds())))
+		rate := l.currentRate()
+		part := min(remaining, max(1, int64(rate*linkSlice.Seconds())))
 		start := time.Now()
 		ok := sleep(ctx, time.Duration(float64(part)/rate*float64(time.Second)))
-		l.busy.Add(int64(time.Since(start)))
-		// A sleep that was too long has moved more than its part.
-		part = min(left, max(part, int64(rate*time.Since(start).Seconds())))
-		l.lane.leave()
+		l.busyNanos.Add(int64(time.Since(start)))
+		// A sleep that overran counts for all bytes the link moves in that time.
+		part = min(remaining, max(part, int64(rate*time.Since(start).Seconds())))
+		l.semaphore.release()
 		if !ok {
 			return false
 		}
-		left -= part
+		remaining -= part
 		if priority >= priorityImport {
-			l.queue.Add(-part)
+			l.queuedBytes.Add(-part)
 		}
-		l.moved.Add(part)
+		l.movedBytes.Add(part)
 	}
 	return true
 }
 
-func (l *link) current() float64 {
-	if f := l.factor(); f > 0 {
+func (l *link) currentRate() float64 {
+	if f := l.rateFactor(); f > 0 {
 		return l.rate * f
 	}
 	return l.rate
--- a/internal/standin/main.go
+++ b/internal/standin/main.go
@@ -12,15 +12,15 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// options are the command line of a stand-in process.
+// options are the command-line flags of a stand-in process.
 type options struct {
 	Kind   string `long:"kind" required:"true" choice:"engine" choice:"store" choice:"service" choice:"table" choice:"objects" choice:"vms"`
 	Listen string `long:"listen" default:"127.0.0.1:0"`
 	Config string `long:"config" default:"{}" description:"JSON of the engine's or store's sizes, over the defaults"`
 }
 
-// process is what every stand-in can do.
-type process interface {
+// standIn is implemented by every kind of stand-in.
+type standIn interface {
 	Addr() netip.AddrPort
 	Close()
 }
@@ -29,24 +29,24 @@
 func Main(args []string, out, errOut io.Writer) int {
 	var o options
 	if _, err := flags.ParseArgs(&o, args); err != nil {
-		_, _ = fmt.Fprintln(errOut, err) // There is nowhere else to say it.
+		_, _ = fmt.Fprintln(errOut, err) // A failed write cannot be reported.
 		return 2
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	defer signal.Stop(signals)
-	p, err := start(o)
+	s, err := start(o)
 	if err != nil {
-		_, _ = fmt.Fprintln(errOut, err) // There is nowhere else to say it.
+		_, _ = fmt.Fprintln(errOut, err) // A failed write cannot be reported.
 		return 1
 	}
-	_, _ = fmt.Fprintln(out, p.Addr()) // There is nowhere else to say it.
+	_, _ = fmt.Fprintln(out, s.Addr()) // A failed write cannot be reported.
 	<-signals
-	p.Close()
+	s.Close()
 	return 0
 }
 
-func start(o options) (process, error) {
+func start(o options) (standIn, error) {
 	addr, err := netip.ParseAddrPort(o.Listen)
 	if err != nil {
 		return nil, err
--- a/internal/standin/nodes.go
+++ b/internal/standin/nodes.go
@@ -7,13 +7,13 @@
 	"github.com/drumpath/drumpath/pkg/config"
 )
 
-// Secrets of the nodes of a trial.
+// Secrets shared by the nodes of a test site.
 const (
 	PeerKey       = "trial-peer-key"
 	OperatorToken = "trial-operator-token"
 )
 
-// NodeSettings are settings for a node of a trial at this site.
+// NodeSettings returns settings for a test node at this site.
 func (s *Site) NodeSettings(name string, seeds ...netip.AddrPort) (cfg config.Settings, err error) {
 	cfg = config.Defaults()
 	cfg.Node = config.NodeSettings{Name: name, DataHall: "north"}
@@ -23,8 +23,8 @@
 	cfg.Platform.Table = s.Table.Addr()
 	cfg.Platform.Object = s.Objects.Addr()
 	cfg.Platform.VMs = s.VMs.Addr()
-	cfg.Peer.ProbeEvery = config.Duration(trialProbe)
-	cfg.Entry.MaxAge = config.Duration(trialMaxAge)
+	cfg.Peer.ProbeEvery = config.Duration(testProbeInterval)
+	cfg.Entry.MaxAge = config.Duration(testMaxAge)
 	cfg.Log.Level = "warn"
 	if cfg.Entry.Listen, err = FreeAddr(); err != nil {
 		return cfg, err
@@ -34,6 +34,6 @@
 }
 
 const (
-	trialProbe  = 200 * time.Millisecond
-	trialMaxAge = 500 * time.Millisecond
+	testProbeInterval = 200 * time.Millisecond
+	testMaxAge        = 500 * time.Millisecond
 )
--- a/internal/standin/objects.go
+++ b/internal/standin/objects.go
@@ -12,7 +12,7 @@
 
 // Objects stands in for the platform's object store.
 type Objects struct {
-	*host
+	*httpServer
 
 	mu      sync.Mutex
 	objects map[string][]byte
@@ -20,11 +20,11 @@
 
 // StartObjects starts an object store.
 func StartObjects(addr netip.AddrPort) (*Objects, error) {
-	h, err := newHost(addr)
+	h, err := newHTTPServer(addr)
 	if err != nil {
 		return nil, err
 	}
-	o := &Objects{host: h, objects: map[string][]byte{}}
+	o := &Objects{httpServer: h, objects: map[string][]byte{}}
 	h.router.PUT(tablestore.PathObjects+"{name:*}", o.put)
 	h.router.GET(tablestore.PathObjects+"{name:*}", o.get)
 	h.start()
@@ -34,13 +34,13 @@
 func (o *Objects) put(c *fasthttp.RequestCtx) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.objects[c.UserValue("name").(string)] = append([]byte(nil), c.PostBody()...) // The route has it.
+	o.objects[c.UserValue("name").(string)] = append([]byte(nil), c.PostBody()...) // The route always sets name.
 }
 
 func (o *Objects) get(c *fasthttp.RequestCtx) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	body, ok := o.objects[c.UserValue("name").(string)] // The route has it.
+	body, ok := o.objects[c.UserValue("name").(string)] // The route always sets name.
 	if !ok {
 		c.Error("no such object", http.StatusNotFound)
 		return
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -10,10 +10,10 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// Service stands in for a plain service; it answers with what it was sent and
-// counts how often each body came.
+// Service stands in for a plain service; it echoes each request's body and
+// counts how often it received it.
 type Service struct {
-	*host
+	*httpServer
 
 	mu   sync.Mutex
 	runs map[string]int
@@ -21,18 +21,18 @@
 
 // StartService starts a plain service.
 func StartService(addr netip.AddrPort) (*Service, error) {
-	h, err := newHost(addr)
+	h, err := newHTTPServer(addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &Service{host: h, runs: map[string]int{}}
+	s := &Service{httpServer: h, runs: map[string]int{}}
 	h.router.ANY("/{path:*}", s.serve)
 	h.router.GET("/runs", s.report)
 	h.start()
 	return s, nil
 }
 
-// Runs is how often a body has come.
+// Runs returns how often a body was received.
 func (s *Service) Runs(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 	s.mu.Lock()
 	s.runs[string(c.PostBody())]++
 	s.mu.Unlock()
-	time.Sleep(time.Duration(s.faults.get().HoldMillis) * time.Millisecond)
+	time.Sleep(time.Duration(s.fault.get().HoldMillis) * time.Millisecond)
 	c.Response.Header.SetBytesV(upstream.HeaderRequestID, c.Request.Header.Peek(upstream.HeaderRequestID))
 	c.SetContentTypeBytes(c.Request.Header.ContentType())
 	c.SetBody(c.PostBody())
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// Site is a set of stand-ins in one process, for trials and tests.
+// Site is a set of stand-ins in one process, for tests and measurements.
 type Site struct {
 	Table    *Table
 	Objects  *Objects
@@ -18,7 +18,7 @@
 	Services []*Service
 }
 
-// SiteConfig sizes a site.
+// SiteConfig sets the number and the configuration of a site's stand-ins.
 type SiteConfig struct {
 	Engines  int
 	Stores   int
@@ -27,7 +27,8 @@
 	Store    StoreConfig
 }
 
-// StartSite starts the platform's stand-ins and so many upstreams.
+// StartSite starts the stand-ins of the platform and of the configured
+// Upstreams.
 func StartSite(cfg SiteConfig) (s *Site, err error) {
 	s = &Site{}
 	defer func() {
@@ -68,7 +69,7 @@
 	return s, nil
 }
 
-// Close stops all stand-ins and waits.
+// Close stops all stand-ins and waits for them.
 func (s *Site) Close() {
 	for _, e := range s.Engines {
 		e.Close()
@@ -90,39 +91,40 @@
 	}
 }
 
-// Setup is the script of the command language that tells drumpath of the site,
-// with organisations whose API keys are "key-" and their name.
+// Setup returns statements of the command language that create the model, the
+// site's Upstreams and the organisations. An organisation's API key is "key-"
+// and its name.
 func (s *Site) Setup(model, weights string, organisations ...string) string {
-	text := fmt.Sprintf("create model %s with weights '%s';\n", model, weights)
+	script := fmt.Sprintf("create model %s with weights '%s';\n", model, weights)
 	for _, o := range organisations {
-		text += fmt.Sprintf("create organisation %s with key 'key-%s';\n", o, o)
+		script += fmt.Sprintf("create organisation %s with key 'key-%s';\n", o, o)
 	}
 	for i, e := range s.Engines {
-		text += fmt.Sprintf("create upstream engine-%d with kind engine, model %s, data_hall north, address '%s';\n", i, model, e.Addr())
+		script += fmt.Sprintf("create upstream engine-%d with kind engine, model %s, data_hall north, address '%s';\n", i, model, e.Addr())
 	}
 	for i, st := range s.Stores {
-		text += fmt.Sprintf("create upstream store-%d with kind store, data_hall north, address '%s';\n", i, st.Addr())
+		script += fmt.Sprintf("create upstream store-%d with kind store, data_hall north, address '%s';\n", i, st.Addr())
 	}
 	for i, sv := range s.Services {
-		text += fmt.Sprintf("create upstream service-%d with kind service, path pickups, address '%s';\n", i, sv.Addr())
+		script += fmt.Sprintf("create upstream service-%d with kind service, path pickups, address '%s';\n", i, sv.Addr())
 	}
-	return text
+	return script
 }
 
-// freeAddrs counts the calls of FreeAddr.
-var freeAddrs atomic.Uint32
+// freeAddrCalls counts the calls of FreeAddr.
+var freeAddrCalls atomic.Uint32
 
-// FreeAddr returns a loopback address whose port was free just now. Each call
-// has an IP number of its own within 127.0.0.0/8, so that no one else is given
-// the port before it is used.
+// FreeAddr returns a loopback address whose port was free a moment ago. Each call
+// uses its own IP address within 127.0.0.0/8, so that no other process gets the
+// port before the caller listens on it.
 func FreeAddr() (netip.AddrPort, error) {
-	const ofPID = 200
-	n := freeAddrs.Add(1)
-	ip := netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%ofPID), byte(n >> 8), byte(n)})
+	const pidRange = 200
+	n := freeAddrCalls.Add(1)
+	ip := netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%pidRange), byte(n >> 8), byte(n)})
 	ln, err := net.Listen("tcp", netip.AddrPortFrom(ip, 0).String())
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	addr := ln.Addr().(*net.TCPAddr).AddrPort() // It listens on TCP.
+	addr := ln.Addr().(*net.TCPAddr).AddrPort() // The listener is a TCP listener.
 	return addr, ln.Close()
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -15,58 +15,59 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// StoreConfig sizes a store.
+// StoreConfig sets a store's capacity and link rate.
 type StoreConfig struct {
 	Capacity   int64   `json:"capacity"`  // Bytes.
-	LinkRate   float64 `json:"link_rate"` // Bytes a second.
+	LinkRate   float64 `json:"link_rate"` // Bytes per second.
 	TokenBytes int     `json:"token_bytes"`
 }
 
-// Store stands in for a store VM of kept state.
+// Store stands in for a VM that stores KV cache blocks.
 type Store struct {
-	*host
+	*httpServer
 	cfg  StoreConfig
 	link *link
 
-	mu      sync.Mutex
-	epoch   uint64
-	seq     uint64
-	nextGen uint64
-	used    int64
-	objects map[uint64]*storedObject // By generation.
-	current map[prompt.Key]uint64    // Sealed and not freed.
-	bad     int                      // Reads of what was freed or half-written.
-	reads   int
-	changes []upstream.StoreChange
+	mu                 sync.Mutex
+	epoch              uint64
+	seq                uint64
+	nextGen            uint64
+	used               int64
+	objects            map[uint64]*storedObject // By generation.
+	currentGenerations map[prompt.Key]uint64    // Generations that are sealed and not freed.
+	badReads           int                      // Reads of freed or half-written objects.
+	readCalls          int
+	changes            []upstream.StoreChange
 }
 
-// maxChanges is how many changes a listing can go back.
-const maxChanges = 1000
+// maxKeptChanges is how many changes are kept for incremental listings.
+const maxKeptChanges = 1000
 
+// storedObject is one generation of an object, from its begin to its release.
 type storedObject struct {
 	prompt.Object
-	marks  prompt.PackedMarks
-	blocks []prompt.Key
-	sealed bool
-	freed  bool
-	pins   map[string]time.Time // Reader to its deadline.
-	reads  int                  // Under way; they hold it as pins do.
+	marks       prompt.PackedMarks
+	blocks      []prompt.Key
+	sealed      bool
+	freed       bool
+	pins        map[string]time.Time // The time each reader's pin expires.
+	activeReads int                  // Like pins, they delay the release.
 }
 
 // StartStore starts a store.
 func StartStore(addr netip.AddrPort, cfg StoreConfig) (*Store, error) {
-	h, err := newHost(addr)
+	h, err := newHTTPServer(addr)
 	if err != nil {
 		return nil, err
 	}
 	s := &Store{
-		host:    h,
-		cfg:     cfg,
-		epoch:   uint64(time.Now().UnixNano()),
-		objects: map[uint64]*storedObject{},
-		current: map[prompt.Key]uint64{},
+		httpServer:         h,
+		cfg:                cfg,
+		epoch:              uint64(time.Now().UnixNano()),
+		objects:            map[uint64]*storedObject{},
+		currentGenerations: map[prompt.Key]uint64{},
 	}
-	s.link = newLink(cfg.LinkRate, func() float64 { return h.faults.get().LinkFactor })
+	s.link = newLink(cfg.LinkRate, func() float64 { return h.fault.get().LinkFactor })
 	h.onFault = func(f Fault) {
 		if f.Restart {
 			s.restart()
@@ -97,7 +98,7 @@
 func (s *Store) Stats() StoreStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return StoreStats{Objects: len(s.current), Reads: s.reads, BadReads: s.bad, Moved: s.link.moved.Load()}
+	return StoreStats{Objects: len(s.currentGenerations), Reads: s.readCalls, BadReads: s.badReads, Moved: s.link.movedBytes.Load()}
 }
 
 func (s *Store) restart() {
@@ -108,7 +109,7 @@
 	s.changes = nil
 	s.used = 0
 	s.objects = map[uint64]*storedObject{}
-	s.current = map[prompt.Key]uint64{}
+	s.currentGenerations = map[prompt.Key]uint64{}
 }
 
 func (s *Store) list(c *fasthttp.RequestCtx) {
@@ -119,17 +120,17 @@
 		Seq:      s.seq,
 		Used:     s.used,
 		Capacity: s.cfg.Capacity,
-		Leaving:  s.faults.get().Leaving,
+		Leaving:  s.fault.get().Leaving,
 	}
 	after := uint64(c.QueryArgs().GetUintOrZero("after"))
-	epoch, _ := strconv.ParseUint(string(c.QueryArgs().Peek("epoch")), 10, 64) // 0 asks for all.
+	epoch, _ := strconv.ParseUint(string(c.QueryArgs().Peek("epoch")), 10, 64) // 0 asks for a full listing.
 	if epoch == s.epoch && after <= s.seq && s.seq-after <= uint64(len(s.changes)) {
 		l.Changes = s.changes[uint64(len(s.changes))-(s.seq-after):]
 		reply(c, http.StatusOK, l)
 		return
 	}
 	l.Full = true
-	for _, gen := range s.current {
+	for _, gen := range s.currentGenerations {
 		o := s.objects[gen]
 		l.Changes = append(l.Changes, upstream.StoreChange{Object: o.Object, Marks: o.marks})
 	}
@@ -143,21 +144,22 @@
 func (s *Store) linkLoad() upstream.StoreLoad {
 	return upstream.StoreLoad{
 		LinkRate:   s.cfg.LinkRate,
-		LinkQueue:  s.link.queue.Load(),
-		Moved:      s.link.moved.Load(),
-		BusyMillis: s.link.busy.Load() / int64(time.Millisecond),
+		LinkQueue:  s.link.queuedBytes.Load(),
+		Moved:      s.link.movedBytes.Load(),
+		BusyMillis: s.link.busyNanos.Load() / int64(time.Millisecond),
 	}
 }
 
-// changed records a change for listings; the caller holds mu.
-func (s *Store) changed(o *storedObject) {
+// recordChange adds a change to the incremental listings; the caller holds mu.
+func (s *Store) recordChange(o *storedObject) {
 	s.seq++
 	s.changes = append(s.changes, upstream.StoreChange{Freed: o.freed, Object: o.Object, Marks: o.marks})
-	if len(s.changes) > maxChanges {
-		s.changes = s.changes[len(s.changes)-maxChanges/2:]
+	if len(s.changes) > maxKeptChanges {
+		s.changes = s.changes[len(s.changes)-maxKeptChanges/2:]
 	}
 }
 
+// refuse answers that the call was not executed, with a reason.
 func refuse(c *fasthttp.RequestCtx, reason string) {
 	reply(c, http.StatusConflict, upstream.Refusal{NotRun: true, Reason: reason})
 }
@@ -207,12 +209,12 @@
 		return
 	}
 	o.blocks = append(o.blocks, req.Blocks...)
-	if s.faults.get().PartialPut && len(o.blocks) == o.Chunks {
+	if s.fault.get().PartialPut && len(o.blocks) == o.Chunks {
 		o.blocks = o.blocks[:o.Chunks-1]
 	}
 }
 
-// seal makes an object visible; an older one under the key is freed.
+// seal makes an object visible and frees an older one under the same key.
 func (s *Store) seal(c *fasthttp.RequestCtx) {
 	var req upstream.SealObject
 	if !decode(c, &req) {
@@ -232,16 +234,17 @@
 	}
 	o.sealed = true
 	o.Checksum = req.Checksum
-	if old, exists := s.current[o.Key]; exists {
-		s.hide(s.objects[old])
+	if old, exists := s.currentGenerations[o.Key]; exists {
+		s.markFreed(s.objects[old])
 	}
-	s.current[o.Key] = o.Generation
-	s.changed(o)
+	s.currentGenerations[o.Key] = o.Generation
+	s.recordChange(o)
 	reply(c, http.StatusOK, o.Object)
 }
 
-// named finds the object a request names, or answers with a refusal.
-func (s *Store) named(c *fasthttp.RequestCtx, key prompt.Key, gen, epoch uint64) *storedObject {
+// findObject returns the object that a request names, or refuses the request and
+// returns nil.
+func (s *Store) findObject(c *fasthttp.RequestCtx, key prompt.Key, gen, epoch uint64) *storedObject {
 	o, ok := s.objects[gen]
 	if !ok || o.Key != key || epoch != s.epoch {
 		refuse(c, upstream.ReasonGone)
@@ -257,7 +260,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o := s.named(c, req.Key, req.Generation, req.Epoch)
+	o := s.findObject(c, req.Key, req.Generation, req.Epoch)
 	if o == nil {
 		return
 	}
@@ -276,9 +279,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o := s.named(c, req.Key, req.Generation, req.Epoch); o != nil {
+	if o := s.findObject(c, req.Key, req.Generation, req.Epoch); o != nil {
 		delete(o.pins, req.Reader)
-		s.releaseIfFree(o)
+		s.releaseIfUnused(o)
 	}
 }
 
@@ -295,29 +298,30 @@
 	s.link.move(context.Background(), bytes, priorityImport)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o.reads--
+	o.activeReads--
 	if req.Epoch != s.epoch {
 		refuse(c, upstream.ReasonGone)
 		return
 	}
 	if s.objects[o.Generation] != o || !o.sealed {
-		// It was released under the read, or never whole.
-		s.bad++
+		// The object was released during the read, or never completed.
+		s.badReads++
 	}
 	end := min(len(o.blocks), req.From+req.Count)
 	reply(c, http.StatusOK, upstream.Blocks{
 		Blocks: slices.Clone(o.blocks[min(req.From, end):end]),
 		Load:   s.linkLoad(),
 	})
-	s.releaseIfFree(o)
+	s.releaseIfUnused(o)
 }
 
-// beginRead finds a pinned object and holds it, or answers with a refusal.
+// beginRead returns an object that the reader has pinned and counts the read, or
+// refuses the request and returns nil.
 func (s *Store) beginRead(c *fasthttp.RequestCtx, req upstream.GetBlocks) *storedObject {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reads++
-	o := s.named(c, req.Key, req.Generation, req.Epoch)
+	s.readCalls++
+	o := s.findObject(c, req.Key, req.Generation, req.Epoch)
 	if o == nil {
 		return nil
 	}
@@ -325,7 +329,7 @@
 		refuse(c, upstream.ReasonGone)
 		return nil
 	}
-	o.reads++
+	o.activeReads++
 	return o
 }
 
@@ -336,23 +340,26 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o := s.named(c, req.Key, req.Generation, req.Epoch); o != nil {
-		s.hide(o)
+	if o := s.findObject(c, req.Key, req.Generation, req.Epoch); o != nil {
+		s.markFreed(o)
 	}
 }
 
-// hide takes an object out of sight; it is released when its pins have ended.
-func (s *Store) hide(o *storedObject) {
+// markFreed removes an object from listings; it is released when its pins and
+// reads have ended.
+func (s *Store) markFreed(o *storedObject) {
 	o.freed = true
-	if s.current[o.Key] == o.Generation {
-		delete(s.current, o.Key)
-		s.changed(o)
+	if s.currentGenerations[o.Key] == o.Generation {
+		delete(s.currentGenerations, o.Key)
+		s.recordChange(o)
 	}
-	s.releaseIfFree(o)
+	s.releaseIfUnused(o)
 }
 
-func (s *Store) releaseIfFree(o *storedObject) {
-	if !o.freed || o.reads > 0 {
+// releaseIfUnused releases a freed object without reads and pins; while a pin
+// remains, it tries again when that expires.
+func (s *Store) releaseIfUnused(o *storedObject) {
+	if !o.freed || o.activeReads > 0 {
 		return
 	}
 	now := time.Now()
@@ -361,7 +368,7 @@
 			time.AfterFunc(until.Sub(now), func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				s.releaseIfFree(o)
+				s.releaseIfUnused(o)
 			})
 			return
 		}
@@ -370,6 +377,7 @@
 	s.release(o)
 }
 
+// release removes an object and returns its memory.
 func (s *Store) release(o *storedObject) {
 	if s.objects[o.Generation] != o {
 		return
@@ -378,7 +386,8 @@
 	s.used -= o.Bytes
 }
 
-// DefaultStoreConfig is a store that fits DefaultEngineConfig.
+// DefaultStoreConfig returns the configuration of a store that matches
+// DefaultEngineConfig.
 func DefaultStoreConfig() StoreConfig {
 	return StoreConfig{Capacity: 4 << 30, LinkRate: 400e6, TokenBytes: DefaultEngineConfig().TokenBytes}
 }
--- a/internal/standin/store_test.go
+++ b/internal/standin/store_test.go
@@ -40,8 +40,8 @@
 	return o
 }
 
-func (f *storeFixture) pin(o prompt.Object, term time.Duration) (upstream.PinObject, error) {
-	p := upstream.PinObject{Key: o.Key, Generation: o.Generation, Epoch: o.Epoch, Reader: "r", Millis: term.Milliseconds()}
+func (f *storeFixture) pin(o prompt.Object, duration time.Duration) (upstream.PinObject, error) {
+	p := upstream.PinObject{Key: o.Key, Generation: o.Generation, Epoch: o.Epoch, Reader: "r", Millis: duration.Milliseconds()}
 	return p, f.call(upstream.PathStorePin, p, nil)
 }
 
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -13,27 +13,28 @@
 
 // Table stands in for the platform's transactional table service.
 type Table struct {
-	*host
+	*httpServer
 
-	mu     sync.Mutex
-	rows   map[string]tablestore.Row
-	writes *rate.Limiter
-	count  int
+	mu          sync.Mutex
+	rows        map[string]tablestore.Row
+	writes      *rate.Limiter
+	commitCount int
 }
 
-// TableWritesPerSecond is how many transactions the table service takes.
+// TableWritesPerSecond is how many transactions per second the table service
+// accepts.
 const TableWritesPerSecond = 300
 
 // StartTable starts a table service.
 func StartTable(addr netip.AddrPort) (*Table, error) {
-	h, err := newHost(addr)
+	h, err := newHTTPServer(addr)
 	if err != nil {
 		return nil, err
 	}
 	t := &Table{
-		host:   h,
-		rows:   map[string]tablestore.Row{},
-		writes: rate.NewLimiter(TableWritesPerSecond, TableWritesPerSecond),
+		httpServer: h,
+		rows:       map[string]tablestore.Row{},
+		writes:     rate.NewLimiter(TableWritesPerSecond, TableWritesPerSecond),
 	}
 	h.router.POST(tablestore.PathCommit, t.commit)
 	h.router.POST(tablestore.PathRead, t.read)
@@ -41,14 +42,14 @@
 	return t, nil
 }
 
-// Commits is how many transactions have taken effect.
+// Commits returns how many transactions were committed.
 func (t *Table) Commits() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.count
+	return t.commitCount
 }
 
-// Row returns a row as it is.
+// Row returns the current row under a key.
 func (t *Table) Row(key string) tablestore.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,7 +86,7 @@
 	for _, p := range txn.Puts {
 		t.rows[p.Key] = tablestore.Row{Key: p.Key, Version: t.rows[p.Key].Version + 1, Value: p.Value}
 	}
-	t.count++
+	t.commitCount++
 	reply(c, http.StatusOK, struct{}{})
 }
 
--- a/internal/standin/vms.go
+++ b/internal/standin/vms.go
@@ -12,7 +12,7 @@
 
 // VMs stands in for the platform's list of VMs.
 type VMs struct {
-	*host
+	*httpServer
 
 	mu   sync.Mutex
 	list []tablestore.VM
@@ -20,11 +20,11 @@
 
 // StartVMs starts a VM list.
 func StartVMs(addr netip.AddrPort) (*VMs, error) {
-	h, err := newHost(addr)
+	h, err := newHTTPServer(addr)
 	if err != nil {
 		return nil, err
 	}
-	v := &VMs{host: h, list: []tablestore.VM{}}
+	v := &VMs{httpServer: h, list: []tablestore.VM{}}
 	h.router.GET(tablestore.PathVMs, v.get)
 	h.router.PUT(tablestore.PathVMs, v.put)
 	h.start()
