--- a/internal/measure/cluster.go
+++ b/internal/measure/cluster.go
@@ -15,14 +15,14 @@
 	"github.com/drumpath/drumpath/service/operator"
 )
 
-// cluster is a few nodes before a site of stand-ins.
+// cluster is a few nodes in front of a site of stand-ins.
 type cluster struct {
 	site  *standin.Site
 	nodes []*node.Node
 }
 
-// startCluster starts nodes with a policy before a new site and tells them of
-// it.
+// startCluster starts nodes with a policy in front of a new site and registers
+// the site with them.
 func startCluster(cfg standin.SiteConfig, nodes int, policy config.PolicySettings, organisations []string) (c *cluster, err error) {
 	c = &cluster{}
 	defer func() {
@@ -50,13 +50,14 @@
 		n.Start()
 		c.nodes = append(c.nodes, n)
 	}
-	if err := c.setUp(organisations); err != nil {
+	if err := c.registerSite(organisations); err != nil {
 		return c, err
 	}
 	return c, c.waitReady(nodes, cfg.Engines)
 }
 
-func (c *cluster) setUp(organisations []string) error {
+// registerSite creates the site's model, Upstreams and organisations.
+func (c *cluster) registerSite(organisations []string) error {
 	a, err := c.nodes[0].Operator.Run(context.Background(), operator.RunRequest{
 		Text: c.site.Setup("m", "w1", organisations...),
 	})
@@ -88,7 +89,7 @@
 			return nil
 		}
 	}
-	return eris.New("the nodes did not find each other")
+	return eris.New("the nodes did not all see each other and the load of every engine in time")
 }
 
 func (c *cluster) entries() []netip.AddrPort {
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -22,7 +22,7 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// fleet is nodes and stand-ins as processes.
+// fleet is a set of nodes and stand-ins that run as processes.
 type fleet struct {
 	command *soakCommand
 	dir     string
@@ -35,22 +35,23 @@
 	stores  []netip.AddrPort
 	nodes   []nodeAddrs
 
-	mu    sync.Mutex
-	procs []*process // Of the nodes, by number.
-	rest  []*process
-	bad   []string
+	mu               sync.Mutex
+	nodeProcesses    []*process // By node number.
+	standinProcesses []*process
+	unexpectedExits  []string
 }
 
+// nodeAddrs are the addresses that a node listens at.
 type nodeAddrs struct{ entry, peer netip.AddrPort }
 
-// process is one started program.
+// process is one started program and its state.
 type process struct {
-	cmd     *exec.Cmd
-	name    string
-	ended   chan struct{}
-	wanted  bool // Its end was asked for.
-	frozen  bool
-	stopped bool
+	cmd          *exec.Cmd
+	name         string
+	done         chan struct{}
+	exitExpected bool // The fleet kills it on purpose.
+	frozen       bool
+	exited       bool
 }
 
 const (
@@ -58,26 +59,26 @@
 	startTimeout = 30 * time.Second
 )
 
-// startFleet starts all processes and tells drumpath of the site.
+// startFleet starts all processes and registers the site with drumpath.
 func startFleet(c *soakCommand, dir string) (f *fleet, err error) {
 	f = &fleet{command: c, dir: dir, client: &http.Client{Timeout: callTimeout}}
 	for kind, addr := range map[string]*netip.AddrPort{
 		"table": &f.table, "objects": &f.objects, "vms": &f.vms, "service": &f.service,
 	} {
-		if *addr, err = f.standin(kind, "{}"); err != nil {
+		if *addr, err = f.startStandin(kind, "{}"); err != nil {
 			return f, err
 		}
 	}
 	const stores = 2
 	for range c.Engines {
-		addr, err := f.standin("engine", "{}")
+		addr, err := f.startStandin("engine", "{}")
 		if err != nil {
 			return f, err
 		}
 		f.engines = append(f.engines, addr)
 	}
 	for range stores {
-		addr, err := f.standin("store", "{}")
+		addr, err := f.startStandin("store", "{}")
 		if err != nil {
 			return f, err
 		}
@@ -93,14 +94,14 @@
 		}
 		f.nodes = append(f.nodes, a)
 	}
-	f.procs = make([]*process, c.Nodes)
+	f.nodeProcesses = make([]*process, c.Nodes)
 	for i := range f.nodes {
 		if err := f.writeSettings(i); err != nil {
 			return f, err
 		}
 		f.startNode(i)
 	}
-	return f, f.setUp()
+	return f, f.registerSite()
 }
 
 func (f *fleet) writeSettings(i int) error {
@@ -111,7 +112,7 @@
 		}
 		seeds += fmt.Sprintf("%q", n.peer)
 	}
-	text := fmt.Sprintf(`{
+	settings := fmt.Sprintf(`{
   "node": {"name": "vm-%d", "data_hall": "north"},
   "entry": {"listen": %q, "max_age": "2s"},
   "peer": {"listen": %q, "key": %q, "seeds": [%s], "probe_every": "500ms"},
@@ -121,24 +122,24 @@
   "limits": {"lease_term": "5s"},
   "log": {"level": "warn"},
 }`, i, f.nodes[i].entry, f.nodes[i].peer, standin.PeerKey, seeds, standin.OperatorToken, f.table, f.objects, f.vms)
-	return os.WriteFile(f.settings(i), []byte(text), 0o600)
+	return os.WriteFile(f.settingsPath(i), []byte(settings), 0o600)
 }
 
-func (f *fleet) settings(i int) string { return filepath.Join(f.dir, fmt.Sprintf("vm-%d.json", i)) }
+func (f *fleet) settingsPath(i int) string { return filepath.Join(f.dir, fmt.Sprintf("vm-%d.json", i)) }
 
-func (f *fleet) standin(kind, cfg string) (addr netip.AddrPort, err error) {
+func (f *fleet) startStandin(kind, cfg string) (addr netip.AddrPort, err error) {
 	if addr, err = standin.FreeAddr(); err != nil {
 		return addr, err
 	}
-	p, err := f.start(kind, f.command.Standind, "--kind", kind, "--listen", addr.String(), "--config", cfg)
+	p, err := f.startProcess(kind, f.command.Standind, "--kind", kind, "--listen", addr.String(), "--config", cfg)
 	if err != nil {
 		return addr, err
 	}
-	f.rest = append(f.rest, p)
+	f.standinProcesses = append(f.standinProcesses, p)
 	return addr, nil
 }
 
-func (f *fleet) start(name, path string, args ...string) (*process, error) {
+func (f *fleet) startProcess(name, path string, args ...string) (*process, error) {
 	log, err := os.OpenFile(filepath.Join(f.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -148,72 +149,72 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	p := &process{cmd: cmd, name: name, ended: make(chan struct{})}
+	p := &process{cmd: cmd, name: name, done: make(chan struct{})}
 	go func() {
 		err := cmd.Wait()
 		_ = log.Close()
 		f.mu.Lock()
-		p.stopped = true
-		if !p.wanted {
-			f.bad = append(f.bad, fmt.Sprintf("%s: %v", name, err))
+		p.exited = true
+		if !p.exitExpected {
+			f.unexpectedExits = append(f.unexpectedExits, fmt.Sprintf("%s: %v", name, err))
 		}
 		f.mu.Unlock()
-		close(p.ended)
+		close(p.done)
 	}()
 	return p, nil
 }
 
 func (f *fleet) startNode(i int) {
-	p, err := f.start(fmt.Sprint("vm-", i), f.command.Drumpath, "serve", "-c", f.settings(i))
+	p, err := f.startProcess(fmt.Sprint("vm-", i), f.command.Drumpath, "serve", "-c", f.settingsPath(i))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		f.bad = append(f.bad, err.Error())
+		f.unexpectedExits = append(f.unexpectedExits, err.Error())
 		return
 	}
-	f.procs[i] = p
+	f.nodeProcesses[i] = p
 }
 
 func (f *fleet) kill(i int) {
 	f.mu.Lock()
-	p := f.procs[i]
-	p.wanted = true
+	p := f.nodeProcesses[i]
+	p.exitExpected = true
 	f.mu.Unlock()
-	_ = p.cmd.Process.Kill() // It may have ended.
-	<-p.ended
+	_ = p.cmd.Process.Kill() // The process may have exited already.
+	<-p.done
 }
 
 func (f *fleet) freeze(i int, frozen bool) {
 	f.mu.Lock()
-	p := f.procs[i]
+	p := f.nodeProcesses[i]
 	p.frozen = frozen
 	f.mu.Unlock()
 	sig := syscall.SIGCONT
 	if frozen {
 		sig = syscall.SIGSTOP
 	}
-	_ = p.cmd.Process.Signal(sig) // It may have ended.
+	_ = p.cmd.Process.Signal(sig) // The process may have exited already.
 }
 
-// running says whether a node is neither killed nor frozen.
+// running reports whether a node has neither exited nor been frozen.
 func (f *fleet) running(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.procs[i].stopped && !f.procs[i].frozen
+	return !f.nodeProcesses[i].exited && !f.nodeProcesses[i].frozen
 }
 
-func (f *fleet) badEnds() []string {
+func (f *fleet) listUnexpectedExits() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string{}, f.bad...)
+	return append([]string{}, f.unexpectedExits...)
 }
 
 func (f *fleet) close() {
 	f.mu.Lock()
-	all := append(append([]*process{}, f.rest...), f.procs...)
+	all := append(append([]*process{}, f.standinProcesses...), f.nodeProcesses...)
 	for _, p := range all {
 		if p != nil {
-			p.wanted = true
+			p.exitExpected = true
 		}
 	}
 	f.mu.Unlock()
@@ -221,9 +222,9 @@
 		if p == nil {
 			continue
 		}
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // It may have ended.
-		_ = p.cmd.Process.Kill()                  // It may have ended.
-		<-p.ended
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // The process may have exited already.
+		_ = p.cmd.Process.Kill()                  // The process may have exited already.
+		<-p.done
 	}
 }
 
@@ -235,33 +236,34 @@
 	return list
 }
 
-// setUp waits for the nodes and tells them of the site.
-func (f *fleet) setUp() error {
-	text := "create model m with weights w1;\n"
+// registerSite waits for the nodes and creates the site's model, Upstreams and
+// organisations.
+func (f *fleet) registerSite() error {
+	script := "create model m with weights w1;\n"
 	for i := range 10 {
-		text += fmt.Sprintf("create organisation o%d with key 'key-o%d';\n", i, i)
+		script += fmt.Sprintf("create organisation o%d with key 'key-o%d';\n", i, i)
 	}
 	for i, addr := range f.engines {
-		text += fmt.Sprintf("create upstream engine-%d with kind engine, model m, data_hall north, address '%s';\n", i, addr)
+		script += fmt.Sprintf("create upstream engine-%d with kind engine, model m, data_hall north, address '%s';\n", i, addr)
 	}
 	for i, addr := range f.stores {
-		text += fmt.Sprintf("create upstream store-%d with kind store, address '%s';\n", i, addr)
+		script += fmt.Sprintf("create upstream store-%d with kind store, address '%s';\n", i, addr)
 	}
-	text += fmt.Sprintf("create upstream service with kind service, path pickups, address '%s'", f.service)
+	script += fmt.Sprintf("create upstream service with kind service, path pickups, address '%s'", f.service)
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if _, ok := f.change(0, "create model probe with weights w"); ok {
+		if _, ok := f.runStatements(0, "create model probe with weights w"); ok {
 			break
 		}
 	}
-	if _, ok := f.change(0, text); !ok {
-		return eris.New("the site could not be set up")
+	if _, ok := f.runStatements(0, script); !ok {
+		return eris.New("the site could not be registered with the nodes")
 	}
 	time.Sleep(3 * time.Second)
 	return nil
 }
 
-// call makes an operator's call to a node.
-func (f *fleet) call(i int, method string, params, result any) error {
+// callOperator makes an operator call to a node.
+func (f *fleet) callOperator(i int, method string, params, result any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	conn, err := peer.Dial(ctx, f.nodes[i].peer, peer.Hello{Role: peer.RoleOperator, Secret: standin.OperatorToken})
@@ -272,10 +274,11 @@
 	return conn.Call(ctx, method, params, result)
 }
 
-// change carries out statements; ok says that all were accepted.
-func (f *fleet) change(i int, text string) (version uint64, ok bool) {
+// runStatements executes statements at a node; ok reports whether all were
+// accepted.
+func (f *fleet) runStatements(i int, text string) (version uint64, ok bool) {
 	var a operator.RunAnswer
-	if err := f.call(i, peer.MethodRun, operator.RunRequest{Text: text}, &a); err != nil {
+	if err := f.callOperator(i, peer.MethodRun, operator.RunRequest{Text: text}, &a); err != nil {
 		return 0, false
 	}
 	for _, r := range a.Results {
@@ -287,15 +290,15 @@
 	return version, true
 }
 
-func (f *fleet) version(i int) (uint64, error) {
+func (f *fleet) configVersion(i int) (uint64, error) {
 	var a struct {
 		Version uint64 `json:"configuration_version"`
 	}
-	err := f.call(i, peer.MethodDump, struct{}{}, &a)
+	err := f.callOperator(i, peer.MethodDump, struct{}{}, &a)
 	return a.Version, err
 }
 
-// callOnce sends a request that must not be repeated; code 0 is no answer.
+// callOnce sends a request that must not be repeated; code 0 means no answer.
 func (f *fleet) callOnce(node int, key string) (code int, body load.AnswerError) {
 	url := fmt.Sprintf("http://%s/v1/services/pickups/confirm", f.nodes[node].entry)
 	req, err := http.NewRequest(http.MethodPost, url, bytes.NewReader([]byte(key)))
@@ -322,7 +325,7 @@
 	return resp.StatusCode, body
 }
 
-func (f *fleet) fault(addr netip.AddrPort, fault standin.Fault) {
+func (f *fleet) setFault(addr netip.AddrPort, fault standin.Fault) {
 	body, err := json.Marshal(fault)
 	if err != nil {
 		return
@@ -340,6 +343,6 @@
 		return runs
 	}
 	defer func() { _ = resp.Body.Close() }()
-	_ = json.NewDecoder(resp.Body).Decode(&runs) // An empty map fails the soak.
+	_ = json.NewDecoder(resp.Body).Decode(&runs) // Without counts, finish reports the answered requests as not run.
 	return runs
 }
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -22,15 +22,15 @@
 	}
 	for _, c := range commands {
 		if _, err := p.AddCommand(c.name, c.short, c.short, c.data); err != nil {
-			fail(err)
+			exitWithError(err)
 		}
 	}
 	if _, err := p.Parse(); err != nil {
-		fail(err)
+		exitWithError(err)
 	}
 }
 
-func fail(err error) {
-	_, _ = fmt.Fprintln(os.Stderr, err) // There is nowhere else to say it.
+func exitWithError(err error) {
+	_, _ = fmt.Fprintln(os.Stderr, err) // A failed write cannot be reported.
 	os.Exit(1)
 }
--- a/internal/measure/nodes.go
+++ b/internal/measure/nodes.go
@@ -18,7 +18,8 @@
 	"github.com/drumpath/drumpath/service/node"
 )
 
-// nodesCommand measures what idle nodes cost, and how fast a change spreads.
+// nodesCommand measures what idle nodes cost, and how fast a change of
+// configuration reaches all of them.
 type nodesCommand struct {
 	Counts  []int         `long:"count" description:"numbers of nodes" default:"8" default:"30" default:"100"`
 	Rest    time.Duration `long:"rest" default:"10s" description:"how long to measure at rest"`
@@ -43,8 +44,8 @@
 		return err
 	}
 	defer site.Close()
-	heapBefore := heap()
-	nodes, err := startIdle(site, count)
+	heapBefore := heapBytes()
+	nodes, err := startIdleNodes(site, count)
 	defer func() {
 		for _, n := range nodes {
 			n.Close()
@@ -53,25 +54,25 @@
 	if err != nil {
 		return err
 	}
-	heapEach := float64(heap()-heapBefore) / float64(count) / (1 << 20)
+	heapEach := float64(heapBytes()-heapBefore) / float64(count) / (1 << 20)
 	sent, cpu, commits := sentBytes(nodes), cpuTime(), site.Table.Commits()
 	time.Sleep(c.Rest)
 	perNode := func(x float64) float64 { return x / float64(count) / c.Rest.Seconds() }
 	bytes := perNode(float64(sentBytes(nodes) - sent))
-	share := perNode((cpuTime() - cpu).Seconds())
+	cpuShare := perNode((cpuTime() - cpu).Seconds())
 	writes := float64(site.Table.Commits()-commits) / c.Rest.Seconds()
-	times, err := c.spread(nodes)
+	times, err := c.timeChanges(nodes)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("| %d | %.0f | %.3f%% | %.2f | %.1f | %s | %s |\n", count, bytes, 100*share, heapEach, writes,
+	fmt.Printf("| %d | %.0f | %.3f%% | %.2f | %.1f | %s | %s |\n", count, bytes, 100*cpuShare, heapEach, writes,
 		times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond))
 	return nil
 }
 
-// startIdle starts nodes without upstreams, at a product's pace, and waits
-// until they know each other.
-func startIdle(site *standin.Site, count int) (nodes []*node.Node, err error) {
+// startIdleNodes starts nodes without Upstreams, with the probe interval of
+// production, and waits until they all know each other.
+func startIdleNodes(site *standin.Site, count int) (nodes []*node.Node, err error) {
 	var seeds []netip.AddrPort
 	for i := range count {
 		s, err := site.NodeSettings("vm-"+strconv.Itoa(i), seeds[:min(len(seeds), 3)]...)
@@ -89,16 +90,17 @@
 	}
 	for end := time.Now().Add(2 * time.Minute); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if !slices.ContainsFunc(nodes, func(n *node.Node) bool { return len(n.Members.Working()) != count }) {
-			// Let the news of joining die down.
+			// Wait until the updates about joining are no longer passed on.
 			time.Sleep(30 * time.Second)
 			return nodes, nil
 		}
 	}
-	return nodes, eris.Errorf("%d nodes did not find each other", count)
+	return nodes, eris.Errorf("%d nodes did not all find each other in time", count)
 }
 
-// spread makes changes and times until every node has each.
-func (c *nodesCommand) spread(nodes []*node.Node) (times []time.Duration, err error) {
+// timeChanges proposes changes and returns, sorted, how long each took to reach
+// every node.
+func (c *nodesCommand) timeChanges(nodes []*node.Node) (times []time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer cancel()
 	for i := range c.Changes {
@@ -122,6 +124,7 @@
 	return times, nil
 }
 
+// sentBytes returns how many probe bytes the nodes have sent.
 func sentBytes(nodes []*node.Node) int64 {
 	sum := int64(0)
 	for _, n := range nodes {
@@ -130,7 +133,7 @@
 	return sum
 }
 
-// cpuTime is the processor time of this process so far.
+// cpuTime returns the processor time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -139,7 +142,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap() uint64 {
+// heapBytes returns the size of the heap after a collection.
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/internal/measure/platform_soak.go
+++ b/internal/measure/platform_soak.go
@@ -12,7 +12,7 @@
 	platformsoak "github.com/drumpath/drumpath/internal/soak"
 )
 
-// platformSoakCommand runs soaks of gateways, one seed after the other.
+// platformSoakCommand soaks gateways with one seed after the other.
 type platformSoakCommand struct {
 	Drumpath string        `long:"drumpath" required:"true" description:"the program under test"`
 	Nodes    int           `long:"nodes" default:"5"`
@@ -24,28 +24,28 @@
 	Logs     string        `long:"logs" description:"folder in which the logs of seeds that failed are kept"`
 }
 
-var errBroken = errors.New("promises were broken")
+var errViolated = errors.New("guarantees were violated")
 
 // Execute implements flags.Commander.
 func (c *platformSoakCommand) Execute([]string) error {
 	failed := 0
 	for i := range c.Seeds {
-		broken, err := c.one(c.Seed + uint64(i))
+		violated, err := c.runSeed(c.Seed + uint64(i))
 		if err != nil {
 			return err
 		}
-		if broken {
+		if violated {
 			failed++
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%w with %d of %d seeds", errBroken, failed, c.Seeds)
+		return fmt.Errorf("%w with %d of %d seeds", errViolated, failed, c.Seeds)
 	}
 	return nil
 }
 
-// one runs one seed and prints its report on a line.
-func (c *platformSoakCommand) one(seed uint64) (broken bool, err error) {
+// runSeed soaks with one seed and prints the report as a line of JSON.
+func (c *platformSoakCommand) runSeed(seed uint64) (violated bool, err error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return false, err
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -15,7 +15,7 @@
 	"github.com/drumpath/drumpath/pkg/load"
 )
 
-// policyCommand compares policies on the same loads.
+// policyCommand compares placement policies under the same loads.
 type policyCommand struct {
 	Profiles []string `long:"profile" description:"only these"`
 	Policies []string `long:"policy" description:"only these"`
@@ -38,7 +38,7 @@
 			config.PolicyLeastLoaded, config.PolicyRoundRobin,
 		}
 	}
-	var results []measured
+	var results []policyResult
 	printHeader()
 	for _, cs := range cases {
 		if len(c.Profiles) > 0 && !slices.Contains(c.Profiles, cs.profile.Name) {
@@ -63,7 +63,7 @@
 	return os.WriteFile(c.JSON, body, 0o600)
 }
 
-// policyCase is one load and what goes wrong in it.
+// policyCase is one load and, if set, the fault injected half-way through it.
 type policyCase struct {
 	profile load.Profile
 	weights config.PolicySettings
@@ -79,9 +79,10 @@
 	}
 )
 
-const overload = 1.5
+// overloadFactor is the rate of the overload case, relative to capacityRate.
+const overloadFactor = 1.5
 
-// cases are the loads of the page docs/POLICY.md.
+// cases returns the loads that docs/POLICY.md reports on.
 func (c *policyCommand) cases() ([]policyCase, error) {
 	corrib, err := load.ReadProfile(filepath.Join(c.Fixtures, "corrib.load.json"))
 	if err != nil {
@@ -91,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	named := func(name string, change func(p *load.Profile)) load.Profile {
+	variant := func(name string, change func(p *load.Profile)) load.Profile {
 		p := corrib
 		p.Name = name
 		change(&p)
@@ -101,16 +102,16 @@
 		{profile: corrib, weights: corribWeights},
 		{profile: milkline, weights: milklineWeights},
 		{
-			profile: named("hot-prompt", func(p *load.Profile) { p.HotShare = 0.5 }),
+			profile: variant("hot-prompt", func(p *load.Profile) { p.HotShare = 0.5 }),
 			weights: corribWeights,
 		},
 		{
-			profile: named("store-lost", func(*load.Profile) {}),
+			profile: variant("store-lost", func(*load.Profile) {}),
 			weights: corribWeights,
 			fault:   func(s *standin.Site) { s.Stores[0].SetFault(standin.Fault{Down: true}) },
 		},
 		{
-			profile: named("slow-link", func(*load.Profile) {}),
+			profile: variant("slow-link", func(*load.Profile) {}),
 			weights: corribWeights,
 			fault: func(s *standin.Site) {
 				for _, st := range s.Stores {
@@ -119,28 +120,28 @@
 			},
 		},
 		{
-			profile: named("capacity", func(p *load.Profile) { p.Rate = capacityRate; p.SendDeadline = true }),
+			profile: variant("capacity", func(p *load.Profile) { p.Rate = capacityRate; p.SendDeadline = true }),
 			weights: corribWeights,
 		},
 		{
-			profile: named("overload", func(p *load.Profile) { p.Rate = capacityRate * overload; p.SendDeadline = true }),
+			profile: variant("overload", func(p *load.Profile) { p.Rate = capacityRate * overloadFactor; p.SendDeadline = true }),
 			weights: corribWeights,
 		},
 	}, nil
 }
 
-// capacityRate is about the highest rate at which drumpath answered everything
-// within the deadline here, found by trials.
+// capacityRate is about the highest rate at which drumpath answered every request
+// within its deadline in trial runs of this measurement.
 const capacityRate = 70
 
-// measured is one load under one policy.
-type measured struct {
+// policyResult is what one load under one policy gave.
+type policyResult struct {
 	Policy string      `json:"policy"`
 	Report load.Report `json:"report"`
-	// LinkBytes went over the stores' links.
+	// LinkBytes were moved over the stores' links.
 	LinkBytes int64 `json:"link_bytes"`
 	BadReads  int   `json:"bad_reads"`
-	// Imports and the others are sums over the nodes.
+	// Imports and the following counts are sums over the nodes.
 	Imports       int64 `json:"imports"`
 	ImportsShared int64 `json:"imports_shared"`
 	ImportsFailed int64 `json:"imports_failed"`
@@ -158,36 +159,36 @@
 	return cfg
 }
 
-func (c *policyCommand) run(cs policyCase, policy string) (m measured, err error) {
+func (c *policyCommand) run(cs policyCase, policy string) (m policyResult, err error) {
 	weights := cs.weights
 	weights.Name = policy
 	var names []string
 	for _, o := range cs.profile.Organisations {
 		names = append(names, o.Name)
 	}
-	cl, err := startCluster(siteConfig(c.Engines), c.Nodes, weights, names)
+	cluster, err := startCluster(siteConfig(c.Engines), c.Nodes, weights, names)
 	if err != nil {
 		return m, err
 	}
-	defer cl.close()
+	defer cluster.close()
 	var once sync.Once
-	half := (cs.profile.Duration.Std() + cs.profile.Warm.Std()) / 2
+	faultTime := (cs.profile.Duration.Std() + cs.profile.Warm.Std()) / 2
 	report, err := load.Run(context.Background(), cs.profile, load.Options{
-		Entries: cl.entries(),
+		Entries: cluster.entries(),
 		Verify:  standin.Answer,
 		OnTime: func(since time.Duration) {
-			if cs.fault != nil && since >= half {
-				once.Do(func() { cs.fault(cl.site) })
+			if cs.fault != nil && since >= faultTime {
+				once.Do(func() { cs.fault(cluster.site) })
 			}
 		},
 	})
-	m = measured{Policy: policy, Report: report}
-	for _, st := range cl.site.Stores {
+	m = policyResult{Policy: policy, Report: report}
+	for _, st := range cluster.site.Stores {
 		s := st.Stats()
 		m.LinkBytes += s.Moved
 		m.BadReads += s.BadReads
 	}
-	for _, n := range cl.nodes {
+	for _, n := range cluster.nodes {
 		m.Imports += n.Metrics.Imports.Value()
 		m.ImportsShared += n.Metrics.ImportsShared.Value()
 		m.ImportsFailed += n.Metrics.ImportsFailed.Value()
@@ -201,7 +202,7 @@
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 }
 
-func (m measured) print() {
+func (m policyResult) print() {
 	r := m.Report
 	fmt.Printf("| %s | %s | %.0f | %.0f | %.0f | %.1f%% | %d, %d | %d | %d | %.2f | %d of %d | %d | %d, %d | %.1f/s |\n",
 		r.Profile, m.Policy, r.FirstTokenP50, r.FirstTokenP95, r.FirstTokenP99, 100*r.RecomputedShare,
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -16,8 +16,9 @@
 	"github.com/drumpath/drumpath/pkg/load"
 )
 
-// soakCommand runs nodes and stand-ins as processes under load, kills, freezes,
-// outages and changes of configuration, and checks what must always hold.
+// soakCommand runs nodes and stand-ins as processes under load while nodes are
+// killed and frozen, stand-ins fail and the configuration changes, and reports
+// violated guarantees.
 type soakCommand struct {
 	Drumpath string        `long:"drumpath" required:"true" description:"the program under test"`
 	Standind string        `long:"standind" required:"true" description:"the stand-ins' program"`
@@ -29,25 +30,26 @@
 	Fixtures string        `long:"fixtures" default:"_fixtures"`
 }
 
-// soakReport is what a soak found; all counts but the first should be 0.
+// soakReport is the result of a soak. OnceDoubled, OnceAnsweredNotRun,
+// NotRunButRan and Reverted should be 0, and UnexpectedExits empty.
 type soakReport struct {
-	Load           load.Report `json:"load"`
-	OnceSent       int         `json:"once_sent"`
-	OnceAnswered   int         `json:"once_answered"`
-	OnceUnknown    int         `json:"once_outcome_unknown"`
-	OnceRefused    int         `json:"once_not_run"`
-	OnceDoubled    int         `json:"once_doubled"`
-	OnceLost       int         `json:"once_answered_but_not_run"`
-	WronglyRefused int         `json:"not_run_but_ran"`
-	Changes        int         `json:"changes_accepted"`
-	ChangesRefused int         `json:"changes_not_accepted"`
-	Reverted       int         `json:"changes_reverted"`
-	InForceMedian  string      `json:"in_force_median"`
-	InForceWorst   string      `json:"in_force_worst"`
-	FirstP95Fault  float64     `json:"first_token_p95_ms_in_faults"`
-	FirstP95Calm   float64     `json:"first_token_p95_ms_out_of_faults"`
-	Faults         []string    `json:"faults"`
-	BadEnds        []string    `json:"processes_that_ended_badly"`
+	Load                load.Report `json:"load"`
+	OnceSent            int         `json:"once_sent"`
+	OnceAnswered        int         `json:"once_answered"`
+	OnceUnknown         int         `json:"once_outcome_unknown"`
+	OnceRefused         int         `json:"once_not_run"`
+	OnceDoubled         int         `json:"once_doubled"`
+	OnceAnsweredNotRun  int         `json:"once_answered_but_not_run"`
+	NotRunButRan        int         `json:"not_run_but_ran"`
+	Changes             int         `json:"changes_accepted"`
+	ChangesRefused      int         `json:"changes_not_accepted"`
+	Reverted            int         `json:"changes_reverted"`
+	InForceMedian       string      `json:"in_force_median"`
+	InForceWorst        string      `json:"in_force_worst"`
+	FirstP95InFaults    float64     `json:"first_token_p95_ms_in_faults"`
+	FirstP95OutOfFaults float64     `json:"first_token_p95_ms_out_of_faults"`
+	Faults              []string    `json:"faults"`
+	UnexpectedExits     []string    `json:"processes_that_ended_badly"`
 }
 
 // Execute implements flags.Commander.
@@ -74,8 +76,8 @@
 	return nil
 }
 
-// onceState is how a request that must not be repeated has ended for its
-// caller.
+// onceState is the outcome of a request that must not be repeated, as its client
+// knows it.
 type onceState string
 
 const (
@@ -84,32 +86,33 @@
 	onceRefused  onceState = "refused"
 )
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
 	command *soakCommand
 	fleet   *fleet
-	rng     *rand.Rand // Only used by the fault loop.
+	rng     *rand.Rand // Used only by faultLoop.
 	report  soakReport
 
-	mu      sync.Mutex
-	once    map[string]onceState
-	inForce []time.Duration
-	last    uint64 // Version last seen accepted.
-	faulty  []window
-	firsts  []firstToken
+	mu            sync.Mutex
+	once          map[string]onceState
+	inForce       []time.Duration
+	newestVersion uint64 // Newest version of the configuration that was accepted.
+	faultWindows  []faultWindow
+	firstTokens   []firstToken
 }
 
-// window is a time in which something was wrong, with what follows it.
-type window struct{ from, to time.Duration }
+// faultWindow is a time with a fault, as offsets from the start of the run.
+type faultWindow struct{ from, to time.Duration }
 
+// firstToken is how long a first token took, with its offset from the start.
 type firstToken struct{ at, took time.Duration }
 
 const (
-	onceEvery   = 200 * time.Millisecond
-	changeEvery = 2 * time.Second
-	faultEvery  = 8 * time.Second
-	faultTail   = 3 * time.Second // After a fault its effects still count.
-	attempts    = 8
+	onceEvery      = 200 * time.Millisecond
+	changeEvery    = 2 * time.Second
+	faultEvery     = 8 * time.Second
+	faultAftermath = 3 * time.Second // Added to each faultWindow for the effects that outlast the fault.
+	attempts       = 8
 )
 
 func (s *soak) run() error {
@@ -134,7 +137,7 @@
 		Observe: func(since time.Duration, a load.StreamResult) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.firsts = append(s.firsts, firstToken{at: since, took: a.First})
+			s.firstTokens = append(s.firstTokens, firstToken{at: since, took: a.First})
 		},
 		Progress: func(p load.Progress) {
 			if int(p.Since.Seconds())%30 == 0 {
@@ -152,7 +155,7 @@
 	return nil
 }
 
-// finish checks the upstreams' own counts against what callers were told.
+// finish compares the service's own counts with what clients were told.
 func (s *soak) finish() {
 	runs := s.fleet.serviceRuns()
 	for body, state := range s.once {
@@ -162,14 +165,14 @@
 		case onceAnswered:
 			s.report.OnceAnswered++
 			if n == 0 {
-				s.report.OnceLost++
+				s.report.OnceAnsweredNotRun++
 			}
 		case onceUnknown:
 			s.report.OnceUnknown++
 		case onceRefused:
 			s.report.OnceRefused++
 			if n > 0 {
-				s.report.WronglyRefused++
+				s.report.NotRunButRan++
 			}
 		}
 		if n > 1 {
@@ -181,17 +184,17 @@
 		s.report.InForceMedian = s.inForce[n/2].Round(time.Millisecond).String()
 		s.report.InForceWorst = s.inForce[n-1].Round(time.Millisecond).String()
 	}
-	var calm, fault []time.Duration
-	for _, f := range s.firsts {
-		if slices.ContainsFunc(s.faulty, func(w window) bool { return f.at >= w.from && f.at <= w.to+faultTail }) {
-			fault = append(fault, f.took)
+	var outOfFaults, inFaults []time.Duration
+	for _, f := range s.firstTokens {
+		if slices.ContainsFunc(s.faultWindows, func(w faultWindow) bool { return f.at >= w.from && f.at <= w.to+faultAftermath }) {
+			inFaults = append(inFaults, f.took)
 		} else {
-			calm = append(calm, f.took)
+			outOfFaults = append(outOfFaults, f.took)
 		}
 	}
-	s.report.FirstP95Calm = percentile95(calm)
-	s.report.FirstP95Fault = percentile95(fault)
-	s.report.BadEnds = s.fleet.badEnds()
+	s.report.FirstP95OutOfFaults = percentile95(outOfFaults)
+	s.report.FirstP95InFaults = percentile95(inFaults)
+	s.report.UnexpectedExits = s.fleet.listUnexpectedExits()
 }
 
 func percentile95(list []time.Duration) float64 {
@@ -202,8 +205,8 @@
 	return float64(list[len(list)*95/100].Microseconds()) / 1000
 }
 
-// onceLoop sends requests that must not be repeated. As callers do, it asks
-// another node when one dies, and again when it was told not_run.
+// onceLoop sends requests that must not be repeated. Like a real client, it tries
+// another node after a connection failure or a not_run.
 func (s *soak) onceLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -222,18 +225,18 @@
 	}
 }
 
-// sendOnce sends one such request until it has a final answer. A caller that
-// was once left without an answer only believes an answer or outcome_unknown,
-// so a later not_run is for that attempt alone.
-func (s *soak) sendOnce(key string, i int) onceState {
-	doubt := false
-	for n := range attempts {
-		code, body := s.fleet.callOnce((i+n)%s.command.Nodes, key)
+// sendOnce sends one such request until it has a final answer. A not_run covers
+// only its own attempt: after an attempt without any answer, the outcome stays
+// unknown unless a later attempt is answered.
+func (s *soak) sendOnce(key string, firstNode int) onceState {
+	unanswered := false
+	for attempt := range attempts {
+		code, body := s.fleet.callOnce((firstNode+attempt)%s.command.Nodes, key)
 		switch {
 		case code == 200:
 			return onceAnswered
 		case code == 0:
-			doubt = true
+			unanswered = true
 		case body.Ran == "not_run":
 			time.Sleep(min(3*time.Second, time.Duration(body.RetryAfterMillis)*time.Millisecond))
 			continue
@@ -242,27 +245,27 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	if doubt {
+	if unanswered {
 		return onceUnknown
 	}
 	return onceRefused
 }
 
-// changeLoop changes the configuration and times until all running nodes have
-// it; a version that falls is counted.
+// changeLoop changes the configuration, measures how long each change takes to
+// reach all running nodes and counts versions that go backwards.
 func (s *soak) changeLoop(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
-		version, ok := s.fleet.change(i%s.command.Nodes, fmt.Sprintf("alter organisation o9 with share %d", 1+i%3))
+		version, ok := s.fleet.runStatements(i%s.command.Nodes, fmt.Sprintf("alter organisation o9 with share %d", 1+i%3))
 		s.mu.Lock()
 		if ok {
 			s.report.Changes++
-			s.last = max(s.last, version)
+			s.newestVersion = max(s.newestVersion, version)
 		} else {
 			s.report.ChangesRefused++
 		}
 		s.mu.Unlock()
 		if ok {
-			s.timeInForce(ctx, version)
+			s.measureTimeInForce(ctx, version)
 		}
 		select {
 		case <-time.After(changeEvery):
@@ -271,26 +274,28 @@
 	}
 }
 
-func (s *soak) timeInForce(ctx context.Context, version uint64) {
+// measureTimeInForce records how long it takes until all running nodes have a
+// version.
+func (s *soak) measureTimeInForce(ctx context.Context, version uint64) {
 	start := time.Now()
-	seen := map[int]uint64{}
+	lastSeen := map[int]uint64{}
 	for ctx.Err() == nil {
 		behind := false
 		for i := range s.command.Nodes {
 			if !s.fleet.running(i) {
 				continue
 			}
-			v, err := s.fleet.version(i)
-			if err != nil || v < version {
+			current, err := s.fleet.configVersion(i)
+			if err != nil || current < version {
 				behind = true
 			}
-			if err == nil && v < seen[i] && v > 0 {
+			if err == nil && current < lastSeen[i] && current > 0 {
 				s.mu.Lock()
 				s.report.Reverted++
 				s.mu.Unlock()
 			}
 			if err == nil {
-				seen[i] = v
+				lastSeen[i] = current
 			}
 		}
 		if !behind {
@@ -303,7 +308,7 @@
 	}
 }
 
-// faultLoop brings about a fault now and then, sometimes two at once.
+// faultLoop periodically injects one fault or two at once.
 func (s *soak) faultLoop(ctx context.Context, start time.Time) {
 	for ctx.Err() == nil {
 		select {
@@ -314,13 +319,13 @@
 		from := time.Since(start)
 		var wg sync.WaitGroup
 		for _, kind := range s.rng.Perm(faultKinds)[:1+s.rng.IntN(2)] {
-			what, undo := s.oneFault(kind)
-			s.report.Faults = append(s.report.Faults, fmt.Sprintf("%s %s", from.Round(time.Second), what))
-			wg.Go(undo)
+			description, end := s.startFault(kind)
+			s.report.Faults = append(s.report.Faults, fmt.Sprintf("%s %s", from.Round(time.Second), description))
+			wg.Go(end)
 		}
 		wg.Wait()
 		s.mu.Lock()
-		s.faulty = append(s.faulty, window{from: from, to: time.Since(start)})
+		s.faultWindows = append(s.faultWindows, faultWindow{from: from, to: time.Since(start)})
 		s.mu.Unlock()
 	}
 }
@@ -328,52 +333,53 @@
 // faultKinds is how many kinds of fault there are.
 const faultKinds = 7
 
-// oneFault starts a fault of a kind and returns what ends it.
-func (s *soak) oneFault(kind int) (what string, undo func()) {
+// startFault starts a fault of a kind and returns its description and the
+// function that ends it.
+func (s *soak) startFault(kind int) (description string, end func()) {
 	f := s.fleet
-	i := s.rng.IntN(s.command.Nodes)
-	e := s.rng.IntN(s.command.Engines)
-	long := time.Duration(1+s.rng.IntN(4)) * time.Second
+	node := s.rng.IntN(s.command.Nodes)
+	engine := s.rng.IntN(s.command.Engines)
+	duration := time.Duration(1+s.rng.IntN(4)) * time.Second
 	switch kind {
 	case 0:
-		f.kill(i)
-		return fmt.Sprintf("node %d killed for %s", i, long), func() {
-			time.Sleep(long)
-			f.startNode(i)
+		f.kill(node)
+		return fmt.Sprintf("node %d killed for %s", node, duration), func() {
+			time.Sleep(duration)
+			f.startNode(node)
 		}
 	case 1:
-		f.freeze(i, true)
-		return fmt.Sprintf("node %d frozen for %s", i, long), func() {
-			time.Sleep(long)
-			f.freeze(i, false)
+		f.freeze(node, true)
+		return fmt.Sprintf("node %d frozen for %s", node, duration), func() {
+			time.Sleep(duration)
+			f.freeze(node, false)
 		}
 	case 2:
-		f.fault(f.table, standin.Fault{Down: true})
-		return fmt.Sprintf("table service down for %s", long), func() {
-			time.Sleep(long)
-			f.fault(f.table, standin.Fault{})
+		f.setFault(f.table, standin.Fault{Down: true})
+		return fmt.Sprintf("table service down for %s", duration), func() {
+			time.Sleep(duration)
+			f.setFault(f.table, standin.Fault{})
 		}
 	case 3:
-		f.fault(f.table, standin.Fault{LoseAnswers: 10, LateMillis: int64(s.rng.IntN(800))})
-		return "ten answers of the table service lost", func() { time.Sleep(long) }
+		f.setFault(f.table, standin.Fault{LoseAnswers: 10, LateMillis: int64(s.rng.IntN(800))})
+		return "ten answers of the table service lost", func() { time.Sleep(duration) }
 	case 4:
-		f.fault(f.engines[e], standin.Fault{BreakAfter: 3})
-		return fmt.Sprintf("engine %d breaks off runs for %s", e, long), func() {
-			time.Sleep(long)
-			f.fault(f.engines[e], standin.Fault{})
+		f.setFault(f.engines[engine], standin.Fault{BreakAfter: 3})
+		return fmt.Sprintf("engine %d cuts off answers for %s", engine, duration), func() {
+			time.Sleep(duration)
+			f.setFault(f.engines[engine], standin.Fault{})
 		}
 	case 5:
-		f.fault(f.engines[e], standin.Fault{CrossAnswers: true})
-		return fmt.Sprintf("engine %d crosses answers for %s", e, long), func() {
-			time.Sleep(long)
-			f.fault(f.engines[e], standin.Fault{})
+		f.setFault(f.engines[engine], standin.Fault{CrossAnswers: true})
+		return fmt.Sprintf("engine %d answers with wrong request ids for %s", engine, duration), func() {
+			time.Sleep(duration)
+			f.setFault(f.engines[engine], standin.Fault{})
 		}
 	default:
-		st := f.stores[s.rng.IntN(len(f.stores))]
-		f.fault(st, standin.Fault{Restart: true, LinkFactor: 0.1})
-		return fmt.Sprintf("a store restarted and slow for %s", long), func() {
-			time.Sleep(long)
-			f.fault(st, standin.Fault{})
+		store := f.stores[s.rng.IntN(len(f.stores))]
+		f.setFault(store, standin.Fault{Restart: true, LinkFactor: 0.1})
+		return fmt.Sprintf("a store restarted and slow for %s", duration), func() {
+			time.Sleep(duration)
+			f.setFault(store, standin.Fault{})
 		}
 	}
 }
