--- a/internal/standin/onplatform/silent_connections_test.go
+++ b/internal/standin/onplatform/silent_connections_test.go
@@ -198,7 +198,7 @@
 				assert.ErrorContains(t, call(e, p.Addr()), "timeout")
 				assert.Assert(t, time.Since(start) < 2*time.Second+loadAllowance, "%v", time.Since(start))
 				assert.NilError(t, call(e, p.Addr()))
-				assert.Equal(t, p.Open(), 1)
+				assert.Equal(t, p.OpenConnections(), 1)
 			})
 		})
 	}
--- a/pkg/httpjson/silent_path_test.go
+++ b/pkg/httpjson/silent_path_test.go
@@ -64,7 +64,7 @@
 			for range idleConns {
 				assert.NilError(t, call("/", slack), "a silent connection was reused")
 			}
-			assert.Equal(t, proxy.Open(), 1)
+			assert.Equal(t, proxy.OpenConnections(), 1)
 		})
 	}
 }
--- a/service/peer/silence_test.go
+++ b/service/peer/silence_test.go
@@ -58,7 +58,7 @@
 			assert.ErrorIs(t, call(), errSilent)
 			assert.Assert(t, time.Since(started) < timeout+scheduleSlack, "%v", time.Since(started))
 			assert.NilError(t, call())
-			assert.Equal(t, p.Open(), 1)
+			assert.Equal(t, p.OpenConnections(), 1)
 		})
 	}
 }
