--- /dev/null
+++ b/internal/soak/checker_test.go
@@ -0,0 +1,95 @@
+package soak
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/drumpath/drumpath/internal/standin/onplatform"
+)
+
+// Guards against checks that never fail.
+func TestCheckerReportsViolations(t *testing.T) {
+	now := time.Now()
+	healthy, faulty := &node{name: "calm"}, &node{name: "harmed", faultUntil: now.Add(time.Minute)}
+	for name, c := range map[string]struct {
+		runs      int
+		o         outcome
+		violation string // "" if no violation is expected.
+	}{
+		"served":                   {1, outcome{kind: kindOnce, node: healthy, status: 200, complete: true}, ""},
+		"ran twice":                {2, outcome{kind: kindOnce, node: faulty, status: 200, complete: true}, "ran 2 times"},
+		"may run twice":            {2, outcome{kind: kindSafe, node: healthy, status: 200, complete: true}, ""},
+		"refused":                  {0, outcome{kind: kindOnce, node: healthy, status: 503}, ""},
+		"refused but ran":          {1, outcome{kind: kindStream, node: faulty, status: 503}, "but ran"},
+		"other answer":             {1, outcome{kind: kindSafe, node: faulty, status: 200, complete: true, mismatch: "not the replica's"}, "not the replica's"},
+		"denied":                   {0, outcome{kind: kindSafe, node: faulty, status: 404}, "denied: 404"},
+		"cut":                      {1, outcome{kind: kindOnce, node: healthy, endedAt: now.Add(time.Second)}, "cut without an answer"},
+		"cut by a fault":           {1, outcome{kind: kindOnce, node: faulty, endedAt: now.Add(time.Second)}, ""},
+		"not read before the end":  {0, outcome{kind: kindOnce, node: healthy, endedAt: now.Add(time.Second)}, ""},
+		"held":                     {0, outcome{kind: kindSafe, node: healthy, status: 504, endedAt: now.Add(clientTimeout + answerSlack + time.Second)}, "was held"},
+		"answered at the deadline": {0, outcome{kind: kindSafe, node: healthy, status: 504, endedAt: now.Add(clientTimeout)}, ""},
+	} {
+		checks := newChecker()
+		c.o.id, c.o.sentAt = name, now
+		if c.o.endedAt.IsZero() {
+			c.o.endedAt = now
+		}
+		for range c.runs {
+			checks.recordRun(name)
+		}
+		checks.recordOutcome(c.o)
+		checks.checkAll()
+		got := strings.Join(checks.violations, "; ")
+		if c.violation == "" {
+			assert.Equal(t, got, "", name)
+		} else {
+			assert.Assert(t, strings.Contains(got, c.violation), "%s: %q", name, got)
+		}
+	}
+}
+
+func TestRequestsAgainstDrainOrBackoffAreReported(t *testing.T) {
+	n := &node{name: "n"}
+	ask := func(r *replica, sent time.Time, refused bool) {
+		q := &onplatform.Request{Header: http.Header{}}
+		q.Header.Set(headerNode, n.name)
+		q.Header.Set(headerSent, strconv.FormatInt(sent.UnixNano(), 10))
+		r.checkRequest(q, refused)
+	}
+	violations := func(d time.Duration, do func(r *replica, start time.Time)) string {
+		n.disruptedAt = time.Time{}
+		r := &replica{checker: newChecker(), advice: map[*node]*advice{}, nodeByName: func(string) *node { return n }, Replica: &onplatform.Replica{ID: "r"}}
+		r.backoff.Store(int64(d))
+		do(r, time.Now())
+		return strings.Join(r.checker.violations, "; ")
+	}
+	drained := func(after time.Duration) string {
+		return violations(0, func(r *replica, start time.Time) {
+			r.draining.Store(true)
+			ask(r, start, false)
+			ask(r, start.Add(after), false)
+		})
+	}
+	assert.Equal(t, drained(maxDrainLag), "")
+	assert.Assert(t, strings.Contains(drained(maxDrainLag+time.Second), "had said that it drains"))
+	backedOff := func(requests int, after time.Duration, restarted bool) string {
+		return violations(time.Minute, func(r *replica, start time.Time) {
+			ask(r, start, true)
+			if restarted {
+				n.disruptedAt = time.Now()
+			}
+			for range requests {
+				ask(r, start.Add(after), false)
+			}
+		})
+	}
+	assert.Equal(t, backedOff(9, maxBackoffLag/2, false), "")
+	assert.Equal(t, backedOff(maxBackoffRequests, time.Second, false), "")
+	assert.Equal(t, backedOff(9, time.Second, true), "")
+	assert.Assert(t, strings.Contains(backedOff(maxBackoffRequests+1, time.Second, false), "within a backoff"))
+}
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,10 +1,10 @@
-// Package soak runs gateways as processes before stand-ins of a platform, brings
-// faults upon them from outside, and checks what must always hold by what clients
-// and replicas see.
+// Package soak runs gateways as processes in front of stand-ins of a platform,
+// injects faults from outside, and checks the gateways' guarantees by what clients
+// and replicas observe.
 //
-// The faults follow from a seed: connections that are delayed, reset or cut one
-// way by a loopback proxy, and open ones that fall silent while new ones pass;
-// processes that are paused, killed, stopped and restarted by signals; a store that
-// refuses, falls silent, forgets or lies behind; replicas that fail, hang, leave and
-// crash; changes of the configuration. They come in series and overlap.
+// A seed determines the faults: a loopback proxy delays or resets connections, cuts
+// them in one direction, or drops all traffic of open connections while new ones work;
+// signals pause, kill, stop and restart processes; the store refuses, hangs, loses its
+// rows or serves stale ones; replicas fail, hang, leave and crash; the configuration
+// changes. Faults follow one another and overlap.
 package soak
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -9,24 +9,24 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// fault is one thing that is done from outside; it returns when it is over.
+// fault is a fault that is injected from outside; inject returns when it is over.
 type fault struct {
-	name string
-	do   func(s *soak, rng *rand.Rand, d time.Duration)
+	name   string
+	inject func(s *soak, rng *rand.Rand, d time.Duration)
 }
 
 const (
-	// faultEvery is the mean pause between two faults, faultLeast and faultMost
-	// bound how long one lasts.
-	faultEvery = 500 * time.Millisecond
-	faultLeast = 200 * time.Millisecond
-	faultMost  = 2500 * time.Millisecond
-	// restartMost bounds for how long a killed process stays away.
-	restartMost = time.Second
-	// drainTime is how long a replica that leaves serves on.
+	// meanFaultPause is the mean pause between two faults; minFaultTime and maxFaultTime
+	// bound the duration of one.
+	meanFaultPause = 500 * time.Millisecond
+	minFaultTime   = 200 * time.Millisecond
+	maxFaultTime   = 2500 * time.Millisecond
+	// maxRestartPause bounds the pause from the kill of a process to its restart.
+	maxRestartPause = time.Second
+	// drainTime is how long a replica still serves after it was listed as draining.
 	drainTime = 1500 * time.Millisecond
-	// delayMost bounds the delay of a proxy.
-	delayMost = 80 * time.Millisecond
+	// maxProxyDelay bounds the delay that a replica's proxy adds.
+	maxProxyDelay = 80 * time.Millisecond
 )
 
 var faults = []fault{
@@ -34,25 +34,25 @@
 	{"pause", (*soak).pauseNode},
 	{"suspend", (*soak).suspendNode},
 	{"stop", (*soak).stopNode},
-	{"reread", (*soak).hupNode},
+	{"reread", (*soak).reloadNode},
 	{"store refuses", storeMode(onplatform.ModeRefusing)},
 	{"store silent", storeMode(onplatform.ModeSilent)},
 	{"store behind", storeMode(onplatform.ModeStale)},
 	{"store forgets", func(s *soak, _ *rand.Rand, _ time.Duration) { s.store.Forget() }},
 	{"store cut", (*soak).cutStore},
-	{"store resets", func(s *soak, rng *rand.Rand, _ time.Duration) { s.anyNode(rng).store.Reset() }},
-	{"store connections silent", func(s *soak, rng *rand.Rand, _ time.Duration) { silence(rng, s.anyNode(rng).store) }},
-	{"replica connections silent", func(s *soak, rng *rand.Rand, _ time.Duration) { silence(rng, s.anyReplica(rng).proxy) }},
+	{"store resets", func(s *soak, rng *rand.Rand, _ time.Duration) { s.anyNode(rng).storeProxy.Reset() }},
+	{"store connections silent", func(s *soak, rng *rand.Rand, _ time.Duration) { silenceConnections(rng, s.anyNode(rng).storeProxy) }},
+	{"replica connections silent", func(s *soak, rng *rand.Rand, _ time.Duration) { silenceConnections(rng, s.anyReplica(rng).proxy) }},
 	{"replica slow", (*soak).slowReplica},
 	{"replica cut one way", (*soak).cutReplica},
 	{"replica resets", func(s *soak, rng *rand.Rand, _ time.Duration) { s.anyReplica(rng).proxy.Reset() }},
 	{"replica faulty", (*soak).faultyReplica},
 	{"replica leaves", (*soak).drainReplica},
-	{"replica says that it drains", (*soak).drainQuietly},
-	{"replica asks for backoff", (*soak).busyReplica},
+	{"replica says that it drains", (*soak).drainUnlisted},
+	{"replica asks for backoff", (*soak).backoffReplica},
 	{"replica crashes", (*soak).crashReplica},
-	{"deadly request", (*soak).repeatDeadly},
-	{"configuration", func(s *soak, _ *rand.Rand, _ time.Duration) { s.configure() }},
+	{"deadly request", (*soak).repeatCrashRequest},
+	{"configuration", func(s *soak, _ *rand.Rand, _ time.Duration) { s.writeConfiguration() }},
 }
 
 func (s *soak) anyNode(rng *rand.Rand) *node { return s.nodes[rng.IntN(len(s.nodes))] }
@@ -63,63 +63,63 @@
 	return s.replicas[rng.IntN(len(s.replicas))]
 }
 
-// takeNode picks a node whose process nothing is being done to, nil if the one
-// that was drawn is busy.
-func (s *soak) takeNode(rng *rand.Rand) *node {
-	if n := s.anyNode(rng); n.busy.TryLock() {
+// lockNode picks a random node and locks its process for a fault; it returns nil if
+// another fault holds the lock.
+func (s *soak) lockNode(rng *rand.Rand) *node {
+	if n := s.anyNode(rng); n.processMu.TryLock() {
 		return n
 	}
 	return nil
 }
 
 func (s *soak) killNode(rng *rand.Rand, _ time.Duration) {
-	pause := time.Duration(rng.Int64N(int64(restartMost)))
-	if n := s.takeNode(rng); n != nil {
-		defer n.busy.Unlock()
-		s.note(n.kill(pause))
+	pause := time.Duration(rng.Int64N(int64(maxRestartPause)))
+	if n := s.lockNode(rng); n != nil {
+		defer n.processMu.Unlock()
+		s.recordStartError(n.kill(pause))
 	}
 }
 
 func (s *soak) pauseNode(rng *rand.Rand, d time.Duration) {
-	s.freezeNode(rng, d, func(*node) {})
+	s.pauseProcess(rng, d, func(*node) {})
 }
 
-// freezeNode stops a process for a while; before it goes on something may be done to it.
-func (s *soak) freezeNode(rng *rand.Rand, d time.Duration, last func(n *node)) {
-	if n := s.takeNode(rng); n != nil {
-		defer n.busy.Unlock()
-		n.harm(d)
+// pauseProcess stops a process for d and calls beforeResume before it resumes it.
+func (s *soak) pauseProcess(rng *rand.Rand, d time.Duration, beforeResume func(n *node)) {
+	if n := s.lockNode(rng); n != nil {
+		defer n.processMu.Unlock()
+		n.recordFault(d)
 		n.signal(syscall.SIGSTOP, false)
 		time.Sleep(d)
-		last(n)
+		beforeResume(n)
 		n.signal(syscall.SIGCONT, false)
-		n.harm(0)
+		n.recordFault(0)
 	}
 }
 
-// suspensions are how long machines are suspended.
+// suspensions are the durations for which machines are suspended.
 var suspensions = []time.Duration{2 * time.Second, 8 * time.Second, 30 * time.Second}
 
-// suspendNode stops a process, and has its clock tell afterwards that its machine was
-// suspended for longer than the steady clock counts.
+// suspendNode pauses a process. Its settings then make its clock report that the machine
+// was suspended for longer, which the monotonic clock does not count.
 func (s *soak) suspendNode(rng *rand.Rand, d time.Duration) {
-	s.freezeNode(rng, d, func(n *node) {
+	s.pauseProcess(rng, d, func(n *node) {
 		n.suspended += suspensions[rng.IntN(len(suspensions))]
-		s.note(n.writeSettings())
+		s.recordStartError(n.writeSettings())
 		n.signal(syscall.SIGHUP, false)
 	})
 }
 
 func (s *soak) stopNode(rng *rand.Rand, _ time.Duration) {
-	if n := s.takeNode(rng); n != nil {
-		defer n.busy.Unlock()
-		s.note(n.stop())
+	if n := s.lockNode(rng); n != nil {
+		defer n.processMu.Unlock()
+		s.recordStartError(n.stop())
 	}
 }
 
-func (s *soak) hupNode(rng *rand.Rand, _ time.Duration) {
-	if n := s.takeNode(rng); n != nil {
-		defer n.busy.Unlock()
+func (s *soak) reloadNode(rng *rand.Rand, _ time.Duration) {
+	if n := s.lockNode(rng); n != nil {
+		defer n.processMu.Unlock()
 		n.signal(syscall.SIGHUP, false)
 	}
 }
@@ -132,20 +132,20 @@
 	}
 }
 
-func (s *soak) cutStore(rng *rand.Rand, d time.Duration) { s.anyNode(rng).store.CutOneWay(rng, d) }
+func (s *soak) cutStore(rng *rand.Rand, d time.Duration) { s.anyNode(rng).storeProxy.CutOneWay(rng, d) }
 
-// silence takes away what passes on some of the open connections, one way or both; new
-// ones pass.
-func silence(rng *rand.Rand, p *netproxy.Proxy) {
-	ways := [...]struct{ to, from bool }{{true, false}, {false, true}, {true, true}}
-	way := ways[rng.IntN(len(ways))]
-	p.Silence(way.to, way.from, func() bool { return rng.IntN(2) == 0 })
+// silenceConnections drops the traffic of some of the open connections, in one or both
+// directions; new connections work.
+func silenceConnections(rng *rand.Rand, p *netproxy.Proxy) {
+	directions := [...]struct{ to, from bool }{{true, false}, {false, true}, {true, true}}
+	direction := directions[rng.IntN(len(directions))]
+	p.Silence(direction.to, direction.from, func() bool { return rng.IntN(2) == 0 })
 }
 
 func (s *soak) slowReplica(rng *rand.Rand, d time.Duration) {
 	r := s.anyReplica(rng)
-	l := netproxy.Link{Delay: time.Duration(rng.Int64N(int64(delayMost)))}
-	r.proxy.Set(l, l)
+	link := netproxy.Link{Delay: time.Duration(rng.Int64N(int64(maxProxyDelay)))}
+	r.proxy.Set(link, link)
 	time.Sleep(d)
 	r.proxy.Heal()
 }
@@ -154,42 +154,43 @@
 
 func (s *soak) faultyReplica(rng *rand.Rand, d time.Duration) {
 	r := s.anyReplica(rng)
-	r.way.Store(1 + rng.Int32N(replicaWays-1))
+	r.behaviour.Store(1 + rng.Int32N(behaviourCount-1))
 	time.Sleep(d)
-	r.way.Store(replicaServes)
+	r.behaviour.Store(behaviourServe)
 }
 
-// swapReplica puts a new replica in another's place and returns the old one.
-func (s *soak) swapReplica(rng *rand.Rand) (old *replica) {
+// replaceRandomReplica replaces a random replica by a new one and returns the old one.
+func (s *soak) replaceRandomReplica(rng *rand.Rand) (old *replica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.replace(rng.IntN(len(s.replicas)))
+	return s.replaceReplica(rng.IntN(len(s.replicas)))
 }
 
-// replace puts a new replica in the place of one and returns that; the caller holds mu.
-func (s *soak) replace(i int) (old *replica) {
+// replaceReplica replaces the replica at index i by a new one and returns the old one;
+// the caller holds mu.
+func (s *soak) replaceReplica(i int) (old *replica) {
 	r, err := s.newReplica()
 	if err != nil {
-		s.ledger.fail("no new replica: %v", err)
+		s.checker.addViolation("no new replica: %v", err)
 		return nil
 	}
 	old, s.replicas[i] = s.replicas[i], r
-	s.list(r, "ready")
+	s.writeReplicaRow(r, "ready")
 	return old
 }
 
 func (s *soak) drainReplica(rng *rand.Rand, _ time.Duration) {
-	if old := s.swapReplica(rng); old != nil {
-		s.list(old, "draining")
+	if old := s.replaceRandomReplica(rng); old != nil {
+		s.writeReplicaRow(old, "draining")
 		time.Sleep(drainTime)
 		s.store.Drop(onplatform.TableUpstreams, old.ID)
 		s.retire(old)
 	}
 }
 
-// crashReplica ends a replica, whose entry goes later.
+// crashReplica crashes a replica, whose row is removed only later.
 func (s *soak) crashReplica(rng *rand.Rand, d time.Duration) {
-	if old := s.swapReplica(rng); old != nil {
+	if old := s.replaceRandomReplica(rng); old != nil {
 		old.proxy.Close()
 		time.Sleep(d)
 		s.store.Drop(onplatform.TableUpstreams, old.ID)
@@ -197,10 +198,10 @@
 	}
 }
 
-// retire keeps a replica that has left until the soak's end: runs that it has
-// begun end as they do.
+// retire keeps a replica that has left open until the end of the soak, so that the
+// requests that it still runs can end.
 func (s *soak) retire(r *replica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone = append(s.gone, r)
+	s.retired = append(s.retired, r)
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -15,53 +15,52 @@
 )
 
 const (
-	// grace is the time from the signal to stop to the kill, as in the settings.
+	// grace is the stop.grace of the nodes' settings: how long a node may take to stop.
 	grace = 5 * time.Second
-	// graceSlack is added for a machine that is busy with other things.
+	// graceSlack is added for a busy machine.
 	graceSlack = 2 * time.Second
-	// afterTime is for how long after a fault a node's failures are put down to
-	// it.
-	afterTime = 3 * time.Second
+	// faultAftermath is how long after a fault a node's failures are attributed to it.
+	faultAftermath = 3 * time.Second
 )
 
-// node is one gateway as a process.
+// node is a gateway that runs as a process.
 type node struct {
-	name    string
-	ip      string
-	file    string
-	log     *os.File
-	store   *netproxy.Proxy // Before the platform's store.
-	program string
-
-	busy sync.Mutex // Held while a fault of the process itself goes on.
-	// suspended is for how long its machine has been suspended in all; guarded by busy.
+	name         string
+	ip           string
+	settingsFile string
+	logFile      *os.File
+	storeProxy   *netproxy.Proxy // In front of the platform's store.
+	program      string
+
+	processMu sync.Mutex // Held during a fault of the process itself.
+	// suspended is the total time for which its machine was suspended; guarded by processMu.
 	suspended time.Duration
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	meant   bool      // Its end is meant.
-	harmed  time.Time // Until when its failures are not its own.
-	stopped time.Time // When it was last told to stop.
-	struck  time.Time // When it was last started, stopped for a while or told to go on.
-	broken  func(format string, args ...any)
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	exitExpected bool      // The process was signalled to exit.
+	faultUntil   time.Time // Until then its failures are attributed to faults.
+	stopSignalAt time.Time // When it was last signalled to stop.
+	disruptedAt  time.Time // When it was last started, paused or resumed.
+	addViolation func(format string, args ...any)
 }
 
 func (n *node) entry() string { return n.ip + ":8001" }
 
-func newNode(dir, name, ip, program string, store *netproxy.Proxy, broken func(string, ...any)) (n *node, err error) {
+func newNode(dir, name, ip, program string, storeProxy *netproxy.Proxy, addViolation func(string, ...any)) (n *node, err error) {
 	defer func() { err = eris.Wrapf(err, "node %s", name) }()
-	n = &node{name: name, ip: ip, file: filepath.Join(dir, name+".json"), store: store, program: program, broken: broken}
+	n = &node{name: name, ip: ip, settingsFile: filepath.Join(dir, name+".json"), storeProxy: storeProxy, program: program, addViolation: addViolation}
 	if err := n.writeSettings(); err != nil {
 		return nil, err
 	}
-	if n.log, err = os.Create(filepath.Join(dir, name+".log")); err != nil {
+	if n.logFile, err = os.Create(filepath.Join(dir, name+".log")); err != nil {
 		return nil, err
 	}
 	return n, n.start()
 }
 
-// writeSettings writes the settings that the process reads next.
+// writeSettings writes the settings file, which the process reads at its start and on SIGHUP.
 func (n *node) writeSettings() error {
 	text := fmt.Sprintf(`{
 	"node": {"name": %q, "data_hall": "hall-a"},
@@ -72,107 +71,107 @@
 	"stop": {"grace": %[4]q},
 	"orders": {"pause": "1s", "within": "10s"},
 	"test": {"suspended": %[5]q}
-}`, n.name, n.ip, n.store.Addr().String(), grace, n.suspended)
-	return os.WriteFile(n.file, []byte(text), 0o600)
+}`, n.name, n.ip, n.storeProxy.Addr().String(), grace, n.suspended)
+	return os.WriteFile(n.settingsFile, []byte(text), 0o600)
 }
 
-// start starts the process and notices if it ends by itself.
+// start starts the process and reports a violation if it exits unexpectedly.
 func (n *node) start() error {
-	cmd := exec.Command(n.program, "gateway", "-c", n.file)
-	cmd.Stdout, cmd.Stderr = n.log, n.log
-	// The process must not outlive a soak that is killed.
+	cmd := exec.Command(n.program, "gateway", "-c", n.settingsFile)
+	cmd.Stdout, cmd.Stderr = n.logFile, n.logFile
+	// The kernel kills the process if the soak is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	n.mu.Lock()
-	n.cmd, n.ended, n.meant, n.struck = cmd, ended, false, time.Now()
+	n.cmd, n.exited, n.exitExpected, n.disruptedAt = cmd, exited, false, time.Now()
 	n.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		n.mu.Lock()
-		meant := n.meant
+		expected := n.exitExpected
 		n.mu.Unlock()
-		if !meant {
-			n.broken("%s ended by itself: %v", n.name, err)
+		if !expected {
+			n.addViolation("%s ended by itself: %v", n.name, err)
 		}
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// harm notes that the node can't be blamed for a while.
-func (n *node) harm(d time.Duration) {
+// recordFault attributes the node's failures of the next d and of faultAftermath to a fault.
+func (n *node) recordFault(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.struck = time.Now()
-	if until := time.Now().Add(d + afterTime); until.After(n.harmed) {
-		n.harmed = until
+	n.disruptedAt = time.Now()
+	if until := time.Now().Add(d + faultAftermath); until.After(n.faultUntil) {
+		n.faultUntil = until
 	}
 }
 
-// harmedAt says whether a fault had struck the node at a time or shortly before.
-func (n *node) harmedAt(at time.Time) bool {
+// affectedAt reports whether a fault affected the node at a time or shortly before it.
+func (n *node) affectedAt(at time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return at.Before(n.harmed)
+	return at.Before(n.faultUntil)
 }
 
-// struckSince says whether the process was started or stood still since a time.
-func (n *node) struckSince(at time.Time) bool {
+// disruptedSince reports whether the process was started, paused or resumed since a time.
+func (n *node) disruptedSince(at time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.struck.After(at)
+	return n.disruptedAt.After(at)
 }
 
-// stoppedSince says whether the node was told to stop since a time.
+// stoppedSince reports whether the node was signalled to stop since a time.
 func (n *node) stoppedSince(at time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.stopped.After(at)
+	return n.stopSignalAt.After(at)
 }
 
-// signal sends the process a signal; mean says that it is to end by it.
-func (n *node) signal(s syscall.Signal, mean bool) {
+// signal sends the process a signal; expectExit means that the process is to exit on it.
+func (n *node) signal(sig syscall.Signal, expectExit bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if mean {
-		n.meant = true
+	if expectExit {
+		n.exitExpected = true
 	}
-	if s == syscall.SIGTERM {
-		n.stopped = time.Now()
+	if sig == syscall.SIGTERM {
+		n.stopSignalAt = time.Now()
 	}
-	_ = n.cmd.Process.Signal(s) // A process that has ended by itself is told of above.
+	_ = n.cmd.Process.Signal(sig) // start reports a process that has already exited.
 }
 
-// kill ends the process at once and starts it again after a pause.
+// kill kills the process and restarts it after a pause.
 func (n *node) kill(pause time.Duration) error {
-	n.harm(pause)
+	n.recordFault(pause)
 	n.signal(syscall.SIGKILL, true)
-	<-n.ended
+	<-n.exited
 	time.Sleep(pause)
-	n.harm(0)
+	n.recordFault(0)
 	return n.start()
 }
 
-// stop has the process end as planned and starts it again.
+// stop stops the process in the planned way and restarts it.
 func (n *node) stop() error {
 	n.signal(syscall.SIGTERM, true)
 	select {
-	case <-n.ended:
+	case <-n.exited:
 	case <-time.After(grace + graceSlack):
-		n.broken("%s had not ended %s after it was told to stop", n.name, grace+graceSlack)
+		n.addViolation("%s had not ended %s after it was told to stop", n.name, grace+graceSlack)
 		n.signal(syscall.SIGKILL, true)
-		<-n.ended
+		<-n.exited
 	}
 	return n.start()
 }
 
-// end kills the process for good.
-func (n *node) end() {
+// killForGood kills the process and does not restart it.
+func (n *node) killForGood() {
 	n.signal(syscall.SIGKILL, true)
-	<-n.ended
-	_ = n.log.Close() // It was written by the process.
-	n.store.Close()
+	<-n.exited
+	_ = n.logFile.Close() // Only the process writes to it.
+	n.storeProxy.Close()
 }
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -12,40 +12,40 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// Ways in which a replica treats requests.
+// Behaviours of a replica towards requests.
 const (
-	replicaServes int32 = iota
-	replicaFails
-	replicaHangs
-	replicaRefuses
-	replicaCuts
-	replicaWays
+	behaviourServe int32 = iota
+	behaviourFail
+	behaviourHang
+	behaviourRefuse
+	behaviourCut
+	behaviourCount
 )
 
-// workTime is how long a replica works on a request or an event of a stream.
+// workTime is how long a replica takes for a request and for each event of a stream.
 const workTime = 15 * time.Millisecond
 
-// replica is one replica behind a proxy.
+// replica is a replica behind a proxy.
 type replica struct {
 	*onplatform.Replica
-	proxy  *netproxy.Proxy
-	ledger *ledger
-	way    atomic.Int32
-	// deadly is told of a request under which the replica is to end.
-	deadly func(r *replica, body string)
-	ending bool // It has ended under a request; soak.mu guards it.
+	proxy     *netproxy.Proxy
+	checker   *checker
+	behaviour atomic.Int32
+	// onCrashRequest is called for a request that is to crash the replica.
+	onCrashRequest func(r *replica, body string)
+	crashed        bool // On a request; guarded by soak.mu.
 
-	drains  atomic.Bool  // It says so in its answers.
-	backoff atomic.Int64 // That it asks for with refusals, in nanoseconds; 0 for none.
-	nodeOf  func(name string) *node
-	toldMu  sync.Mutex
-	told    map[*node]*told
+	draining   atomic.Bool  // Its answers say so.
+	backoff    atomic.Int64 // Requested with refusals, in nanoseconds; 0 for none.
+	nodeByName func(name string) *node
+	adviceMu   sync.Mutex
+	advice     map[*node]*advice
 }
 
 func (s *soak) newReplica() (*replica, error) {
-	s.made++
-	id := fmt.Sprintf("replica-%d", s.made)
-	r := &replica{ledger: s.ledger, deadly: s.endUnder, nodeOf: s.nodeOf, told: map[*node]*told{}}
+	s.replicasMade++
+	id := fmt.Sprintf("replica-%d", s.replicasMade)
+	r := &replica{checker: s.checker, onCrashRequest: s.crashOnRequest, nodeByName: s.nodeByName, advice: map[*node]*advice{}}
 	var err error
 	if r.Replica, err = onplatform.NewReplica(id); err != nil {
 		return nil, err
@@ -60,38 +60,38 @@
 	r.Close()
 }
 
-// answer runs a request, or does not, as the replica now is.
+// answer handles a request by the current behaviour of the replica.
 func (r *replica) answer(w io.Writer, q *onplatform.Request) bool {
-	way := r.way.Load()
-	w = fieldWriter{w, r.hear(q, way == replicaRefuses)}
-	if way == replicaRefuses {
+	behaviour := r.behaviour.Load()
+	w = headerWriter{w, r.checkRequest(q, behaviour == behaviourRefuse)}
+	if behaviour == behaviourRefuse {
 		return onplatform.NotRun(503)(w, q)
 	}
-	if strings.HasPrefix(q.Body, deadlyBody) {
+	if strings.HasPrefix(q.Body, crashBodyPrefix) {
 		time.Sleep(workTime)
-		r.deadly(r, q.Body)
+		r.onCrashRequest(r, q.Body)
 		return false
 	}
 	id := q.ID()
-	r.ledger.run(id)
+	r.checker.recordRun(id)
 	if !strings.HasPrefix(q.Body, id+" ") || !strings.HasSuffix(q.Body, " "+id) {
-		r.ledger.fail("replica %s got a body of %d bytes that is not that of %s", r.ID, len(q.Body), id)
+		r.checker.addViolation("replica %s got a body of %d bytes that is not that of %s", r.ID, len(q.Body), id)
 	}
 	if q.Header.Get("Authorization") != "" || q.Header.Get("Tenant") != tenant {
-		r.ledger.fail("replica %s got %s with a key or as %q", r.ID, id, q.Header.Get("Tenant"))
+		r.checker.addViolation("replica %s got %s with a key or as %q", r.ID, id, q.Header.Get("Tenant"))
 	}
 	time.Sleep(workTime)
-	switch way {
-	case replicaFails:
+	switch behaviour {
+	case behaviourFail:
 		return onplatform.Failed(w, q)
-	case replicaHangs:
+	case behaviourHang:
 		return onplatform.Hang(w, q)
-	case replicaCuts:
-		_, _ = io.WriteString(w, onplatform.Head(q, 200, 5000)+"cut") // The reader sees the rest missing.
+	case behaviourCut:
+		_, _ = io.WriteString(w, onplatform.Head(q, 200, 5000)+"cut") // The reader notices the missing rest.
 		return false
 	}
 	if strings.HasPrefix(q.Target, "/"+kindStream+"/") {
-		return onplatform.Stream(eventsOf(id), workTime, true)(w, q)
+		return onplatform.Stream(expectedEvents(id), workTime, true)(w, q)
 	}
-	return onplatform.OK(answerOf(kindOnce, id))(w, q)
+	return onplatform.OK(expectedAnswer(kindOnce, id))(w, q)
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -17,23 +17,23 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// Config says what a soak runs and for how long.
+// Config sets the size and duration of a soak.
 type Config struct {
 	Program  string // The program under test.
 	Seed     uint64
 	Nodes    int
 	Replicas int
 	Clients  int
-	Duration time.Duration // Of the faults.
-	Dir      string        // For settings and logs of the nodes.
+	Duration time.Duration // How long faults are injected.
+	Dir      string        // Receives the settings and logs of the nodes.
 }
 
-// Report is what a soak found; Broken is empty if all promises were kept.
+// Report is the result of a soak; Broken lists the violated guarantees.
 type Report struct {
 	Seed    uint64         `json:"seed"`
 	Sent    int            `json:"sent"`
 	Served  int            `json:"served"`
-	Refused int            `json:"refused"` // Told that they did not run.
+	Refused int            `json:"refused"` // Answered with a status that says the request did not run.
 	Failed  int            `json:"failed"`
 	Faults  map[string]int `json:"faults"`
 	Broken  []string       `json:"broken"`
@@ -42,76 +42,76 @@
 const (
 	tenant  = "org-one"
 	service = "app"
-	// clientPause is the mean pause of a client between two requests.
+	// clientPause is the mean pause between two requests of a client.
 	clientPause = 30 * time.Millisecond
-	// recoverTime is by when all nodes must serve again once the faults are
-	// over: the recovery time of the users' sites, and more for a busy machine.
-	recoverTime = 20 * time.Second
-	// settleTime is how long runs may go on behind the last answer.
-	settleTime = 500 * time.Millisecond
-	askEvery   = 100 * time.Millisecond
+	// recoveryTimeout is how long after the last fault all nodes must serve again: the
+	// recovery time of the users' sites plus slack for a busy machine.
+	recoveryTimeout = 20 * time.Second
+	// settleTime is how long replicas may still run requests after the last answer.
+	settleTime   = 500 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 )
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
-	cfg    Config
-	store  *onplatform.Store
-	ledger *ledger
-	nodes  []*node
-
-	mu       sync.Mutex
-	replicas []*replica
-	gone     []*replica
-	made     int
-	version  int // Of the configuration.
-	done     map[string]int
-	ended    map[string]int // Replicas that ended under a request, by its body.
+	cfg     Config
+	store   *onplatform.Store
+	checker *checker
+	nodes   []*node
+
+	mu           sync.Mutex
+	replicas     []*replica
+	retired      []*replica
+	replicasMade int
+	version      int // Of the newest configuration.
+	faultCounts  map[string]int
+	crashes      map[string]int // Replicas that crashed on a request, by its body.
 }
 
-// Run runs one soak.
+// Run runs one soak and reports what it found.
 func Run(ctx context.Context, cfg Config) (rep Report, err error) {
 	defer func() { err = eris.Wrapf(err, "soak with seed %d", cfg.Seed) }()
-	s := &soak{cfg: cfg, ledger: newLedger(), done: map[string]int{}, ended: map[string]int{}}
-	defer s.end()
-	if err := s.begin(); err != nil {
+	s := &soak{cfg: cfg, checker: newChecker(), faultCounts: map[string]int{}, crashes: map[string]int{}}
+	defer s.stopAll()
+	if err := s.startAll(); err != nil {
 		return rep, err
 	}
-	if !s.serving() {
+	if !s.waitUntilServing() {
 		return rep, eris.New("the nodes did not begin to serve")
 	}
-	load, stop := context.WithCancel(ctx)
+	clientCtx, stopClients := context.WithCancel(ctx)
 	var clients sync.WaitGroup
-	ids := &atomic.Int64{}
+	lastID := &atomic.Int64{}
 	for i := range cfg.Clients {
-		c := &client{s: s, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(i))), ids: ids}
-		clients.Go(func() { c.run(load, clientPause) })
+		c := &client{soak: s, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(i))), lastID: lastID}
+		clients.Go(func() { c.run(clientCtx, clientPause) })
 	}
-	s.harm(ctx)
-	if !s.serving() {
-		s.ledger.fail("not all nodes serve by the newest configuration %s after the faults", recoverTime)
+	s.injectFaults(ctx)
+	if !s.waitUntilServing() {
+		s.checker.addViolation("not all nodes serve by the newest configuration %s after the faults", recoveryTimeout)
 	}
-	stop()
+	stopClients()
 	clients.Wait()
 	time.Sleep(settleTime)
-	s.ledger.judge()
-	rep = s.ledger.count()
-	rep.Seed, rep.Faults, rep.Broken = cfg.Seed, s.done, s.ledger.broken
+	s.checker.checkAll()
+	rep = s.checker.summary()
+	rep.Seed, rep.Faults, rep.Broken = cfg.Seed, s.faultCounts, s.checker.violations
 	return rep, nil
 }
 
-// begin starts the stand-ins and the nodes.
-func (s *soak) begin() (err error) {
+// startAll starts the stand-ins and then the nodes.
+func (s *soak) startAll() (err error) {
 	if s.store, err = onplatform.NewStore(); err != nil {
 		return err
 	}
-	s.configure()
+	s.writeConfiguration()
 	for range s.cfg.Replicas {
 		r, err := s.newReplica()
 		if err != nil {
 			return err
 		}
 		s.replicas = append(s.replicas, r)
-		s.list(r, "ready")
+		s.writeReplicaRow(r, "ready")
 	}
 	for i := range s.cfg.Nodes {
 		p, err := netproxy.New(s.store.Addr())
@@ -119,7 +119,7 @@
 			return err
 		}
 		ip := fmt.Sprintf("127.%d.%d.%d", 32+os.Getpid()%32, s.cfg.Seed%250+1, i+1)
-		n, err := newNode(s.cfg.Dir, fmt.Sprintf("node-%d", i), ip, s.cfg.Program, p, s.ledger.fail)
+		n, err := newNode(s.cfg.Dir, fmt.Sprintf("node-%d", i), ip, s.cfg.Program, p, s.checker.addViolation)
 		if err != nil {
 			return err
 		}
@@ -128,12 +128,12 @@
 	return nil
 }
 
-// end ends all that was started.
-func (s *soak) end() {
+// stopAll stops everything that startAll and the faults have started.
+func (s *soak) stopAll() {
 	for _, n := range s.nodes {
-		n.end()
+		n.killForGood()
 	}
-	for _, r := range append(s.replicas, s.gone...) {
+	for _, r := range append(s.replicas, s.retired...) {
 		r.close()
 	}
 	if s.store != nil {
@@ -141,37 +141,38 @@
 	}
 }
 
-// note tells of a process that could not be started again.
-func (s *soak) note(err error) {
+// recordStartError reports a process that could not be restarted.
+func (s *soak) recordStartError(err error) {
 	if err != nil {
-		s.ledger.fail("process not started: %v", err)
+		s.checker.addViolation("process not started: %v", err)
 	}
 }
 
-// harm brings faults about for the time of the soak and waits until they are
-// over.
-func (s *soak) harm(ctx context.Context) {
+// injectFaults injects random faults for the duration of the soak and waits until the
+// last one is over.
+func (s *soak) injectFaults(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(s.cfg.Seed, 1<<32))
 	end := time.Now().Add(s.cfg.Duration)
 	var wg sync.WaitGroup
 	for time.Now().Before(end) && ctx.Err() == nil {
-		f := faults[rng.IntN(len(faults))]
-		d := faultLeast + time.Duration(rng.Int64N(int64(faultMost-faultLeast)))
-		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
-		s.done[f.name]++
-		wg.Go(func() { f.do(s, own, d) })
-		time.Sleep(time.Duration(rng.ExpFloat64() * float64(faultEvery)))
+		next := faults[rng.IntN(len(faults))]
+		d := minFaultTime + time.Duration(rng.Int64N(int64(maxFaultTime-minFaultTime)))
+		faultRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		s.faultCounts[next.name]++
+		wg.Go(func() { next.inject(s, faultRNG, d) })
+		time.Sleep(time.Duration(rng.ExpFloat64() * float64(meanFaultPause)))
 	}
 	wg.Wait()
 }
 
-// list writes a replica's entry.
-func (s *soak) list(r *replica, state string) {
+// writeReplicaRow lists a replica in the store with the given state.
+func (s *soak) writeReplicaRow(r *replica, state string) {
 	s.store.Put(onplatform.TableUpstreams, r.ID, onplatform.UpstreamRow(service, r.proxy.Addr(), 32, state))
 }
 
-// configure writes a new configuration, with a route that only it has.
-func (s *soak) configure() {
+// writeConfiguration writes a new configuration version. One of its routes is named
+// after the version, so that a request shows whether a node uses it.
+func (s *soak) writeConfiguration() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
@@ -185,7 +186,7 @@
 		"config_version": s.version,
 		"routes": []map[string]any{
 			route(kindOnce, "non_idempotent", 1), route(kindSafe, "idempotent", 2), route(kindStream, "streaming", 1),
-			route(newestRoute(s.version), "idempotent", 2),
+			route(versionRoute(s.version), "idempotent", 2),
 		},
 		"services": []map[string]any{{"name": service, "health_path": "/healthz", "max_conns": 500}},
 		"limits":   map[string]any{"max_header_bytes": 8192, "max_body_bytes": 1 << 20, "header_timeout_ms": 3000, "idle_timeout_ms": 15000},
@@ -193,20 +194,21 @@
 	})
 }
 
-func newestRoute(version int) string { return fmt.Sprintf("version-%d", version) }
+func versionRoute(version int) string { return fmt.Sprintf("version-%d", version) }
 
-// serving waits until every node serves the route of the newest configuration.
-func (s *soak) serving() bool {
+// waitUntilServing waits until every node serves the route of the newest configuration;
+// it returns false after recoveryTimeout.
+func (s *soak) waitUntilServing() bool {
 	s.mu.Lock()
-	path := "/" + newestRoute(s.version) + "/x"
+	path := "/" + versionRoute(s.version) + "/x"
 	s.mu.Unlock()
-	end := time.Now().Add(recoverTime)
+	end := time.Now().Add(recoveryTimeout)
 	for _, n := range s.nodes {
 		for !s.serves(n, path) {
 			if time.Now().After(end) {
 				return false
 			}
-			time.Sleep(askEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return true
@@ -214,7 +216,7 @@
 
 func (s *soak) serves(n *node, path string) bool {
 	id := fmt.Sprintf("check-%d", rand.Uint64())
-	req, err := http.NewRequest(http.MethodPost, "http://"+n.entry()+path, strings.NewReader(bodyOf(id, 10)))
+	req, err := http.NewRequest(http.MethodPost, "http://"+n.entry()+path, strings.NewReader(requestBody(id, 10)))
 	if err != nil {
 		return false
 	}
@@ -223,7 +225,7 @@
 	for name, value := range map[string]string{"Request-Id": id, "Authorization": "Bearer " + key, "Deadline-Ms": "1000"} {
 		req.Header.Set(name, value)
 	}
-	resp, err := (&http.Client{Timeout: readTime}).Do(req)
+	resp, err := (&http.Client{Timeout: readTimeout}).Do(req)
 	if err != nil {
 		return false
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// build makes the program under test.
+// build compiles the program under test.
 func build(t *testing.T) string {
 	program := filepath.Join(t.TempDir(), "drumpath")
 	out, err := exec.Command("go", "build", "-o", program, "../../cmd/drumpath").CombinedOutput()
@@ -17,7 +17,7 @@
 	return program
 }
 
-// A short soak with a fixed seed; `measure soak` runs long ones.
+// A short soak with a fixed seed; `measure soak` runs longer ones.
 func TestShortSoak(t *testing.T) {
 	r, err := Run(t.Context(), Config{
 		Program: build(t), Seed: 1, Nodes: 3, Replicas: 4, Clients: 12, Duration: 6 * time.Second, Dir: t.TempDir(),
