--- a/_scripts/ablate/ablate_test.go
+++ b/_scripts/ablate/ablate_test.go
@@ -17,7 +17,7 @@
 	return path
 }
 
-func TestUnknownNamesAreToldAndNothingRuns(t *testing.T) {
+func TestUnknownNamesAreRejectedBeforeAnyPlay(t *testing.T) {
 	site := writeFile(t, "s.toml", siteFile)
 	out := filepath.Join(t.TempDir(), "out.jsonl")
 	for want, c := range map[string]playCommand{
@@ -33,7 +33,8 @@
 	assert.Assert(t, os.IsNotExist(err))
 }
 
-// A driver that is stopped in the middle of a line goes on with the play of that line.
+// The incomplete last line is that of a run that was stopped while it wrote a result: its
+// play is run again, the others are not.
 func TestFinishedPlaysAreNotPlayedAgain(t *testing.T) {
 	site := writeFile(t, "s.toml", siteFile)
 	days, err := parseDays([]string{site + " quiet-1", site + " scale-1"})
@@ -42,11 +43,11 @@
 	done, err := readResults(out)
 	assert.NilError(t, err)
 	assert.Equal(t, len(done), 1)
-	list, _ := missing([]string{"saves"}, days, []int64{0}, done)
+	list, _ := remainingPlays([]string{"saves"}, days, []int64{0}, done)
 	assert.DeepEqual(t, list, []play{{Site: "s", Day: "scale-1"}, {Without: "saves", Site: "s", Day: "quiet-1"}, {Without: "saves", Site: "s", Day: "scale-1"}})
 }
 
-func TestTableTellsGainsFromNothing(t *testing.T) {
+func TestTableMarksIntervalsThatExcludeZero(t *testing.T) {
 	var list []result
 	for seed, worth := range []float64{0.50, 0.52, 0.54, 0.51} {
 		p := play{Site: "s", Day: "quiet-1", Seed: int64(seed)}
--- a/_scripts/ablate/main.go
+++ b/_scripts/ablate/main.go
@@ -1,5 +1,5 @@
-// Command ablate plays days of load with one mechanism of the decisions switched off at a
-// time, and prints what each is worth.
+// Command ablate runs days of the users' bench with one mechanism of the nodes switched off
+// at a time and prints how much worth each mechanism adds.
 package main
 
 import (
--- a/_scripts/ablate/plan.go
+++ b/_scripts/ablate/plan.go
@@ -14,48 +14,50 @@
 	"github.com/drumpath/drumpath/pkg/config"
 )
 
-// play is one play of a day: without a mechanism, or as in service if Without is empty.
+// play identifies one run of a bench day: with the mechanism Without switched off, or with
+// all mechanisms on if Without is empty.
 type play struct {
 	Without string `json:"without"`
-	Site    string `json:"site"` // The site file's name.
+	Site    string `json:"site"` // The site file's name without .toml.
 	Day     string `json:"day"`
 	Small   bool   `json:"small"`
-	Seed    int64  `json:"seed"` // 0 for the day's own.
+	Seed    int64  `json:"seed"` // 0 for the day's own seed.
 }
 
-// result is a play's line in the results.
+// result is the line of a play in the results file.
 type result struct {
 	play
 	Worth float64 `json:"worth"`
-	// OwnCode is the processor time of the nodes' own code, in seconds.
+	// OwnCode is the processor time of the nodes' own code in seconds.
 	OwnCode float64 `json:"own_code_s"`
-	// Broken says that a rule was broken, or that the day was not played to its end.
+	// Broken means that a rule of the bench was broken or that the day did not run to its end.
 	Broken bool `json:"broken,omitempty"`
 }
 
-// dayOf is a day that may be played: "SITE DAY", or "SITE DAY small" for its small twin.
-type dayOf struct {
-	site  string // The file.
+// siteDay is a day of a site file, given as "SITE DAY", or "SITE DAY small" for its small
+// variant.
+type siteDay struct {
+	site  string // The site file.
 	name  string
 	small bool
 }
 
-var dayName = regexp.MustCompile(`(?m)^\[\[day\]\]\s*\n(?:[^\[\n].*\n)*?name = "([^"]+)"`)
+var dayNamePattern = regexp.MustCompile(`(?m)^\[\[day\]\]\s*\n(?:[^\[\n].*\n)*?name = "([^"]+)"`)
 
-// parseDays reads days as they are named, and finds each in its site file.
-func parseDays(list []string) (days []dayOf, err error) {
+// parseDays parses the days and checks that each is in its site file.
+func parseDays(list []string) (days []siteDay, err error) {
 	for _, text := range list {
 		words := strings.Fields(text)
 		if len(words) < 2 || len(words) > 3 || len(words) == 3 && words[2] != "small" {
 			return nil, eris.Errorf("day %q: want \"SITE DAY\" or \"SITE DAY small\"", text)
 		}
-		d := dayOf{site: words[0], name: words[1], small: len(words) == 3}
+		d := siteDay{site: words[0], name: words[1], small: len(words) == 3}
 		file, err := os.ReadFile(d.site)
 		if err != nil {
 			return nil, eris.Wrapf(err, "day %q", text)
 		}
 		var names []string
-		for _, m := range dayName.FindAllStringSubmatch(string(file), -1) {
+		for _, m := range dayNamePattern.FindAllStringSubmatch(string(file), -1) {
 			names = append(names, m[1])
 		}
 		if !slices.Contains(names, d.name) {
@@ -66,9 +68,9 @@
 	return days, nil
 }
 
-// parseMechanisms checks names of mechanisms; without any it lists all.
+// parseMechanisms checks names of mechanisms; it returns all mechanisms if none is given.
 func parseMechanisms(list []string) ([]string, error) {
-	all, err := mechanisms()
+	all, err := allMechanisms()
 	if err != nil {
 		return nil, err
 	}
@@ -83,8 +85,8 @@
 	return list, nil
 }
 
-// mechanisms lists the settings' names of all mechanisms.
-func mechanisms() ([]string, error) {
+// allMechanisms returns the names of all mechanisms as the settings have them.
+func allMechanisms() ([]string, error) {
 	text, err := json.Marshal(config.DisabledMechanisms{})
 	if err != nil {
 		return nil, err
@@ -96,7 +98,7 @@
 	return names, nil
 }
 
-// parseSeeds reads seeds; "own" is the day's own.
+// parseSeeds parses seeds; "own" stands for the day's own seed, 0.
 func parseSeeds(list []string) (seeds []int64, err error) {
 	for _, text := range list {
 		if text == "own" {
@@ -112,19 +114,20 @@
 	return seeds, nil
 }
 
-// missing lists the plays that are not yet done, those with everything on first.
-func missing(names []string, days []dayOf, seeds []int64, done []result) (list []play, sites map[string]string) {
+// remainingPlays returns the plays that have no result yet, for each seed those with all
+// mechanisms on first, and the site files by site name.
+func remainingPlays(names []string, days []siteDay, seeds []int64, done []result) (list []play, sites map[string]string) {
 	sites = map[string]string{}
-	have := map[play]bool{}
+	finished := map[play]bool{}
 	for _, r := range done {
-		have[r.play] = true
+		finished[r.play] = true
 	}
 	for _, seed := range seeds {
 		for _, without := range append([]string{""}, names...) {
 			for _, d := range days {
 				p := play{Without: without, Site: strings.TrimSuffix(filepath.Base(d.site), ".toml"), Day: d.name, Small: d.small, Seed: seed}
 				sites[p.Site] = d.site
-				if !have[p] {
+				if !finished[p] {
 					list = append(list, p)
 				}
 			}
@@ -133,7 +136,8 @@
 	return list, sites
 }
 
-// readResults reads results; a last line that was cut off is left out, and is played anew.
+// readResults reads the results file. It ignores an incomplete last line, so that its play
+// is run again.
 func readResults(path string) (list []result, err error) {
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
--- a/_scripts/ablate/play.go
+++ b/_scripts/ablate/play.go
@@ -43,16 +43,16 @@
 	if err != nil {
 		return err
 	}
-	list, sites := missing(names, days, seeds, done)
+	list, sites := remainingPlays(names, days, seeds, done)
 	fmt.Printf("%d plays done, %d to do\n", len(done), len(list))
 	return c.playAll(list, sites, done)
 }
 
-// playAll plays several at a time and writes each result as it comes.
+// playAll runs up to Jobs plays at a time and writes each result when it is there.
 func (c *playCommand) playAll(list []play, sites map[string]string, done []result) (err error) {
-	trees := &trees{repo: c.Repo, dirs: map[string]*tree{}}
-	defer trees.close()
-	// Written anew, as the last line may have been cut off.
+	copies := &workingCopies{repo: c.Repo, copies: map[string]*workingCopy{}}
+	defer copies.close()
+	// Rewritten, as its last line may be incomplete.
 	out, err := os.Create(c.Out)
 	if err != nil {
 		return err
@@ -70,14 +70,14 @@
 	for range max(1, c.Jobs) {
 		wg.Go(func() {
 			for p := range work {
-				r, e := c.play(trees, p, sites[p.Site])
+				r, playErr := c.playDay(copies, p, sites[p.Site])
 				mu.Lock()
-				if e == nil {
-					e = enc.Encode(r)
+				if playErr == nil {
+					playErr = enc.Encode(r)
 				}
-				if e != nil {
-					fmt.Fprintf(os.Stderr, "%+v: %v\n", p, e)
-					err = firstError(err, e)
+				if playErr != nil {
+					fmt.Fprintf(os.Stderr, "%+v: %v\n", p, playErr)
+					err = firstError(err, playErr)
 				}
 				mu.Unlock()
 			}
@@ -91,6 +91,7 @@
 	return err
 }
 
+// firstError returns a, or b if a is nil.
 func firstError(a, b error) error {
 	if a != nil {
 		return a
@@ -99,15 +100,15 @@
 }
 
 var (
-	worthLine = regexp.MustCompile(`(?m)^worth (-?[0-9.]+) = `)
-	codeLine  = regexp.MustCompile(`([0-9.]+) s in the processes' own code`)
-	// breach is a rule's name where a line begins.
-	breach = regexp.MustCompile(`(?m)^\s*[A-Z]{3,}\b`)
+	worthPattern   = regexp.MustCompile(`(?m)^worth (-?[0-9.]+) = `)
+	ownCodePattern = regexp.MustCompile(`([0-9.]+) s in the processes' own code`)
+	// brokenRulePattern matches the name of a broken rule at the start of a line.
+	brokenRulePattern = regexp.MustCompile(`(?m)^\s*[A-Z]{3,}\b`)
 )
 
-// play plays one day and takes its figures from what is printed.
-func (c *playCommand) play(ts *trees, p play, site string) (r result, err error) {
-	dir, err := ts.get(p.Without)
+// playDay runs one play with the bench and parses the figures that the bench prints.
+func (c *playCommand) playDay(copies *workingCopies, p play, site string) (r result, err error) {
+	dir, err := copies.dir(p.Without)
 	if err != nil {
 		return r, err
 	}
@@ -128,52 +129,52 @@
 	cmd := exec.Command(bench, args...)
 	cmd.Dir = dir
 	text, err := cmd.CombinedOutput()
-	worth, code := worthLine.FindSubmatch(text), codeLine.FindSubmatch(text)
-	if worth == nil || code == nil {
+	worth, ownCode := worthPattern.FindSubmatch(text), ownCodePattern.FindSubmatch(text)
+	if worth == nil || ownCode == nil {
 		return r, eris.Errorf("no figures: %v: %s", err, bytes.TrimSpace(text))
 	}
-	r = result{play: p, Broken: err != nil || breach.Match(text)}
+	r = result{play: p, Broken: err != nil || brokenRulePattern.Match(text)}
 	if r.Worth, err = strconv.ParseFloat(string(worth[1]), 64); err != nil {
 		return r, err
 	}
-	r.OwnCode, err = strconv.ParseFloat(string(code[1]), 64)
+	r.OwnCode, err = strconv.ParseFloat(string(ownCode[1]), 64)
 	return r, err
 }
 
-// trees are working copies of the repository, one for each mechanism that is off.
-type trees struct {
+// workingCopies are working copies of the repository, one for each value of play.Without.
+type workingCopies struct {
 	repo string
 
-	mu   sync.Mutex
-	dirs map[string]*tree
+	mu     sync.Mutex
+	copies map[string]*workingCopy
 }
 
-type tree struct {
+type workingCopy struct {
 	once sync.Once
 	dir  string
 	err  error
 }
 
-func (t *trees) get(without string) (string, error) {
-	t.mu.Lock()
-	x := t.dirs[without]
-	if x == nil {
-		x = &tree{}
-		t.dirs[without] = x
-	}
-	t.mu.Unlock()
-	x.once.Do(func() { x.dir, x.err = t.make(without) })
-	return x.dir, x.err
+func (w *workingCopies) dir(without string) (string, error) {
+	w.mu.Lock()
+	wc := w.copies[without]
+	if wc == nil {
+		wc = &workingCopy{}
+		w.copies[without] = wc
+	}
+	w.mu.Unlock()
+	wc.once.Do(func() { wc.dir, wc.err = w.create(without) })
+	return wc.dir, wc.err
 }
 
-// make checks out the last commit and switches a mechanism off in the template of the
-// nodes' settings.
-func (t *trees) make(without string) (dir string, err error) {
+// create clones the last commit and switches a mechanism off in deploy/node.json, the
+// template of the nodes' settings.
+func (w *workingCopies) create(without string) (dir string, err error) {
 	defer func() { err = eris.Wrapf(err, "working copy without %q", without) }()
 	if dir, err = os.MkdirTemp("", "ablate-"); err != nil {
 		return "", err
 	}
-	if text, err := exec.Command("git", "clone", "-q", t.repo, dir).CombinedOutput(); err != nil {
+	if text, err := exec.Command("git", "clone", "-q", w.repo, dir).CombinedOutput(); err != nil {
 		return "", eris.Wrap(err, string(text))
 	}
 	if without == "" {
@@ -186,32 +187,33 @@
 	}
 	changed := strings.Replace(string(text), "\n{\n", fmt.Sprintf("\n{\n  \"without\": {%q: true},\n", without), 1)
 	if changed == string(text) {
-		return "", eris.New("no place for the switch in " + path)
+		return "", eris.New("no place for the \"without\" setting in " + path)
 	}
 	return dir, os.WriteFile(path, []byte(changed), 0o600)
 }
 
-// close takes the journals of all copies into the repository and removes the copies.
-func (t *trees) close() {
-	for _, x := range t.dirs {
-		if x.dir == "" {
+// close copies the journals of all working copies into the repository and removes the
+// working copies.
+func (w *workingCopies) close() {
+	for _, wc := range w.copies {
+		if wc.dir == "" {
 			continue
 		}
-		if err := t.keepJournal(x.dir); err != nil {
-			fmt.Fprintf(os.Stderr, "journal of %s stays there: %v\n", x.dir, err)
+		if err := w.copyJournal(wc.dir); err != nil {
+			fmt.Fprintf(os.Stderr, "journal of %s not copied, it stays there: %v\n", wc.dir, err)
 			continue
 		}
-		_ = os.RemoveAll(x.dir) // What is left is in the temporary directory.
+		_ = os.RemoveAll(wc.dir) // A remainder stays in the temporary directory.
 	}
 }
 
-func (t *trees) keepJournal(dir string) error {
+func (w *workingCopies) copyJournal(dir string) error {
 	entries, err := filepath.Glob(filepath.Join(dir, "journal", "*.json"))
 	if err != nil {
 		return err
 	}
 	for _, from := range entries {
-		to := filepath.Join(t.repo, "journal", filepath.Base(from))
+		to := filepath.Join(w.repo, "journal", filepath.Base(from))
 		if _, err := os.Stat(to); err == nil {
 			continue
 		}
--- a/_scripts/ablate/table.go
+++ b/_scripts/ablate/table.go
@@ -23,42 +23,42 @@
 	return nil
 }
 
-// table has a row for each mechanism: what worth it adds, with the interval in which 19 of
-// 20 resamplings of the pairs of plays lie, and by how much the nodes' own code takes more
-// processor time with it.
+// table returns a Markdown table with a row for each mechanism: its mean gain in worth with
+// the 95 % bootstrap interval over pairs of plays with and without it, and by how much the
+// processor time of the nodes' own code grows with it.
 func table(list []result) string {
-	base := map[play]result{}
+	baseline := map[play]result{}
 	names := []string{}
 	for _, r := range list {
 		if r.Without == "" {
-			base[r.play] = r
+			baseline[r.play] = r
 		} else if !slices.Contains(names, r.Without) {
 			names = append(names, r.Without)
 		}
 	}
 	var b strings.Builder
-	b.WriteString("| mechanism | adds to worth | 95 % of resamplings | told from nothing | by day | own code with it, % | plays | broken without it |\n|---|---|---|---|---|---|---|---|\n")
+	b.WriteString("| mechanism | adds to worth | 95 % of resamplings | differs from zero | by day | own code with it, % | plays | broken without it |\n|---|---|---|---|---|---|---|---|\n")
 	for _, name := range names {
-		b.WriteString(row(name, list, base))
+		b.WriteString(mechanismRow(name, list, baseline))
 	}
 	return b.String()
 }
 
-func row(name string, list []result, base map[play]result) string {
-	var gains, code []float64
-	byDay := map[string][]float64{}
+func mechanismRow(name string, list []result, baseline map[play]result) string {
+	var gains, ownCode []float64
+	gainsByDay := map[string][]float64{}
 	broken := 0
 	for _, r := range list {
-		with := r.play
-		with.Without = ""
-		b, ok := base[with]
+		baselinePlay := r.play
+		baselinePlay.Without = ""
+		b, ok := baseline[baselinePlay]
 		if r.Without != name || !ok {
 			continue
 		}
 		gains = append(gains, b.Worth-r.Worth)
-		code = append(code, 100*(b.OwnCode/r.OwnCode-1))
+		ownCode = append(ownCode, 100*(b.OwnCode/r.OwnCode-1))
 		day := r.Site + " " + r.Day
-		byDay[day] = append(byDay[day], b.Worth-r.Worth)
+		gainsByDay[day] = append(gainsByDay[day], b.Worth-r.Worth)
 		if r.Broken {
 			broken++
 		}
@@ -67,27 +67,27 @@
 		return ""
 	}
 	low, high := interval(gains)
-	told := "no"
+	significant := "no"
 	if low > 0 || high < 0 {
-		told = "yes"
+		significant = "yes"
 	}
 	var days []string
-	for day, g := range byDay {
+	for day, g := range gainsByDay {
 		days = append(days, fmt.Sprintf("%s %+.3f", day, stat.Mean(g, nil)))
 	}
 	slices.Sort(days)
 	return fmt.Sprintf("| %s | %+.3f | %+.3f to %+.3f | %s | %s | %+.1f | %d | %d |\n",
-		name, stat.Mean(gains, nil), low, high, told, strings.Join(days, ", "), stat.Mean(code, nil), len(gains), broken)
+		name, stat.Mean(gains, nil), low, high, significant, strings.Join(days, ", "), stat.Mean(ownCode, nil), len(gains), broken)
 }
 
 const (
 	resamplings = 10_000
-	tail        = 0.025 // Left out on each side.
+	tailShare   = 0.025 // Outside the interval on each side.
 )
 
-// interval is the percentile bootstrap interval of the mean of paired differences.
+// interval returns the percentile bootstrap interval of the mean of paired differences.
 func interval(gains []float64) (low, high float64) {
-	rng := rand.New(rand.NewPCG(1, uint64(len(gains)))) // The same table each time.
+	rng := rand.New(rand.NewPCG(1, uint64(len(gains)))) // A fixed seed, so that the table is reproducible.
 	means := make([]float64, resamplings)
 	sample := make([]float64, len(gains))
 	for i := range means {
@@ -97,5 +97,5 @@
 		means[i] = stat.Mean(sample, nil)
 	}
 	slices.Sort(means)
-	return stat.Quantile(tail, stat.Empirical, means, nil), stat.Quantile(1-tail, stat.Empirical, means, nil)
+	return stat.Quantile(tailShare, stat.Empirical, means, nil), stat.Quantile(1-tailShare, stat.Empirical, means, nil)
 }
--- a/_scripts/mutate/main.go
+++ b/_scripts/mutate/main.go
@@ -1,5 +1,5 @@
-// Command mutate breaks one mechanism at a time in a copy of the tree and shows
-// that the test which proves it turns red. It changes nothing in place.
+// Command mutate breaks one mechanism at a time in a copy of the source tree and checks
+// that the test of that mechanism then fails. The working tree is not changed.
 //
 //	go run ./_scripts/mutate
 package main
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// mutation is one mechanism, how to break it, and the test that proves it.
+// mutation breaks a mechanism by replacing old, which must be in the file exactly once, by
+// new; the test must then fail.
 type mutation struct {
 	name string
 	file string
@@ -26,9 +27,9 @@
 
 func main() {
 	dir, err := os.MkdirTemp("", "mutate")
-	check(err)
+	exitOnError(err)
 	defer func() { _ = os.RemoveAll(dir) }()
-	check(copyTree(".", dir))
+	exitOnError(copyTree(".", dir))
 	survived := 0
 	fmt.Println("| mechanism | broken by | test | verdict |")
 	fmt.Println("|---|---|---|---|")
@@ -36,9 +37,9 @@
 		if len(os.Args) > 1 && !strings.Contains(m.name, os.Args[1]) {
 			continue
 		}
-		red := try(dir, m)
+		failed := detected(dir, m)
 		verdict := "red"
-		if !red {
+		if !failed {
 			verdict = "STILL GREEN"
 			survived++
 		}
@@ -50,21 +51,22 @@
 	}
 }
 
-// try applies a mutation in dir, runs its test, takes it back, and says whether
-// the test failed. A mutation that does not compile proves nothing.
-func try(dir string, m mutation) bool {
+// detected applies a mutation in dir, runs its test, reverts the mutation and reports
+// whether the test failed. A mutation that does not compile ends the program, since its
+// test would fail for another reason.
+func detected(dir string, m mutation) bool {
 	path := filepath.Join(dir, m.file)
 	text, err := os.ReadFile(path)
-	check(err)
+	exitOnError(err)
 	if strings.Count(string(text), m.old) != 1 {
-		check(fmt.Errorf("%s: %q is not there exactly once", m.file, m.old))
+		exitOnError(fmt.Errorf("%s: %q does not occur exactly once", m.file, m.old))
 	}
-	check(os.WriteFile(path, []byte(strings.Replace(string(text), m.old, m.new, 1)), 0o600))
-	defer func() { check(os.WriteFile(path, text, 0o600)) }()
+	exitOnError(os.WriteFile(path, []byte(strings.Replace(string(text), m.old, m.new, 1)), 0o600))
+	defer func() { exitOnError(os.WriteFile(path, text, 0o600)) }()
 	vet := exec.Command("go", "vet", "./"+filepath.Dir(m.file))
 	vet.Dir = dir
 	if out, err := vet.CombinedOutput(); err != nil {
-		check(fmt.Errorf("%s does not compile: %s", m.name, out))
+		exitOnError(fmt.Errorf("%s does not compile: %s", m.name, out))
 	}
 	const timeout = 5 * time.Minute
 	cmd := exec.Command("go", "test", "-count=1", "-timeout", timeout.String(), "-run", m.test, m.pkg)
@@ -91,7 +93,8 @@
 	})
 }
 
-func check(err error) {
+// exitOnError prints an error, if there is one, and exits with status 2.
+func exitOnError(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
