--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -83,7 +83,7 @@
 	}
 	kind := [...]string{kindOnce, kindOnce, kindSafe, kindStream}[c.rng.IntN(4)]
 	o := outcome{kind: kind, id: fmt.Sprintf("%s-%d", kind, c.lastID.Add(1)), node: c.node, sentAt: time.Now()}
-	body := requestBody(o.id, c.rng.IntN(20_000))
+	body := reqBody(o.id, c.rng.IntN(20_000))
 	text := fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nAuthorization: Bearer %s\r\nDeadline-Ms: %d\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s",
 		kind, host, o.id, key, clientTimeout.Milliseconds(), headerNode, o.node.name, headerSent, o.sentAt.UnixNano(), len(body), body)
 	_ = c.conn.SetDeadline(time.Now().Add(readTimeout)) // Cannot fail on an open connection.
@@ -117,11 +117,9 @@
 	}
 }
 
-// requestBody returns a body that begins and ends with the request's ID, so that its
+// reqBody returns a body that begins and ends with the request's ID, so that its
 // receiver can tell whether it is complete.
-func requestBody(id string, filler int) string {
-	return id + " " + strings.Repeat("b", filler) + " " + id
-}
+func reqBody(id string, filler int) string { return id + " " + strings.Repeat("b", filler) + " " + id }
 
 // expectedAnswer returns the body of the answer that any replica gives.
 func expectedAnswer(kind, id string) string {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -216,7 +216,7 @@
 
 func (s *soak) serves(n *node, path string) bool {
 	id := fmt.Sprintf("check-%d", rand.Uint64())
-	req, err := http.NewRequest(http.MethodPost, "http://"+n.entry()+path, strings.NewReader(requestBody(id, 10)))
+	req, err := http.NewRequest(http.MethodPost, "http://"+n.entry()+path, strings.NewReader(reqBody(id, 10)))
 	if err != nil {
 		return false
 	}
