--- a/pkg/route/admission.go
+++ b/pkg/route/admission.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	minCapacity     = 4
-	ewmaWeight      = 0.05 // Weight of the newest sample in the moving averages.
-	defaultHoldTime = 300 * time.Millisecond
-	minRetryAfter   = 100 * time.Millisecond
-	burstSeconds    = 2 // Burst of the token limit, in seconds of its rate.
+	minCapacity         = 4
+	ewmaWeight          = 0.05 // Weight of the newest sample in the moving averages.
+	initialAdmittedTime = 300 * time.Millisecond
+	minRetryAfter       = 100 * time.Millisecond
+	burstSeconds        = 2 // Burst of the token limit, in seconds of its rate.
 )
 
-// Tenant is an organisation's share and limits.
-type Tenant struct {
+// Organisation is an organisation's name, share and limits.
+type Organisation struct {
 	Name            string
 	Share           float64
 	Concurrency     int
@@ -27,7 +27,8 @@
 }
 
 // Admission admits requests up to a capacity, fairly between organisations by
-// their shares, and within an organisation by priority and deadline.
+// their shares, and within an organisation by priority (the greatest number first,
+// unlike in PromptQueue) and deadline.
 //
 // It uses start-time fair queueing: each organisation has a virtual time that
 // grows by the cost of its admitted requests divided by its share, and the
@@ -35,25 +36,25 @@
 // organisation delays only that organisation. A request that is expected to wait
 // past its deadline is refused at once.
 type Admission struct {
-	mu           sync.Mutex
-	capacity     int
-	admitted     int
-	virtualTime  float64
-	meanHoldTime time.Duration
+	mu               sync.Mutex
+	capacity         int
+	admitted         int
+	virtualTime      float64
+	meanAdmittedTime time.Duration // Mean time from admission to release.
 	// meanFirstToken is the mean time from admission to the first token.
 	meanFirstToken      time.Duration
 	firstTokenDeviation time.Duration // Mean absolute deviation from meanFirstToken.
 	lastFirstToken      time.Time     // When the latest first token came.
-	tenants             map[string]*tenantQueue
+	organisations       map[string]*orgQueue
 	// backlogged has the organisations with waiting requests: the cost of a
 	// decision grows with their number and not with that of all organisations.
-	backlogged       map[*tenantQueue]struct{}
+	backlogged       map[*orgQueue]struct{}
 	backloggedShares float64 // Sum of the shares of backlogged.
 	seq              uint64
 }
 
-type tenantQueue struct {
-	Tenant
+type orgQueue struct {
+	Organisation
 	virtualFinish float64 // Virtual time at which its admitted work ends.
 	admitted      int
 	waiting       queue.Heap[*AdmissionTicket]
@@ -64,14 +65,14 @@
 // NewAdmission returns an Admission with the minimum capacity.
 func NewAdmission() *Admission {
 	return &Admission{
-		capacity:     minCapacity,
-		meanHoldTime: defaultHoldTime,
-		tenants:      map[string]*tenantQueue{},
-		backlogged:   map[*tenantQueue]struct{}{},
+		capacity:         minCapacity,
+		meanAdmittedTime: initialAdmittedTime,
+		organisations:    map[string]*orgQueue{},
+		backlogged:       map[*orgQueue]struct{}{},
 	}
 }
 
-// Adapt raises or lowers the capacity, at most to maxCapacity, by how long
+// Adapt raises the capacity, at most to maxCapacity, or lowers it, depending on how long
 // requests wait at the replicas. Requests should wait here instead: a replica's
 // prefill queue can't be reordered, and cached state that a request needs may be
 // evicted while it waits there.
@@ -127,10 +128,10 @@
 // Enqueue queues a request, which may be admitted at once, or returns a
 // *RefusedError if it is not expected to be admitted before its deadline or its
 // organisation exceeds its token limit. cost is in tokens.
-func (a *Admission) Enqueue(t Tenant, cost float64, priority int, deadline, now time.Time) (*AdmissionTicket, error) {
+func (a *Admission) Enqueue(o Organisation, cost float64, priority int, deadline, now time.Time) (*AdmissionTicket, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	q := a.queueFor(t)
+	q := a.queueFor(o)
 	if q.limiter != nil {
 		if ok, after := takeTokens(q.limiter, cost, now); !ok {
 			return nil, &RefusedError{Reason: RefusedRateLimit, RetryAfter: after}
@@ -141,13 +142,13 @@
 	}
 	a.seq++
 	ticket := &AdmissionTicket{
-		admission: a,
-		tenant:    q,
-		cost:      max(1, cost),
-		priority:  priority,
-		deadline:  deadline,
-		seq:       a.seq,
-		ready:     make(chan struct{}),
+		admission:    a,
+		organisation: q,
+		cost:         max(1, cost),
+		priority:     priority,
+		deadline:     deadline,
+		seq:          a.seq,
+		ready:        make(chan struct{}),
 	}
 	q.waiting.Push(ticket)
 	a.updateBacklogged(q)
@@ -156,7 +157,7 @@
 }
 
 // updateBacklogged adds a queue to backlogged or removes it, and adjusts the sum of shares.
-func (a *Admission) updateBacklogged(q *tenantQueue) {
+func (a *Admission) updateBacklogged(q *orgQueue) {
 	_, counted := a.backlogged[q]
 	switch waits := q.waiting.Len() > 0; {
 	case waits && !counted:
@@ -170,7 +171,7 @@
 }
 
 // takeTokens takes cost from a limiter, or returns after how long to retry. A cost
-// larger than the burst is taken as the whole burst.
+// larger than the burst counts as the whole burst.
 func takeTokens(l *rate.Limiter, cost float64, now time.Time) (bool, time.Duration) {
 	n := min(int(cost), l.Burst())
 	r := l.ReserveN(now, n)
@@ -182,19 +183,19 @@
 }
 
 // queueFor returns an organisation's queue, updated to its current limits.
-func (a *Admission) queueFor(t Tenant) *tenantQueue {
-	q, ok := a.tenants[t.Name]
+func (a *Admission) queueFor(o Organisation) *orgQueue {
+	q, ok := a.organisations[o.Name]
 	if !ok {
-		q = &tenantQueue{}
-		a.tenants[t.Name] = q
+		q = &orgQueue{}
+		a.organisations[o.Name] = q
 	}
-	if t.TokensPerSecond != q.TokensPerSecond {
+	if o.TokensPerSecond != q.TokensPerSecond {
 		q.limiter = nil
-		if t.TokensPerSecond > 0 {
-			q.limiter = rate.NewLimiter(rate.Limit(t.TokensPerSecond), max(1, int(burstSeconds*t.TokensPerSecond)))
+		if o.TokensPerSecond > 0 {
+			q.limiter = rate.NewLimiter(rate.Limit(o.TokensPerSecond), max(1, int(burstSeconds*o.TokensPerSecond)))
 		}
 	}
-	q.Tenant = t
+	q.Organisation = o
 	if q.Share <= 0 {
 		q.Share = 1
 	}
@@ -203,7 +204,7 @@
 
 // expectedWait is how long a new request of an organisation would wait: its queue
 // drains at its share of the rate at which admitted requests end.
-func (a *Admission) expectedWait(q *tenantQueue) time.Duration {
+func (a *Admission) expectedWait(q *orgQueue) time.Duration {
 	if a.admitted < a.capacity && q.waiting.Len() == 0 && q.belowConcurrencyLimit() {
 		return 0
 	}
@@ -211,21 +212,21 @@
 	if _, counted := a.backlogged[q]; !counted {
 		shares += q.Share
 	}
-	perSecond := float64(a.capacity) / max(a.meanHoldTime.Seconds(), 1e-3) * q.Share / shares
+	perSecond := float64(a.capacity) / max(a.meanAdmittedTime.Seconds(), 1e-3) * q.Share / shares
 	if q.Concurrency > 0 {
-		perSecond = min(perSecond, float64(q.Concurrency)/max(a.meanHoldTime.Seconds(), 1e-3))
+		perSecond = min(perSecond, float64(q.Concurrency)/max(a.meanAdmittedTime.Seconds(), 1e-3))
 	}
 	return seconds(float64(q.waiting.Len()+1) / perSecond)
 }
 
-func (q *tenantQueue) belowConcurrencyLimit() bool {
+func (q *orgQueue) belowConcurrencyLimit() bool {
 	return q.Concurrency == 0 || q.admitted < q.Concurrency
 }
 
 // admit admits waiting requests up to the capacity; the caller holds mu.
 func (a *Admission) admit(now time.Time) {
 	for a.admitted < a.capacity {
-		q := a.nextTenant()
+		q := a.nextOrganisation()
 		if q == nil {
 			return
 		}
@@ -241,9 +242,9 @@
 	}
 }
 
-// nextTenant picks the organisation whose request is admitted next, nil for none.
-func (a *Admission) nextTenant() *tenantQueue {
-	var best *tenantQueue
+// nextOrganisation picks the organisation whose request is admitted next, nil for none.
+func (a *Admission) nextOrganisation() *orgQueue {
+	var best *orgQueue
 	for q := range a.backlogged {
 		if !q.belowConcurrencyLimit() {
 			continue
@@ -255,8 +256,8 @@
 	return best
 }
 
-// precedes says whether q's first request is admitted before other's.
-func (a *Admission) precedes(q, other *tenantQueue) bool {
+// precedes reports whether q's first request is admitted before other's.
+func (a *Admission) precedes(q, other *orgQueue) bool {
 	first, second := q.waiting.First(), other.waiting.First()
 	if q.startTag(a.virtualTime) != other.startTag(a.virtualTime) {
 		return q.startTag(a.virtualTime) < other.startTag(a.virtualTime)
@@ -266,18 +267,18 @@
 
 // startTag is the virtual time at which an organisation's next request starts. It
 // is at least the current virtual time: an idle organisation earns no credit.
-func (q *tenantQueue) startTag(virtualTime float64) float64 { return max(q.virtualFinish, virtualTime) }
+func (q *orgQueue) startTag(virtualTime float64) float64 { return max(q.virtualFinish, virtualTime) }
 
 // AdmissionStatus is the state of an Admission as shown in dumps.
 type AdmissionStatus struct {
-	Capacity int                     `json:"capacity"`
-	Admitted int                     `json:"inside"`
-	MeanHold time.Duration           `json:"mean_hold_ns"`
-	Tenants  map[string]TenantStatus `json:"organisations"`
+	Capacity      int                           `json:"capacity"`
+	Admitted      int                           `json:"inside"`
+	MeanHold      time.Duration                 `json:"mean_hold_ns"`
+	Organisations map[string]OrganisationStatus `json:"organisations"`
 }
 
-// TenantStatus is the state of one organisation's queue as shown in dumps.
-type TenantStatus struct {
+// OrganisationStatus is the state of one organisation's queue as shown in dumps.
+type OrganisationStatus struct {
 	Admitted int `json:"inside"`
 	Waiting  int `json:"waiting"`
 }
@@ -287,13 +288,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := AdmissionStatus{
-		Capacity: a.capacity,
-		Admitted: a.admitted,
-		MeanHold: a.meanHoldTime,
-		Tenants:  map[string]TenantStatus{},
+		Capacity:      a.capacity,
+		Admitted:      a.admitted,
+		MeanHold:      a.meanAdmittedTime,
+		Organisations: map[string]OrganisationStatus{},
 	}
-	for name, q := range a.tenants {
-		s.Tenants[name] = TenantStatus{Admitted: q.admitted, Waiting: q.waiting.Len()}
+	for name, q := range a.organisations {
+		s.Organisations[name] = OrganisationStatus{Admitted: q.admitted, Waiting: q.waiting.Len()}
 	}
 	return s
 }
--- a/pkg/route/admission_test.go
+++ b/pkg/route/admission_test.go
@@ -13,7 +13,7 @@
 
 var testNow = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func tenant(name string) Tenant { return Tenant{Name: name, Share: 1} }
+func testOrganisation(name string) Organisation { return Organisation{Name: name, Share: 1} }
 
 func isAdmitted(p *AdmissionTicket) bool {
 	select {
@@ -37,9 +37,9 @@
 			switch op := rapid.IntRange(0, 4).Draw(t, "op"); {
 			case op <= 1:
 				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "tenant")
-				tn := Tenant{Name: name, Share: 1, Concurrency: limits[name]}
+				o := Organisation{Name: name, Share: 1, Concurrency: limits[name]}
 				cost := rapid.Float64Range(1, 1000).Draw(t, "cost")
-				p, err := a.Enqueue(tn, cost, rapid.IntRange(0, 2).Draw(t, "priority"), now.Add(time.Hour), now)
+				p, err := a.Enqueue(o, cost, rapid.IntRange(0, 2).Draw(t, "priority"), now.Add(time.Hour), now)
 				assert.NilError(t, err)
 				open = append(open, p)
 			case op == 2 && len(open) > 0:
@@ -51,23 +51,23 @@
 				capacity = rapid.IntRange(minCapacity, 12).Draw(t, "capacity")
 				a.SetCapacity(capacity, now)
 			}
-			n, perTenant := 0, map[string]int{}
+			n, admittedByName := 0, map[string]int{}
 			for _, p := range open {
 				if isAdmitted(p) {
 					n++
-					perTenant[p.tenant.Name]++
+					admittedByName[p.organisation.Name]++
 				}
 			}
 			s := a.Status()
 			assert.Equal(t, s.Admitted, n)
-			for name, q := range s.Tenants {
-				assert.Equal(t, q.Admitted, perTenant[name])
+			for name, q := range s.Organisations {
+				assert.Equal(t, q.Admitted, admittedByName[name])
 				assert.Assert(t, limits[name] == 0 || q.Admitted <= limits[name])
 			}
 			waiting := len(open) - n
 			admissible := 0
 			for _, p := range open {
-				if !isAdmitted(p) && p.tenant.belowConcurrencyLimit() {
+				if !isAdmitted(p) && p.organisation.belowConcurrencyLimit() {
 					admissible++
 				}
 			}
@@ -81,12 +81,12 @@
 	now := testNow
 	var big, small []*AdmissionTicket
 	for range 200 {
-		p, err := a.Enqueue(tenant("big"), 100, 0, now.Add(time.Hour), now)
+		p, err := a.Enqueue(testOrganisation("big"), 100, 0, now.Add(time.Hour), now)
 		assert.NilError(t, err)
 		big = append(big, p)
 	}
 	for range 10 {
-		p, err := a.Enqueue(tenant("small"), 100, 0, now.Add(time.Hour), now)
+		p, err := a.Enqueue(testOrganisation("small"), 100, 0, now.Add(time.Hour), now)
 		assert.NilError(t, err)
 		small = append(small, p)
 	}
@@ -109,7 +109,7 @@
 	open := map[string][]*AdmissionTicket{}
 	for range 300 {
 		for name, share := range map[string]float64{"one": 1, "three": 3} {
-			p, err := a.Enqueue(Tenant{Name: name, Share: share}, 10, 0, now.Add(time.Hour), now)
+			p, err := a.Enqueue(Organisation{Name: name, Share: share}, 10, 0, now.Add(time.Hour), now)
 			assert.NilError(t, err)
 			open[name] = append(open[name], p)
 		}
@@ -135,10 +135,10 @@
 	a := NewAdmission()
 	now := testNow
 	for range 100 {
-		_, err := a.Enqueue(tenant("o"), 1, 0, now.Add(time.Hour), now)
+		_, err := a.Enqueue(testOrganisation("o"), 1, 0, now.Add(time.Hour), now)
 		assert.NilError(t, err)
 	}
-	_, err := a.Enqueue(tenant("o"), 1, 0, now.Add(time.Second), now)
+	_, err := a.Enqueue(testOrganisation("o"), 1, 0, now.Add(time.Second), now)
 	var refused *RefusedError
 	assert.Assert(t, errors.As(err, &refused), "%v", err)
 	assert.Equal(t, refused.Reason, RefusedOverload)
@@ -147,7 +147,7 @@
 
 func TestTokenLimit(t *testing.T) {
 	a := NewAdmission()
-	limited := Tenant{Name: "o", Share: 1, TokensPerSecond: 100}
+	limited := Organisation{Name: "o", Share: 1, TokensPerSecond: 100}
 	_, err := a.Enqueue(limited, 200, 0, testNow.Add(time.Hour), testNow)
 	assert.NilError(t, err)
 	_, err = a.Enqueue(limited, 100, 0, testNow.Add(time.Hour), testNow)
@@ -159,18 +159,18 @@
 }
 
 func BenchmarkAdmission(b *testing.B) {
-	for _, tenants := range []int{10, 100, 1000, 4600} {
-		b.Run(fmt.Sprint("organisations=", tenants), func(b *testing.B) {
+	for _, organisations := range []int{10, 100, 1000, 4600} {
+		b.Run(fmt.Sprint("organisations=", organisations), func(b *testing.B) {
 			a := NewAdmission()
 			a.SetCapacity(200, testNow)
-			for i := range tenants {
-				p, err := a.Enqueue(tenant(fmt.Sprint(i)), 1, 0, testNow.Add(time.Hour), testNow)
+			for i := range organisations {
+				p, err := a.Enqueue(testOrganisation(fmt.Sprint(i)), 1, 0, testNow.Add(time.Hour), testNow)
 				assert.NilError(b, err)
 				p.Release(testNow)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				p, err := a.Enqueue(tenant("17"), 1, 0, testNow.Add(time.Hour), testNow)
+				p, err := a.Enqueue(testOrganisation("17"), 1, 0, testNow.Add(time.Hour), testNow)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -183,7 +183,7 @@
 func TestAdaptShrinksWhenReplicasQueueAndGrowsWhenTheyDoNot(t *testing.T) {
 	a := NewAdmission()
 	for range 50 {
-		_, err := a.Enqueue(tenant("o"), 1, 0, testNow.Add(time.Hour), testNow)
+		_, err := a.Enqueue(testOrganisation("o"), 1, 0, testNow.Add(time.Hour), testNow)
 		assert.NilError(t, err)
 	}
 	for range 40 {
@@ -201,7 +201,7 @@
 // new first token could lower it.
 func TestFirstTokenTimeDecaysWithoutNewSamples(t *testing.T) {
 	a := NewAdmission()
-	p, err := a.Enqueue(tenant("o"), 1, 0, testNow.Add(time.Hour), testNow)
+	p, err := a.Enqueue(testOrganisation("o"), 1, 0, testNow.Add(time.Hour), testNow)
 	assert.NilError(t, err)
 	for range 200 {
 		p.FirstToken(testNow.Add(time.Minute))
--- a/pkg/route/admission_ticket.go
+++ b/pkg/route/admission_ticket.go
@@ -11,13 +11,13 @@
 type AdmissionTicket struct {
 	queue.Position
 
-	admission *Admission
-	tenant    *tenantQueue
-	cost      float64
-	priority  int
-	deadline  time.Time
-	seq       uint64
-	ready     chan struct{}
+	admission    *Admission
+	organisation *orgQueue
+	cost         float64
+	priority     int
+	deadline     time.Time
+	seq          uint64
+	ready        chan struct{}
 
 	// Guarded by admission.mu.
 	admitted   bool
@@ -28,7 +28,7 @@
 // Ready is closed once the request is admitted.
 func (t *AdmissionTicket) Ready() <-chan struct{} { return t.ready }
 
-// FirstToken records that the first token has come.
+// FirstToken records that the first token has arrived.
 func (t *AdmissionTicket) FirstToken(now time.Time) {
 	a := t.admission
 	a.mu.Lock()
@@ -49,13 +49,13 @@
 	}
 	t.released = true
 	if !t.admitted {
-		t.tenant.waiting.Remove(t)
-		a.updateBacklogged(t.tenant)
+		t.organisation.waiting.Remove(t)
+		a.updateBacklogged(t.organisation)
 		return
 	}
-	t.tenant.admitted--
+	t.organisation.admitted--
 	a.admitted--
-	a.meanHoldTime += time.Duration(ewmaWeight * float64(now.Sub(t.admittedAt)-a.meanHoldTime))
+	a.meanAdmittedTime += time.Duration(ewmaWeight * float64(now.Sub(t.admittedAt)-a.meanAdmittedTime))
 	a.admit(now)
 }
 
@@ -69,7 +69,7 @@
 		a.mu.Unlock()
 		return nil, true
 	}
-	wait := a.expectedWait(t.tenant)
+	wait := a.expectedWait(t.organisation)
 	a.mu.Unlock()
 	t.Release(now)
 	return &RefusedError{Reason: RefusedOverload, RetryAfter: max(minRetryAfter, wait)}, false
@@ -95,7 +95,7 @@
 	return fmt.Sprintf("refused: %s, come back in %s", e.Reason, e.RetryAfter)
 }
 
-// Before says whether the request goes before another of its organisation: by
+// Before reports whether the request goes before another of its organisation: by
 // priority, then deadline, then arrival.
 func (t *AdmissionTicket) Before(other *AdmissionTicket) bool {
 	switch {
--- a/pkg/route/booking.go
+++ b/pkg/route/booking.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// GiveUp ends a transfer that was abandoned as too slow. Its real duration is unknown but
-// longer than the elapsed time, so the estimated rate drops all the way to that bound.
+// GiveUp ends the booking of a transfer that was abandoned as too slow. Its real duration
+// is unknown but longer than the elapsed time, so the estimated rate drops all the way to
+// that bound.
 func (b *Booking) GiveUp(now time.Time) {
 	b.links.mu.Lock()
 	for _, name := range b.linkNames {
--- a/pkg/route/cache_index.go
+++ b/pkg/route/cache_index.go
@@ -15,8 +15,8 @@
 //
 // A part counts as stored only once the store itself has reported it complete: a
 // part that is still being written must not be read. Events of a store may get
-// lost; a part that is not known is prefilled and saved again, which only costs
-// time.
+// lost; a part that is missing from the index is prefilled and saved again, which only
+// costs time.
 type CacheIndex struct {
 	mu     sync.Mutex
 	stores map[string]*indexedStore
@@ -33,8 +33,8 @@
 	site.Store
 	fetchLink
 	boot int64
-	// connected says that the store's events are being received.
-	connected bool
+	// fresh is set while the store's events are being received.
+	fresh bool
 	// savesAllowedFrom is when saves to the store may start again after a restart.
 	// Until every node has noticed the restart, one of them could read as complete
 	// a part that is being written again.
@@ -53,9 +53,9 @@
 }
 
 const (
-	// pendingSaveTimeout is after how long an unconfirmed save counts as lost.
+	// pendingSaveTimeout is the time after which an unconfirmed save counts as lost.
 	pendingSaveTimeout = 4 * time.Second
-	// restartSavePause is for how long nothing is saved at a restarted store:
+	// restartSavePause is how long nothing is saved at a restarted store:
 	// longer than any node takes to notice the restart.
 	restartSavePause = 3 * time.Second
 	// maxFillShare is the share of a store's capacity that is filled; the rest is
@@ -73,10 +73,10 @@
 	}
 }
 
-// Disable switches mechanisms off; call it before the index is used.
-func (x *CacheIndex) Disable(w config.DisabledMechanisms) { x.disabled = w }
+// Disable switches mechanisms off. It must be called before the index is used.
+func (x *CacheIndex) Disable(mechanisms config.DisabledMechanisms) { x.disabled = mechanisms }
 
-// Configure sets the list of stores; the contents of unchanged ones are kept.
+// Configure sets the list of stores. Contents of stores that stay at their address are kept.
 func (x *CacheIndex) Configure(stores []*site.Service) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -112,7 +112,7 @@
 		s.boot = c.Boot
 		s.reset()
 	}
-	s.connected = true
+	s.fresh = true
 	for _, v := range c.Changes {
 		key := partKey{v.Realm, v.Part}
 		s.usedTokens += v.Tokens - s.parts[key].tokens
@@ -162,7 +162,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if s, ok := x.stores[name]; ok {
-		s.connected = false
+		s.fresh = false
 	}
 }
 
@@ -209,7 +209,7 @@
 	h, ok := x.engines[engine]
 	switch {
 	case !ok || !h.fresh:
-		return 1 - x.usage.heldProbability(key, profile.Capacity, now)
+		return 1 - x.usage.cachedProbability(key, profile.Capacity, now)
 	case h.parts[HashPart(key.realm, key.part)] >= tokens:
 		return 0
 	default:
@@ -228,9 +228,10 @@
 	CompleteBefore time.Time
 }
 
-// Coverage says for each engine how many of a prompt's shared tokens, from the start
-// on, it holds, how many can be fetched to it within maxFetchTime, and how long the
-// fetch should take. realm returns the realm of a version of the weights.
+// Coverage returns for each engine how many of a prompt's shared tokens, from the start
+// on, it holds, how many it can fetch within maxFetchTime, and how long the fetch should
+// take. Engines with unknown weights are left out. realm returns the realm of a version of
+// the weights.
 func (x *CacheIndex) Coverage(engines []site.Upstream, model string, realm func(version int64) Realm, shared []site.Part, profile *site.Engine, maxFetchTime time.Duration, now time.Time) map[string]CacheCoverage {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -268,7 +269,7 @@
 	return l
 }
 
-func (x *CacheIndex) engineCoverage(lookup *partLookup, engine site.Upstream, shared []site.Part, profile *site.Engine, now time.Time) (o CacheCoverage) {
+func (x *CacheIndex) engineCoverage(lookup *partLookup, engine site.Upstream, shared []site.Part, profile *site.Engine, now time.Time) (coverage CacheCoverage) {
 	sources, ok := lookup.sources[engine.DataHall]
 	if !ok {
 		sources = make([]partSource, len(shared))
@@ -279,27 +280,27 @@
 		lookup.sources[engine.DataHall] = sources
 	}
 	h, ok := x.engines[engine.ID]
-	o.Known = ok && h.fresh
+	coverage.Known = ok && h.fresh
 	for i, part := range shared {
-		if o.Known && h.parts[lookup.hashes[i]] >= part.Tokens {
-			o.Held += part.Tokens
+		if coverage.Known && h.parts[lookup.hashes[i]] >= part.Tokens {
+			coverage.Cached += part.Tokens
 			continue
 		}
 		if sources[i].link == nil {
-			return o
+			return coverage
 		}
 		missing := 1.0
-		if !o.Known {
-			missing -= x.usage.heldProbability(partKey{lookup.Name, part.ID}, profile.Capacity, now)
+		if !coverage.Known {
+			missing -= x.usage.cachedProbability(partKey{lookup.Name, part.ID}, profile.Capacity, now)
 		}
 		wait := time.Duration(missing * float64(sources[i].wait))
-		if o.Wait+wait >= lookup.maxFetchTime {
-			return o
+		if coverage.Wait+wait >= lookup.maxFetchTime {
+			return coverage
 		}
-		o.Fetched += part.Tokens
-		o.Wait += wait
+		coverage.Fetched += part.Tokens
+		coverage.Wait += wait
 	}
-	return o
+	return coverage
 }
 
 // partSource is where a part is fetched from; link is nil if there is none.
@@ -329,7 +330,7 @@
 	for _, name := range x.names {
 		s := x.stores[name]
 		stored := s.parts[key]
-		if x.disabled.StoreFetches || !s.connected || stored.tokens < tokens || !completeBefore.IsZero() && stored.completeSince.After(completeBefore) {
+		if x.disabled.StoreFetches || !s.fresh || stored.tokens < tokens || !completeBefore.IsZero() && stored.completeSince.After(completeBefore) {
 			continue
 		}
 		if consider(&s.fetchLink, s.Addr); best.addr == s.Addr {
@@ -358,7 +359,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s, ok := x.stores[name]
-	if !ok || !s.connected {
+	if !ok || !s.fresh {
 		return nil, 0
 	}
 	checked := map[string]bool{}
@@ -413,7 +414,7 @@
 		s := x.stores[name]
 		list = append(list, StoreStatus{
 			Name:      name,
-			Connected: s.connected,
+			Connected: s.fresh,
 			Boot:      s.boot,
 			Parts:     len(s.parts),
 			Used:      s.usedTokens,
--- a/pkg/route/cache_index_links.go
+++ b/pkg/route/cache_index_links.go
@@ -11,12 +11,12 @@
 	rate             float64 // Bytes a second.
 	latency          time.Duration
 	tally            Tally         // Of this node's transfers.
-	busyUntil        time.Time     // When the transfers asked for should be done.
-	medianLateness   time.Duration // By how much fetches come later than expected, as of medianLatenessAt.
+	busyUntil        time.Time     // Expected end of the transfers requested so far.
+	medianLateness   time.Duration // By how much fetches take longer than expected, as of medianLatenessAt.
 	medianLatenessAt time.Time
 }
 
-// crossHallFactor is how much longer transfers take between data halls.
+// crossHallFactor is the factor by which transfers between data halls take longer.
 const crossHallFactor = 2.0
 
 // effectiveBytes is a transfer's size, scaled up if it goes between data halls.
@@ -27,7 +27,7 @@
 	return bytes
 }
 
-// occupy adds a transfer behind those that were asked for before.
+// occupy adds the time of a transfer behind those requested before.
 func (l *fetchLink) occupy(bytes int64, now time.Time) {
 	if l.busyUntil.Before(now) {
 		l.busyUntil = now
@@ -35,15 +35,15 @@
 	l.busyUntil = l.busyUntil.Add(seconds(float64(bytes) / max(1, l.rate)))
 }
 
-// book adds and counts one of this node's own transfers.
+// book occupies the link for one of this node's own transfers and adds it to the tally.
 func (l *fetchLink) book(bytes int64, hall string, now time.Time) {
 	bytes = l.effectiveBytes(bytes, hall)
 	l.tally.Bytes += bytes
 	l.occupy(bytes, now)
 }
 
-// fetchTime is how long a fetch over the link should take: the transfers under way,
-// its own, and the recent lateness of fetches.
+// fetchTime is how long a fetch over the link should take: the rest of the transfers
+// under way, its own transfer and latency, and the recent lateness of fetches.
 func (l *fetchLink) fetchTime(bytes int64, hall string, now time.Time) time.Duration {
 	transfer := float64(l.effectiveBytes(bytes, hall)) / max(1, l.rate)
 	return max(0, l.busyUntil.Sub(now)) + seconds(transfer) + l.latency + l.lateness(now)
@@ -80,7 +80,7 @@
 	maxLatenessSteps = 30
 )
 
-// lateness is how much later than expected fetches come, decayed since the last one.
+// lateness is by how much fetches take longer than expected, decayed since the last one.
 func (l *fetchLink) lateness(now time.Time) time.Duration {
 	decay := math.Exp(-max(0, now.Sub(l.medianLatenessAt).Seconds()/latencyDecayTime.Seconds()))
 	return time.Duration(decay * float64(l.medianLateness))
--- a/pkg/route/cache_index_saves.go
+++ b/pkg/route/cache_index_saves.go
@@ -15,9 +15,9 @@
 type PlanLimits struct {
 	// MaxFetchTime is the time that a fetch must be expected to stay below.
 	MaxFetchTime time.Duration
-	// Save says that parts may be saved.
+	// Save is set if parts may be saved.
 	Save bool
-	// HomesOnly says that nothing is saved outside the regions of Homes.
+	// HomesOnly is set if nothing may be saved outside the regions in Homes.
 	HomesOnly bool
 	Homes     []string
 	// CompleteBefore, if set, is by when a part must have been complete to be
@@ -26,7 +26,7 @@
 	CompleteBefore time.Time
 }
 
-// mayStoreIn says whether parts may be saved in a region.
+// mayStoreIn reports whether parts may be saved in a region.
 func (l *PlanLimits) mayStoreIn(region string) bool {
 	return !l.HomesOnly || slices.Contains(l.Homes, region)
 }
@@ -68,9 +68,9 @@
 	return best
 }
 
-// acceptsSaves says whether parts may be saved at the store.
+// acceptsSaves reports whether parts may be saved at the store.
 func (s *indexedStore) acceptsSaves(now time.Time) bool {
-	return s.connected && s.boot != 0 && !now.Before(s.savesAllowedFrom)
+	return s.fresh && s.boot != 0 && !now.Before(s.savesAllowedFrom)
 }
 
 // freeTokens is how many tokens would stay free after one more part.
--- a/pkg/route/cache_index_test.go
+++ b/pkg/route/cache_index_test.go
@@ -46,7 +46,7 @@
 	return index.Coverage(testReplicas(3, 1), "m", realm, testPrompt, testEngine, time.Second, now)
 }
 
-// A part that is still being written, or whose save broke off, is never fetched.
+// A part that is still being written, or whose save was interrupted, is never fetched.
 func TestIncompletePartsAreNotFetched(t *testing.T) {
 	s := testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9)
 	index := newTestIndex(s)
@@ -182,7 +182,7 @@
 	assert.Equal(t, len(list), 0, "nothing is freed at a stale store")
 }
 
-func TestHeldProbabilityFollowsUsage(t *testing.T) {
+func TestCachedProbabilityFollowsUsage(t *testing.T) {
 	usage := newPartUsage()
 	now := testNow
 	for i := range 60 {
@@ -190,10 +190,10 @@
 		usage.record(partKey{"r", "often"}, 2000, now)
 		usage.record(partKey{"r", string(rune('A' + i))}, 5000, now)
 	}
-	assert.Assert(t, usage.heldProbability(partKey{"r", "often"}, 40_000, now) > 0.9)
-	assert.Assert(t, usage.heldProbability(partKey{"r", "A"}, 40_000, now) < 0.5)
-	assert.Equal(t, usage.heldProbability(partKey{"r", "never"}, 40_000, now), 0.0)
-	assert.Assert(t, usage.heldProbability(partKey{"r", "often"}, 40_000, now.Add(time.Minute)) < 0.9)
+	assert.Assert(t, usage.cachedProbability(partKey{"r", "often"}, 40_000, now) > 0.9)
+	assert.Assert(t, usage.cachedProbability(partKey{"r", "A"}, 40_000, now) < 0.5)
+	assert.Equal(t, usage.cachedProbability(partKey{"r", "never"}, 40_000, now), 0.0)
+	assert.Assert(t, usage.cachedProbability(partKey{"r", "often"}, 40_000, now.Add(time.Minute)) < 0.9)
 }
 
 // A store's event of freed parts may get lost; they must not be freed again and again.
@@ -215,13 +215,13 @@
 // weights' realm. Parts completed since then may have been computed with the new weights.
 func TestPartsSavedWhileWeightsAreReplacedAreNotFetched(t *testing.T) {
 	index := newTestIndex(testStore("s", "h0", "10.0.0.1:1", 100_000, 10e9))
-	named := testNow.Add(time.Second)
+	announced := testNow.Add(time.Second)
 	index.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: storeChanges("r", testPrompt[0])}, testNow)
-	index.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: storeChanges("r", testPrompt[1])}, named.Add(time.Millisecond))
-	p := index.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, CompleteBefore: named}, named.Add(time.Second))
+	index.ApplyStoreChanges("s", site.CacheChanges{Boot: 1, Changes: storeChanges("r", testPrompt[1])}, announced.Add(time.Millisecond))
+	p := index.Plan("r", site.Upstream{DataHall: "h0"}, testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, CompleteBefore: announced}, announced.Add(time.Second))
 	assert.Assert(t, p.Sources[0].IsValid())
 	assert.Assert(t, !p.Sources[1].IsValid())
-	o := testCoverage(index, named, named.Add(time.Second))
+	o := testCoverage(index, announced, announced.Add(time.Second))
 	assert.Equal(t, o["r00"].Fetched, testPrompt[0].Tokens)
 }
 
--- a/pkg/route/choose.go
+++ b/pkg/route/choose.go
@@ -9,7 +9,7 @@
 // other nodes is some 20 ms old in a fleet of 9 nodes and up to 0.4 s old in one of 295.
 //
 // Under a burst that age matters: if every node compared all replicas, all would send to
-// the one that looks least busy until they hear of its new load, and then to the next one.
+// the one that looks least busy until they get its new load, and then to the next one.
 // So each pick compares only a few, drawn at random. In a replay of 2 s of 2.5 times the
 // usual load, with reports 0.2 to 0.3 s old, 0.12 of the prompts of 295 nodes were late
 // when all replicas were compared and 0.003 when two were; with 59 nodes 0.094 and 0.001;
@@ -21,7 +21,7 @@
 	// or are in the same data hall.
 	sampleSize = 2
 	// nearCostMargin is how far a replica's idle cost may be above the least one for it to
-	// be drawn as one of the cheapest: a little over otherHallCost.
+	// be drawn as one of the cheapest: a little over crossHallCost.
 	nearCostMargin = 5 * time.Millisecond
 	// tieMargin is the random amount that is added to a cost to break ties.
 	tieMargin = time.Millisecond
--- a/pkg/route/cold.go
+++ b/pkg/route/cold.go
@@ -10,8 +10,8 @@
 // it looks like the best one. A node doesn't see fast enough what the others send it, so
 // each node has a fixed share of its limit that holds regardless of the other nodes.
 //
-// The shares are made for the return of a data hall under a burst. An equal share for each
-// of 71 nodes would be 0.2 requests a second, and as requests can't be split, several
+// The shares are designed for the return of a data hall under a burst. An equal share for
+// each of 71 nodes would be 0.2 requests a second, and as requests can't be split, several
 // nodes could send one in the same second. So only as many nodes use a cold replica as the
 // limit has requests, and the others send it nothing. In a replay of the worst load a
 // replica got 33 requests in a second without a limit, where 21 are allowed. With shares
@@ -21,11 +21,11 @@
 	// coldWindow is the time in which requests to a cold replica are counted.
 	coldWindow = time.Second
 	// presumedColdTerm is how long a replica that could not be reached is presumed cold.
-	// If it returns, its row in the store says so up to 1.3 s later; after a crash the row
-	// expires within three heartbeats of 1.2 s.
+	// If it returns, the list of replicas shows so up to 1.3 s later; after a crash its row
+	// there expires within three heartbeats of 1.2 s.
 	presumedColdTerm = 5 * time.Second
-	// unreachableNoticeInterval is how often other nodes are told that a replica is
-	// unreachable.
+	// unreachableNoticeInterval is how often other nodes are notified that a replica
+	// is unreachable.
 	unreachableNoticeInterval = time.Second
 	// localFaultThreshold is the number of connection failures without an answer in
 	// between from which a node assumes that its own network is at fault. It then neither
@@ -33,7 +33,7 @@
 	localFaultThreshold = 3
 	// rampUpMaxCost is the cost of a replica that has just ceased to be cold, and
 	// rampUpTerm how long it takes to fall to 0. Without it all nodes would send the
-	// replica its full part of the load at once, as all know when its cold time ends. A
+	// replica its full share of the load at once, as all know when its cold time ends. A
 	// cold replica has no such cost, as the shares limit it already: with a cost of 0.1 s,
 	// 0.36 to 0.41 of the cold replicas' capacity was used in a replay at 71 nodes,
 	// without it 0.56 to 0.59.
@@ -43,7 +43,7 @@
 
 // ColdRequestLimit returns how many requests all nodes together may send a cold replica in
 // any second if it can take rate a second: rate times overage, or that plus slack if it is
-// less than one. Otherwise the slack is left for nodes that have not yet heard that the
+// less than one. Otherwise the slack is reserved for nodes that don't know yet that the
 // replica is cold. ok is false if there is no limit, as with a rate of 0.
 func ColdRequestLimit(rate, overage, slack float64) (limit int, ok bool) {
 	if rate <= 0 {
--- a/pkg/route/cold_test.go
+++ b/pkg/route/cold_test.go
@@ -134,7 +134,7 @@
 	return c
 }
 
-// Reports about one start of a replica don't change another one, and a restart keeps no
+// Reports about one start of a replica don't affect another one, and a restart keeps no
 // state of the last start.
 func TestRestartedReplicaKeepsNoOldState(t *testing.T) {
 	p := newTestPool(2, 1)
--- a/pkg/route/doc.go
+++ b/pkg/route/doc.go
@@ -2,5 +2,7 @@
 // KV state is fetched, saved or recomputed. It does no I/O: time and randomness are passed
 // in.
 //
-// Lock order: Admission.mu, Fleet.mu, Links.mu; none is held over a callback.
+// Lock order: Admission.mu, Fleet.mu, Links.mu, none of which is held during a callback;
+// and PromptQueue.mu, Pool.mu. QueueRequest.Fits is called with PromptQueue.mu held,
+// ColdShares and RateLimits with Pool.mu.
 package route
--- a/pkg/route/engine_cache.go
+++ b/pkg/route/engine_cache.go
@@ -34,10 +34,10 @@
 // EngineCacheUpdate is an update of what one engine holds.
 type EngineCacheUpdate struct {
 	Engine string
-	// Stale says that the engine's events can't be received: what is known of it
-	// must not be used until they can be again.
+	// Stale is set if the engine's events can't be received: what is known of its
+	// cache must not be used until they can be again.
 	Stale bool
-	// Full says that the changes list everything that the engine holds and replace
+	// Full is set if the changes list everything that the engine holds, and replace
 	// what was known before.
 	Full    bool
 	Changes []EngineCacheChange
@@ -48,15 +48,14 @@
 type indexedEngine struct {
 	site.Upstream
 	fetchLink
-	fresh            bool             // The engine's events are being received.
-	snapshotReceived bool             // A full update has come.
+	fresh            bool             // Set while the engine's events are being received.
+	snapshotReceived bool             // A full update has arrived.
 	parts            map[PartHash]int // Tokens held.
 	// avoidUntil is when parts may be fetched from the engine again.
 	avoidUntil time.Time
 }
 
-// SetEngines sets the list of a service's engines; the contents of those that stay are
-// kept.
+// SetEngines sets the list of a service's engines. Contents of engines that stay are kept.
 func (x *CacheIndex) SetEngines(service string, list []site.Upstream, profile *site.Engine) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -87,18 +86,18 @@
 	if !ok {
 		return
 	}
-	h.snapshotReceived = h.snapshotReceived || c.Full // Changes alone don't tell what was held before them.
+	h.snapshotReceived = h.snapshotReceived || c.Full // Without a full update the earlier contents are unknown.
 	h.fresh = !c.Stale && h.snapshotReceived
 	if c.Full {
 		x.forgetParts(h)
 	}
 	for _, v := range c.Changes {
-		x.recordHeldPart(h, v)
+		x.recordCachedPart(h, v)
 	}
 }
 
-// recordHeldPart applies a change to an engine and to holders; the caller holds mu.
-func (x *CacheIndex) recordHeldPart(h *indexedEngine, c EngineCacheChange) {
+// recordCachedPart applies a change to an engine and to holders; the caller holds mu.
+func (x *CacheIndex) recordCachedPart(h *indexedEngine, c EngineCacheChange) {
 	holders := x.holders[c.Part]
 	position := slices.Index(holders, h)
 	switch {
@@ -121,7 +120,7 @@
 // forgetParts removes all parts of an engine; the caller holds mu.
 func (x *CacheIndex) forgetParts(h *indexedEngine) {
 	for part := range maps.Clone(h.parts) {
-		x.recordHeldPart(h, EngineCacheChange{Part: part})
+		x.recordCachedPart(h, EngineCacheChange{Part: part})
 	}
 }
 
@@ -139,8 +138,8 @@
 	return c
 }
 
-// AvoidEngine stops fetches from an engine for a while after it was not reached or its
-// answer was lost: a fetch from a dead engine costs more than prefilling.
+// AvoidEngine stops fetches from an engine for a while after it could not be reached or
+// its answer was lost: a fetch from a dead engine costs more than prefilling.
 func (x *CacheIndex) AvoidEngine(id string, until time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -149,7 +148,7 @@
 	}
 }
 
-// canServe says whether another engine can fetch a part from this one.
+// canServe reports whether another engine can fetch a part from this one.
 func (h *indexedEngine) canServe(part PartHash, tokens int, now time.Time) bool {
 	return h.fresh && !h.Draining && !h.Evacuated && !now.Before(h.avoidUntil) && h.parts[part] >= tokens
 }
@@ -164,7 +163,7 @@
 }
 
 // RecordPrefill records that an engine has prefilled or fetched the shared parts of a
-// prompt, so that they are known before the engine's own event comes.
+// prompt, so that they are known before the engine's own event arrives.
 func (x *CacheIndex) RecordPrefill(id, realm string, shared []site.Part) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -174,7 +173,7 @@
 	}
 	for _, part := range shared {
 		if part.Tokens > 0 {
-			x.recordHeldPart(h, EngineCacheChange{Part: HashPart(realm, part.ID), Tokens: part.Tokens})
+			x.recordCachedPart(h, EngineCacheChange{Part: HashPart(realm, part.ID), Tokens: part.Tokens})
 		}
 	}
 }
--- a/pkg/route/engine_cache_test.go
+++ b/pkg/route/engine_cache_test.go
@@ -36,9 +36,9 @@
 func TestPartsAreFetchedFromTheEngineThatHoldsThem(t *testing.T) {
 	index := newTestIndexWithHolder("r01")
 	o := testCoverage(index, time.Time{}, testNow)
-	assert.Equal(t, o["r01"].Held, 7000)
+	assert.Equal(t, o["r01"].Cached, 7000)
 	assert.Equal(t, o["r01"].Wait, time.Duration(0))
-	assert.Equal(t, o["r00"].Held, 0)
+	assert.Equal(t, o["r00"].Cached, 0)
 	assert.Equal(t, o["r00"].Fetched, 7000, "the others fetch from it")
 	assert.Assert(t, o["r00"].Wait > 0)
 	p := index.Plan("r", testReplicas(3, 1)[0], testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second}, testNow)
@@ -52,7 +52,7 @@
 	index := newTestIndexWithHolder("r01")
 	o := testCoverage(index, testNow.Add(time.Hour), testNow)
 	assert.Equal(t, o["r00"].Fetched, 0)
-	assert.Equal(t, o["r01"].Held, 7000, "its own parts may be used: an engine drops them with its weights")
+	assert.Equal(t, o["r01"].Cached, 7000, "its own parts may be used: an engine drops them with its weights")
 	p := index.Plan("r", testReplicas(3, 1)[0], testPrompt, testEngine, PlanLimits{MaxFetchTime: time.Second, CompleteBefore: testNow.Add(time.Hour)}, testNow)
 	assert.Equal(t, p.Fetched, 0)
 }
@@ -89,9 +89,9 @@
 	}
 }
 
-// Parts that an engine has just prefilled are known before its own event comes.
+// Parts that an engine has just prefilled are known before its own event arrives.
 func TestPrefilledPartsAreKnownAtOnce(t *testing.T) {
 	index := newTestIndexWithHolder("r01")
 	index.RecordPrefill("r02", "r", testPrompt)
-	assert.Equal(t, testCoverage(index, time.Time{}, testNow)["r02"].Held, 7000)
+	assert.Equal(t, testCoverage(index, time.Time{}, testNow)["r02"].Cached, 7000)
 }
--- a/pkg/route/estimator.go
+++ b/pkg/route/estimator.go
@@ -22,8 +22,8 @@
 	crossHallLatency = 2 * time.Millisecond
 	// minImportGain is the least number of tokens saved for which an import is considered.
 	minImportGain = 4 * prompt.ChunkTokens
-	// importLateFactor, importLateGrace and CostWeights.Patience set when an import
-	// counts as much later than expected.
+	// importLateFactor, importLateGrace and CostWeights.Patience determine how much
+	// longer than estimated an import may take before it is abandoned.
 	importLateFactor = 1.5
 	importLateGrace  = 100 * time.Millisecond
 )
@@ -180,21 +180,21 @@
 			Wait:    wait,
 			Fetch:   fetch,
 			Prefill: r.prefill(q.Chain.Tokens - h.Tokens()),
-		}, r, p.links.Seconds(h.Upstream, r.Name, bytes, now)))
+		}, r, p.links.TransferSeconds(h.Upstream, r.Name, bytes, now)))
 	}
 	return list
 }
 
-// importTimeout is after how long an import is abandoned: when recomputing would have
-// been the better choice, or earlier if the import takes much longer than estimated.
-// Then the estimate was wrong, and nothing is known of when the import will end.
+// importTimeout is the time after which an import is abandoned: when recomputing would
+// have been the better choice, or earlier if the import takes much longer than estimated.
+// In that case the estimate was wrong, and the import's end can't be predicted.
 func (p *estimator) importTimeout(r *replicaState, gain int, wait, fetch time.Duration) time.Duration {
 	breakEven := wait + time.Duration(float64(r.prefill(gain))*(1+p.weights.Recompute/p.weights.Latency))
 	late := time.Duration(float64(fetch)*importLateFactor) + max(importLateGrace, p.weights.Patience)
 	return min(breakEven, late)
 }
 
-// score sets a decision's score in weighted seconds; linkSeconds is for how long it
+// score sets a decision's score in weighted seconds; linkSeconds is how long it
 // occupies a link.
 func (p *estimator) score(d Decision, r *replicaState, linkSeconds float64) Decision {
 	d.Score = p.weights.Latency*d.FirstToken().Seconds() +
--- a/pkg/route/exclusion.go
+++ b/pkg/route/exclusion.go
@@ -36,7 +36,7 @@
 // have been given the same one.
 const backoffSpread = 250 * time.Millisecond
 
-// exclusion returns why a replica must not be sent a request, if so, and otherwise what is
+// exclusion returns why a replica must not be sent a request, or NotExcluded and what is
 // known of its rate limit. The caller holds mu.
 func (p *Pool) exclusion(m *member, in *PickInput, now time.Time) (reason Exclusion, rate RateState) {
 	if !in.mayRunIn(m.Region) {
@@ -60,8 +60,8 @@
 	return NotExcluded, rate
 }
 
-// generalExclusion returns the reason for which a replica accepts no request at all, if
-// any; the caller holds mu.
+// generalExclusion returns why a replica accepts no request at all, or NotExcluded; the
+// caller holds mu.
 func (m *member) generalExclusion(now time.Time) Exclusion {
 	switch {
 	case m.Evacuated:
@@ -101,8 +101,9 @@
 	return serves && version >= in.MinVersion
 }
 
-// BackOff stops requests to a start of a replica for a while, as it asked this node. If it
-// asks several times the latest end applies, even if it has served requests in between.
+// BackOff stops this node's requests to one start of a replica for a while, at its request.
+// If it asks several times the latest end applies, even if it has served requests in
+// between.
 func (p *Pool) BackOff(u *site.Upstream, duration time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +140,7 @@
 	return ok && m.Started.Equal(u.Started) && m.generalExclusion(now) == NotExcluded
 }
 
-// Availability tells why no replica may take a request.
+// Availability is the result of Pool.Availability.
 type Availability struct {
 	// Excluded is the number of excluded replicas, by reason.
 	Excluded map[Exclusion]int
@@ -150,7 +151,8 @@
 	RetryAfter time.Duration
 }
 
-// Availability determines why no replica may take a request.
+// Availability returns why replicas are excluded for a request that none may take, and
+// when to retry it.
 func (p *Pool) Availability(in *PickInput, now time.Time) (a Availability) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,8 +186,9 @@
 }
 
 const (
-	// minUnavailableRetryAfter is the least delay, and retryAfterSpread the random addition to it,
-	// after which a request that no replica takes now is to be retried.
+	// minUnavailableRetryAfter is the least delay after which a request that no replica
+	// takes now is to be retried, and retryAfterSpread the largest random addition to the
+	// delay.
 	minUnavailableRetryAfter = 250 * time.Millisecond
 	retryAfterSpread         = 500 * time.Millisecond
 )
--- a/pkg/route/exclusion_test.go
+++ b/pkg/route/exclusion_test.go
@@ -49,15 +49,15 @@
 func TestLearningTheStartTimeIsNotARestart(t *testing.T) {
 	p := newTestPool(0, 1)
 	p.Configure(replicasWithStart(time.Time{}), testNow)
-	told := replicasWithStart(time.UnixMilli(5))
-	p.Configure(told, testNow)
-	assert.Assert(t, p.Accepts(&told[0], testNow))
-	p.BackOff(&told[0], time.Second, testNow)
+	listed := replicasWithStart(time.UnixMilli(5))
+	p.Configure(listed, testNow)
+	assert.Assert(t, p.Accepts(&listed[0], testNow))
+	p.BackOff(&listed[0], time.Second, testNow)
 	assert.Assert(t, p.InBackoff("a", testNow))
 }
 
-// If a replica asks for several backoffs the latest end applies, and a served request ends
-// none.
+// If a replica asks for several backoffs the latest end applies, and serving a request
+// doesn't end a backoff.
 func TestLatestBackoffEndApplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestPool(0, 1)
@@ -92,8 +92,8 @@
 	assert.Assert(t, len(p.backoffs) <= 2, "%d", len(p.backoffs))
 }
 
-// A request was sent to the replica picked for it though that had stopped accepting
-// requests since.
+// A request used to be sent to the replica picked for it even if that had stopped accepting
+// requests in the meantime.
 func TestPickedReplicaIsRecheckedBeforeSending(t *testing.T) {
 	p := newTestPool(0, 1)
 	list := replicasWithStart(time.UnixMilli(5))
@@ -139,13 +139,13 @@
 	assert.Equal(t, usable, 0)
 }
 
-// Under usual load a replica that turns everything away looks idle: it used to get two to
-// three times its part of the requests, and all nodes came back to it at the same moment.
+// Under usual load a replica that rejects all requests looks idle: it used to get two to
+// three times its share of the requests, and all nodes came back to it at the same moment.
 func TestBackoffIsHonouredAndLoadReturnsGradually(t *testing.T) {
 	const (
 		ratePerReplica = 5.2 // Requests a second per replica.
 		backoff        = 3 * time.Second
-		busyTerm       = 5 * time.Second // How long a busy replica turns everything away.
+		busyTerm       = 5 * time.Second // How long a busy replica rejects all requests.
 		duration       = 12 * time.Second
 	)
 	for _, c := range []struct{ nodes, replicas int }{{7, 18}, {71, 60}, {295, 256}, {900, 100}} {
--- a/pkg/route/export_policy.go
+++ b/pkg/route/export_policy.go
@@ -26,7 +26,7 @@
 //
 // A prefix that an earlier prompt had too is expected to come again. For one seen for
 // the first time only the organisation's return rate is known. Where prompts don't
-// return as a whole, for instance because each has a new application under an old
+// return as a whole, for instance because each has new text after a shared
 // specification, exporting them would fill links and stores with KV cache that is
 // never read.
 type ExportPolicy struct {
@@ -109,7 +109,7 @@
 	return prompt.Mark{}
 }
 
-// worthExporting says whether the prefill expected to be saved costs more than the
+// worthExporting reports whether the prefill expected to be saved costs more than the
 // transfer and the storage.
 func (e *ExportPolicy) worthExporting(in ExportInput, chunks, stored int, returnRate float64) bool {
 	if chunks < minExportChunks || float64(stored) >= nearlyWholeShare*float64(chunks) {
--- a/pkg/route/fleet.go
+++ b/pkg/route/fleet.go
@@ -14,7 +14,7 @@
 	replicas       map[string]*replicaState
 	byModel        map[string][]*replicaState
 	nextRoundRobin int
-	leaving        map[string]bool
+	leaving        map[string]bool // Replicas that the platform lists as leaving.
 	// polled maps a model to the replicas whose load this node polls.
 	polled map[string][]*replicaState
 	// medianWait is the last result of MedianWait.
--- a/pkg/route/in_flight_request.go
+++ b/pkg/route/in_flight_request.go
@@ -8,7 +8,7 @@
 	member                *member
 	tokens                int
 	priorityBand          int
-	memory                int     // Engine memory held, in tokens.
+	memory                int     // Engine memory that it holds, in tokens.
 	tokensWithAhead       int     // Tokens to prefill, its own and those queued before it.
 	fetchSeconds          float64 // Expected time of its KV cache fetch.
 	startedAt             time.Time
--- a/pkg/route/in_flight_run.go
+++ b/pkg/route/in_flight_run.go
@@ -52,7 +52,7 @@
 		if r.consecutiveFailures >= ejectAfterFailures && run.fleet.mayEject(r.Model, now) {
 			r.ejectionTime = min(maxEjection, max(firstEjection, 2*r.ejectionTime))
 			r.ejectedUntil = now.Add(r.ejectionTime)
-			r.slowStartFrom = r.ejectedUntil
+			r.rampUpFrom = r.ejectedUntil
 			r.consecutiveFailures = 0
 		}
 	case OutcomeNeutral:
--- a/pkg/route/limited.go
+++ b/pkg/route/limited.go
@@ -5,11 +5,11 @@
 // A replica may set a limit on the requests a second that it takes from all nodes
 // together. One of the nodes, its owner, grants sends within that limit. Until the owner
 // has been asked, the replica is considered like any other; it is excluded for as long as
-// the owner has said that nothing is left.
+// the owner has answered that the limit is used up.
 //
 // Under usual load there are better replicas at each moment, so a replica that has been
-// avoided would get no requests, and no answer of it would tell that its limit was raised.
-// Its owner therefore prefers it, the more of its limit has been left unused.
+// avoided would get no requests, and no answer from it would show that its limit was raised.
+// Its owner therefore prefers it, and more so the more of its limit is unused.
 const (
 	// unusedRequestGain is the reduction of a replica's cost for each request that its
 	// limit left unused, and maxUnusedRequests the most that count. Together they are less
--- a/pkg/route/limited_test.go
+++ b/pkg/route/limited_test.go
@@ -60,7 +60,7 @@
 }
 
 // Under usual load a replica whose limit is not used up may never be the best one, and
-// then no answer tells that its limit has changed. Its owner prefers it for that, but
+// then no answer shows that its limit has changed. Its owner therefore prefers it, but
 // cached prompts still go where they are cached.
 func TestOwnerPrefersReplicaWithUnusedRate(t *testing.T) {
 	rates := fakeRates{"a": {Limited: true, Unused: 1}}
@@ -71,12 +71,12 @@
 	rates["a"] = RateState{Limited: true}
 	assert.Equal(t, countPicks(p, &PickInput{}, "a"), 0)
 	rates["a"] = RateState{Limited: true, Unused: 1000}
-	cached := &PickInput{Model: "m", Tokens: 9000, Shared: 8500, Coverage: map[string]CacheCoverage{"b": {Known: true, Held: 8500}}}
+	cached := &PickInput{Model: "m", Tokens: 9000, Shared: 8500, Coverage: map[string]CacheCoverage{"b": {Known: true, Cached: 8500}}}
 	assert.Equal(t, countPicks(p, cached, "a"), 0)
 }
 
-// When a limit is lifted, the replica must not get its full part of the load at once, as
-// all nodes hear of it at the same moment.
+// When a limit is lifted, the replica must not get its full share of the load at once, as
+// all nodes learn of it at the same moment.
 func TestFormerlyLimitedReplicaRampsUpGradually(t *testing.T) {
 	rates := fakeRates{"a": {Ended: testNow.Add(-rampUpTerm / 4)}}
 	p := limitedPool(rates)
--- a/pkg/route/links.go
+++ b/pkg/route/links.go
@@ -29,7 +29,7 @@
 	rateShare    float64 // Observed rate as a share of the nominal one.
 	meanLateness float64 // Of transfers, as a share of the expected time.
 	observedAt   time.Time
-	busyUntil    time.Time // When all bookings end.
+	busyUntil    time.Time // Expected end of all bookings.
 	moved        int64
 	// The counters last reported by the engine or store.
 	reportedMoved int64
@@ -96,10 +96,10 @@
 	s.observedAt = now
 }
 
-// Estimate is how long a transfer over both links should take: by the slower one, the
-// time for its bookings and for the bytes, extended by the recent lateness of its
-// transfers. This node doesn't know the bookings of other nodes on the same links; the
-// mean lateness is the best indicator of them.
+// Estimate returns how long a transfer over both links should take. For each link that is
+// the time for its bookings and for the bytes, extended by the recent lateness of its
+// transfers; the slower link counts. This node doesn't know the bookings of other nodes on
+// the same links; the mean lateness is the best indicator of them.
 func (l *Links) Estimate(a, b string, bytes int64, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,9 +125,9 @@
 // any call takes some time, so short transfers would always look late.
 const minExpectedSeconds = 0.05
 
-// Seconds is for how long a transfer occupies the slower of two links, not counting
-// bookings.
-func (l *Links) Seconds(a, b string, bytes int64, now time.Time) float64 {
+// TransferSeconds returns how long a transfer occupies the slower of two links, without
+// the wait for earlier bookings.
+func (l *Links) TransferSeconds(a, b string, bytes int64, now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return float64(bytes) / min(l.get(a).rate(now), l.get(b).rate(now))
@@ -155,7 +155,7 @@
 	return booking
 }
 
-// Booked is for how long from now a link is booked.
+// Booked returns how long from now a link is booked.
 func (l *Links) Booked(name string, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/route/memory.go
+++ b/pkg/route/memory.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// usableMemoryShare is the part of an engine's memory that prompts in flight may
+	// usableMemoryShare is the share of an engine's memory that prompts in flight may
 	// fill. The rest is left for generated tokens and for prompts of other nodes
 	// that are not known yet. At 1.05 the benchmark score fell from 0.758 to 0.745
 	// (three days with four seeds each, nine engines).
 	usableMemoryShare = 0.9
-	// initialHoldTime is how long a prompt is assumed to hold an engine's memory
+	// initialMemoryHoldTime is how long a prompt is assumed to hold an engine's memory
 	// until the first measurement.
-	initialHoldTime = time.Second
-	// maxHoldTime caps measured hold times: if the node was suspended or an answer
+	initialMemoryHoldTime = time.Second
+	// maxMemoryHoldTime caps measured hold times: if the node was suspended or an answer
 	// was lost, prompts seem to hold memory for much longer than they do.
-	maxHoldTime = 5 * time.Second
+	maxMemoryHoldTime = 5 * time.Second
 )
 
 // memoryUsage estimates, from this node's own prompts, how much of an engine's
@@ -27,16 +27,16 @@
 // more, as they fill the memory.
 func (u *memoryUsage) record(tokens int, held time.Duration) {
 	u.tokens = (1-learnWeight)*u.tokens + float64(tokens)
-	u.seconds = (1-learnWeight)*u.seconds + float64(tokens)*min(held, maxHoldTime).Seconds()
+	u.seconds = (1-learnWeight)*u.seconds + float64(tokens)*min(held, maxMemoryHoldTime).Seconds()
 }
 
 // meanTokens is the mean number of tokens that a prompt holds.
 func (u *memoryUsage) meanTokens() int { return int(learnWeight * u.tokens) }
 
-// meanHoldSeconds is the mean time for which a token is held, in seconds.
+// meanHoldSeconds is the mean time for which a token of memory is held, in seconds.
 func (u *memoryUsage) meanHoldSeconds() float64 {
 	if u.tokens == 0 {
-		return initialHoldTime.Seconds()
+		return initialMemoryHoldTime.Seconds()
 	}
 	return u.seconds / u.tokens
 }
--- a/pkg/route/outlier.go
+++ b/pkg/route/outlier.go
@@ -27,10 +27,10 @@
 
 // recordOutcome records an outcome and ejects the replica if it is an outlier.
 //
-// A lost replica is detected by failures in a row, one that fails some of its requests by
-// its failure rate compared with that of all replicas. At most maxEjectedShare of the pool
-// is ejected at once, but always one may be: if more fail, the fault is probably not
-// theirs.
+// A replica that is gone is detected by failures in a row, one that fails some of its
+// requests by its failure rate compared with that of all replicas. At most maxEjectedShare
+// of the pool is ejected at once, but always one may be: if more fail, the fault is
+// probably not theirs.
 func (p *Pool) recordOutcome(m *member, o Outcome, now time.Time) {
 	if o == OutcomeNeutral {
 		return
--- a/pkg/route/part_usage.go
+++ b/pkg/route/part_usage.go
@@ -16,10 +16,11 @@
 )
 
 // partUsage counts how often parts are used by this node's prompts. The usage at
-// other nodes is assumed to be alike.
+// other nodes is assumed to be similar.
 type partUsage struct {
 	parts map[partKey]*decayingCount
-	// totalTokens counts the tokens of all parts that evict others from the replicas.
+	// totalTokens counts the tokens that replicas have to add to their caches, where they
+	// evict others.
 	totalTokens decayingCount
 }
 
@@ -47,12 +48,12 @@
 		d = &decayingCount{}
 		u.parts[key] = d
 	}
-	u.totalTokens.add(float64(tokens)*(1-u.heldProbability(key, assumedCapacity, now)), now)
+	u.totalTokens.add(float64(tokens)*(1-u.cachedProbability(key, assumedCapacity, now)), now)
 	d.add(1, now)
 }
 
-// assumedCapacity is the engine capacity, in tokens, by which record leaves parts
-// that are always held out of totalTokens; its exact size hardly matters.
+// assumedCapacity is the engine capacity, in tokens, from which record estimates whether a
+// part is cached already and so adds nothing to totalTokens; its exact size hardly matters.
 const assumedCapacity = 40_000
 
 func (u *partUsage) prune(now time.Time) {
@@ -63,11 +64,11 @@
 	}
 }
 
-// heldProbability is the probability that a replica with the given capacity in
-// tokens still holds a part. A replica evicts a part once as many other tokens have
-// come as it can hold, and uses of the part reach the replicas at random; the
+// cachedProbability is the probability that a replica with the given capacity in
+// tokens still holds a part. A replica evicts a part once it has added as many
+// other tokens as it can hold, and uses of the part reach the replicas at random; the
 // numbers of nodes and replicas cancel out.
-func (u *partUsage) heldProbability(key partKey, capacity int, now time.Time) float64 {
+func (u *partUsage) cachedProbability(key partKey, capacity int, now time.Time) float64 {
 	d, ok := u.parts[key]
 	if !ok {
 		return 0
@@ -76,7 +77,7 @@
 	return 1 - math.Exp(-uses)
 }
 
-// frequentlyUsed says whether a part is used so often that a copy at a faster store
+// frequentlyUsed reports whether a part is used so often that a copy at a faster store
 // is worth making.
 func (u *partUsage) frequentlyUsed(key partKey, now time.Time) bool {
 	d, ok := u.parts[key]
--- a/pkg/route/pick_input.go
+++ b/pkg/route/pick_input.go
@@ -26,7 +26,7 @@
 	Affinity uint64
 	// NewestVersion is the newest version of the model's weights, 0 if unknown.
 	NewestVersion int64
-	// StalenessWeight, from 0 to 1 and more, scales the cost of older weights.
+	// StalenessWeight scales the cost of older weights; it may exceed 1.
 	StalenessWeight float64
 	// MinVersion is the oldest version that may be used, 0 for any.
 	MinVersion int64
@@ -43,10 +43,10 @@
 
 // CacheCoverage is what a replica has cached of a prompt's shared tokens, or can fetch.
 type CacheCoverage struct {
-	// Known is set if the replica itself reports what it has cached, which is Held.
-	// Fetched is the number of tokens that it can fetch.
+	// Known is set if the replica itself reports what it has cached. Cached is the number
+	// of tokens of that, Fetched the number that it can fetch.
 	Known   bool
-	Held    int
+	Cached  int
 	Fetched int
 	Wait    time.Duration // Time of the fetch.
 }
@@ -54,7 +54,7 @@
 // tokensToPrefill is how many tokens a replica has to prefill. If it does not report its
 // cache, the affinity replica is assumed to have some of what can't be fetched.
 func (in *PickInput) tokensToPrefill(coverage CacheCoverage, affinity bool) float64 {
-	tokens := float64(in.Tokens - coverage.Held - coverage.Fetched)
+	tokens := float64(in.Tokens - coverage.Cached - coverage.Fetched)
 	if affinity && !coverage.Known {
 		tokens -= affinityCachedShare * float64(in.Shared-coverage.Fetched)
 	}
--- a/pkg/route/plan.go
+++ b/pkg/route/plan.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Plan lists the stores from which the shared parts of a prompt are fetched and at which
-// they are saved.
+// Plan lists where the shared parts of a prompt are fetched from, which may be stores or
+// engines, and the stores at which they are saved.
 type Plan struct {
 	// Sources and Saves have an address for each part of the prompt, or an invalid one for
 	// none.
@@ -29,7 +29,7 @@
 	key   partKey
 }
 
-// addFetch adds the fetch of part i from a store.
+// addFetch adds the fetch of part i from a store or an engine.
 func (p *Plan) addFetch(i, tokens int, addr netip.AddrPort, wait time.Duration) {
 	p.Sources[i] = addr
 	p.Fetched += tokens
@@ -37,9 +37,9 @@
 }
 
 // Cancel must be called if the prompt was not prefilled, so that another attempt may save
-// its parts. Otherwise retried prompts would not be saved for saveTerm: when a third of
-// the engines crashed three times in a day, a sixth of the shared tokens were recomputed
-// for that reason.
+// its parts. Otherwise retried prompts would not be saved for pendingSaveTimeout: when a
+// third of the engines crashed three times in a day, a sixth of the shared tokens were
+// recomputed for that reason.
 func (p *Plan) Cancel() {
 	if p.index == nil {
 		return
--- a/pkg/route/pool.go
+++ b/pkg/route/pool.go
@@ -78,7 +78,7 @@
 	sends             []time.Time // Times of requests within coldWindow, if there is a cold limit.
 }
 
-// PeerLoad is the load that other nodes have in flight at a replica.
+// PeerLoad is the load that a node, or several nodes together, have in flight at a replica.
 type PeerLoad struct {
 	Requests int
 	Tokens   BandTokens // Tokens to prefill, by priority band.
@@ -119,9 +119,9 @@
 	// slowness.
 	minExpectedTime = 20 * time.Millisecond
 	maxLatencyRatio = 20.0
-	// otherHallCost is the cost of a replica in another data hall: the round trip, and the
+	// crossHallCost is the cost of a replica in another data hall: the round trip, and the
 	// traffic between halls converted to an equivalent time.
-	otherHallCost = 4 * time.Millisecond
+	crossHallCost = 4 * time.Millisecond
 	// staleWeightsCost is the cost of a replica with outdated weights.
 	staleWeightsCost = 100 * time.Millisecond
 	// runningRequestCost is the cost of each request that runs at a replica, as it slows
--- a/pkg/route/pool_estimate.go
+++ b/pkg/route/pool_estimate.go
@@ -31,7 +31,7 @@
 func (p *Pool) idleCost(m *member, in *PickInput, affinity bool, rate *RateState, now time.Time) float64 {
 	cost := p.idleSeconds(m, in, affinity, p.relativeLatency(m, now))
 	if m.DataHall != p.dataHall {
-		cost += otherHallCost.Seconds()
+		cost += crossHallCost.Seconds()
 	}
 	if in.NewestVersion > 0 && m.Weights[in.Model] < in.NewestVersion {
 		cost += staleWeightsCost.Seconds() * in.StalenessWeight
--- a/pkg/route/pool_views.go
+++ b/pkg/route/pool_views.go
@@ -87,9 +87,9 @@
 
 	Requests int        `json:"requests"` // In flight from this node.
 	Tokens   BandTokens `json:"tokens"`   // Tokens that they have to prefill, by priority band.
-	Others   PeerLoad   `json:"others"`
-	Lateness float64    `json:"lateness"`
-	Failing  float64    `json:"failing"`
+	Others   PeerLoad   `json:"others"`   // Load from other nodes.
+	Lateness float64    `json:"lateness"` // Latency ratio relative to the pool's mean.
+	Failing  float64    `json:"failing"`  // Mean share of failed requests.
 	Ejected  bool       `json:"ejected"`
 	Avoided  bool       `json:"avoided"`
 	Cold     bool       `json:"cold"` // Or presumed to be.
--- a/pkg/route/prompt_queue.go
+++ b/pkg/route/prompt_queue.go
@@ -32,7 +32,7 @@
 	virtualTime   float64
 	virtualFinish map[string]float64
 	seq           uint64
-	// sending is admitted but not yet sent, so that the pool doesn't count it yet.
+	// sending is the prompt that is admitted but not yet sent: the pool doesn't count it yet.
 	sending *WaitingPrompt
 	// interval is the mean time between admissions while prompts wait.
 	interval     time.Duration
@@ -55,12 +55,12 @@
 	Priority     int     // 0 is the most urgent.
 	// Deadline is when the prompt must have been admitted.
 	Deadline time.Time
-	// Fits says whether an engine is expected to begin the prompt soon; late is set
+	// Fits reports whether an engine is expected to begin the prompt soon; late is set
 	// after WaitingPrompt.MarkLate. It is called with the queue's lock held.
 	Fits func(late bool, now time.Time) bool
 }
 
-// WaitingPrompt is a prompt in a PromptQueue.
+// WaitingPrompt is a prompt in a PromptQueue, or one that it has admitted or refused.
 type WaitingPrompt struct {
 	queue.Position
 	QueueRequest
@@ -236,7 +236,7 @@
 	return w.refused
 }
 
-// Before says whether the prompt goes before another.
+// Before reports whether the prompt goes before another.
 func (w *WaitingPrompt) Before(o *WaitingPrompt) bool {
 	switch {
 	case w.late != o.late:
--- a/pkg/route/prompt_queue_test.go
+++ b/pkg/route/prompt_queue_test.go
@@ -95,7 +95,7 @@
 }
 
 // Prompts that can still be in time go first, then the more urgent ones, then those of
-// the organisation that has had least.
+// the organisation that has been served least.
 func TestPromptQueueOrder(t *testing.T) {
 	q, r, now := NewPromptQueue(), &testCapacity{}, testNow
 	deadline := now.Add(time.Minute)
--- a/pkg/route/replica.go
+++ b/pkg/route/replica.go
@@ -5,20 +5,20 @@
 const (
 	defaultPrefillRate = 10_000
 	defaultSlots       = 8
-	defaultRunTime     = 500 * time.Millisecond
+	initialRunTime     = 500 * time.Millisecond
 	runTimeWeight      = 0.1 // Weight of the newest run in the mean run time.
 
-	ejectAfterFailures = 3
+	ejectAfterFailures = 3 // Failures in a row after which a Fleet ejects an engine.
 	firstEjection      = 2 * time.Second
 	maxEjection        = 30 * time.Second
 	// maxEjectedShare is the largest share of a model's or pool's replicas that may be
 	// ejected at once; if more fail, the fault is probably not theirs.
 	maxEjectedShare = 0.3
 
-	// After an ejection slowStartMaxCost is added to the wait; it falls to 0 over
-	// slowStartTerm.
-	slowStartTerm    = 10 * time.Second
-	slowStartMaxCost = 500 * time.Millisecond
+	// After an ejection ejectionRampUpMaxCost is added to the wait; it falls to 0 over
+	// ejectionRampUpTerm.
+	ejectionRampUpTerm    = 10 * time.Second
+	ejectionRampUpMaxCost = 500 * time.Millisecond
 )
 
 // Replica identifies an engine that serves a model.
@@ -37,14 +37,14 @@
 	consecutiveFailures int
 	ejectionTime        time.Duration
 	ejectedUntil        time.Time
-	slowStartFrom       time.Time // When the last ejection ends.
+	rampUpFrom          time.Time // When the last ejection ends.
 }
 
 func newReplicaState(r Replica, now time.Time) *replicaState {
 	return &replicaState{
 		Replica:     r,
 		inFlight:    map[*InFlightRun]struct{}{},
-		meanRunTime: defaultRunTime,
+		meanRunTime: initialRunTime,
 		report:      Report{Taken: now},
 	}
 }
@@ -88,8 +88,8 @@
 	if excess := occupied + 1 - r.slots(); excess > 0 {
 		w += time.Duration(excess) * r.meanRunTime / time.Duration(r.slots())
 	}
-	if sinceReturn := now.Sub(r.slowStartFrom); sinceReturn < slowStartTerm {
-		w += time.Duration(float64(slowStartMaxCost) * (1 - sinceReturn.Seconds()/slowStartTerm.Seconds()))
+	if sinceReturn := now.Sub(r.rampUpFrom); sinceReturn < ejectionRampUpTerm {
+		w += time.Duration(float64(ejectionRampUpMaxCost) * (1 - sinceReturn.Seconds()/ejectionRampUpTerm.Seconds()))
 	}
 	return w
 }
--- a/pkg/route/retry.go
+++ b/pkg/route/retry.go
@@ -25,7 +25,7 @@
 	b.credit = min(maxRetryCredit, b.credit+b.share)
 }
 
-// Take says whether a retry may be made, and counts it if so.
+// Take reports whether a retry may be made, and counts it if so.
 func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/route/retry_share.go
+++ b/pkg/route/retry_share.go
@@ -13,7 +13,7 @@
 	ratio  float64
 	slack  float64
 	window time.Duration
-	epoch  time.Time // Start of the slots' numbering, on the monotonic clock.
+	epoch  time.Time // Start of the numbering of time slots, on the monotonic clock.
 	slots  [retrySlots]retrySlot
 }
 
@@ -26,9 +26,8 @@
 const (
 	// retrySlots is the number of time slots that the window is divided into.
 	retrySlots = 16
-	// retrySafetyFactor is the part of its share that a node uses: the window is
-	// observed with other boundaries elsewhere, and some requests are counted
-	// there later.
+	// retrySafetyFactor is the part of its share that a node uses: whoever checks the
+	// budget may use windows with other boundaries, and count some requests later.
 	retrySafetyFactor = 0.7
 )
 
@@ -52,7 +51,7 @@
 	b.slot(now).requests++
 }
 
-// Take says whether a retry may be made, and counts it if so.
+// Take reports whether a retry may be made, and counts it if so.
 func (b *RetryShare) Take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/route/simulation_test.go
+++ b/pkg/route/simulation_test.go
@@ -13,8 +13,8 @@
 )
 
 // simulation runs a load through the pools of many nodes in virtual time. Each node has its
-// own view; engines have the users' published speeds, and reports between nodes arrive as
-// late as over the network.
+// own view. Engines have the published speeds, and reports between nodes arrive with the
+// delay of a real network.
 type simulation struct {
 	rng     *rand.Rand
 	now     time.Time
@@ -60,7 +60,7 @@
 	simDecodeTime      = 60 * time.Millisecond // From the first token to the last.
 	simTargetTime      = 500 * time.Millisecond
 	simClientTimeout   = 4 * time.Second
-	// Nodes report their loads each 150 ms; reports reach other nodes simReportDelay later.
+	// Nodes report their loads every 150 ms; reports reach other nodes simReportDelay later.
 	simReportInterval = 150 * time.Millisecond
 	simReportDelay    = 200 * time.Millisecond
 )
--- a/pkg/route/tally.go
+++ b/pkg/route/tally.go
@@ -4,7 +4,7 @@
 // tallies so that all have the same view of a link: a single node of many fetches too
 // rarely from a store to notice that its link has become slow.
 type Tally struct {
-	// Bytes is the size of all requested transfers, as these take the link's time.
+	// Bytes is the size of all requested transfers, each of which occupies the link.
 	Bytes int64 `json:"b,omitempty"`
 	// Late counts the fetches that took longer than expected, Early the others.
 	Late  int64 `json:"l,omitempty"`
--- a/pkg/route/tracked_test.go
+++ b/pkg/route/tracked_test.go
@@ -51,15 +51,15 @@
 	const most = 64
 	for _, each := range []int{1, 3, 12, 51, 330} {
 		all := enginesInHalls(5, each)
-		home := map[string]map[string]bool{}
+		own := map[string]map[string]bool{}
 		for h := range 5 {
 			hall := fmt.Sprint("h", h)
-			home[hall] = trackedIDs(map[string][]site.Upstream{hall: SelectTracked(hall, all, most)[hall]})
+			own[hall] = trackedIDs(map[string][]site.Upstream{hall: SelectTracked(hall, all, most)[hall]})
 		}
 		for h := range 5 {
 			for hall, list := range SelectTracked(fmt.Sprint("h", h), all, most) {
 				for _, u := range list {
-					assert.Assert(t, home[hall][u.ID], "%s of %s, %d each", u.ID, hall, each)
+					assert.Assert(t, own[hall][u.ID], "%s of %s, %d each", u.ID, hall, each)
 				}
 			}
 		}
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -102,7 +102,7 @@
 		}
 	}
 	organisation := r.call.Organisation
-	tenant := route.Tenant{
+	tenant := route.Organisation{
 		Name:            organisation.Name,
 		Share:           organisation.Share,
 		Concurrency:     organisation.Concurrency,
--- a/service/node/local.go
+++ b/service/node/local.go
@@ -54,7 +54,7 @@
 
 func (l *localTables) queueRows() lang.Table {
 	t := lang.Table{Columns: []string{"organisation", "inside", "waiting"}}
-	for name, q := range l.admission.Status().Tenants {
+	for name, q := range l.admission.Status().Organisations {
 		t.Rows = append(t.Rows, []string{name, strconv.Itoa(q.Admitted), strconv.Itoa(q.Waiting)})
 	}
 	sortRows(t)
