--- a/service/gateway/attempt.go
+++ b/service/gateway/attempt.go
@@ -42,7 +42,7 @@
 	choice         route.Choice
 	inFlight       *route.InFlightRequest
 	plan           *route.Plan
-	realm          string // Namespace of the prompt's cached state, see realmName.
+	realm          string // Namespace of the prompt's KV cache, see realmName.
 	startedAt      time.Time
 	firstByteAfter time.Duration // From startedAt to the first byte of the answer's body.
 	lastBytesAt    time.Time     // When bytes of the body last arrived.
@@ -52,7 +52,7 @@
 	// written is set once the whole request has been written to the connection.
 	written    atomic.Bool
 	writeDone  chan struct{} // Closed when write returns.
-	mismatched bool          // Answers to other requests came first.
+	mismatched bool          // Answers to other requests arrived before this one's.
 	// answered is set once the replica's whole answer has been read.
 	answered bool
 
--- a/service/gateway/client_conn.go
+++ b/service/gateway/client_conn.go
@@ -105,8 +105,8 @@
 	}()
 }
 
-// watchForClose polls whether the client closes the connection. A read would not tell,
-// because unread bytes of its next request come first.
+// watchForClose polls whether the client closes the connection. A read would not show
+// it, because unread bytes of the client's next request come first.
 func (c *clientConn) watchForClose(ctx context.Context, onClose context.CancelCauseFunc) {
 	t := time.NewTicker(closeCheckInterval)
 	defer t.Stop()
--- a/service/gateway/client_writer.go
+++ b/service/gateway/client_writer.go
@@ -25,7 +25,7 @@
 func (w *clientWriter) closesConn() bool { return w.shouldClose() || w.failed }
 
 // fixClose fixes the result of closesConn: a stop after the head was sent must not close
-// a connection that the client was told it may reuse.
+// a connection whose head said that the client may reuse it.
 func (w *clientWriter) fixClose() bool {
 	closes := w.closesConn()
 	w.shouldClose = func() bool { return closes }
--- a/service/gateway/cold_shares_test.go
+++ b/service/gateway/cold_shares_test.go
@@ -86,5 +86,5 @@
 	assert.Equal(t, len(n.entryAddrs("d", "three", []string{"two"})), 2, "those of the homes")
 	assert.Equal(t, len(n.entryAddrs("elsewhere", "four", []string{"two"})), 2)
 	assert.Equal(t, len(n.entryAddrs("d", "three", []string{"nowhere"})), 1, "its own region")
-	assert.Equal(t, len(n.entryAddrs("elsewhere", "four", []string{"nowhere"})), 6, "somebody has to refuse")
+	assert.Equal(t, len(n.entryAddrs("elsewhere", "four", []string{"nowhere"})), 6, "some node has to refuse the request")
 }
--- a/service/gateway/control_bench_test.go
+++ b/service/gateway/control_bench_test.go
@@ -60,7 +60,7 @@
 
 // newHallSumNote returns a note with a hall's loads at all engines.
 func newHallSumNote(b *testing.B, hall string, seq uint64, engines int) json.RawMessage {
-	s := loadNote{From: "front-x" + hall, Hall: hall, Incarnation: 1, Seq: seq}
+	note := loadNote{From: "front-x" + hall, Hall: hall, Incarnation: 1, Seq: seq}
 	var loads []route.ReplicaLoad
 	for i := range engines {
 		load := route.PeerLoad{Requests: 1 + i%3, Memory: 9000 + i, Tokens: route.BandTokens{i % 2 * 1500, i % 5 * 1700}}
@@ -71,8 +71,8 @@
 		tally := route.Tally{Bytes: int64(i) * 1e9, Late: int64(i), Early: 100 * int64(i)}
 		links = append(links, route.StoreTally{Key: route.HashName(fmt.Sprint("spec-cache-", i)), Tally: tally})
 	}
-	s.Loads, s.Links = packLoads(loads), packTallies(links)
-	text, err := json.Marshal(s)
+	note.Loads, note.Links = packLoads(loads), packTallies(links)
+	text, err := json.Marshal(note)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -120,33 +120,33 @@
 	}
 }
 
-// BenchmarkHoldingsRefresh measures choosing the nodes to ask for cached state, done five
-// times a second.
-func BenchmarkHoldingsRefresh(b *testing.B) {
+// BenchmarkEngineCacheFollowerRefresh measures choosing the engines to follow and the peers
+// to poll, done five times a second.
+func BenchmarkEngineCacheFollowerRefresh(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
-			_, h := newFleetNode(b, size.nodes, size.engines)
+			_, f := newFleetNode(b, size.nodes, size.engines)
 			b.ReportAllocs()
-			b.Cleanup(h.close)
+			b.Cleanup(f.close)
 			for b.Loop() {
-				h.refresh(b.Context())
+				f.refresh(b.Context())
 			}
 		})
 	}
 }
 
-// BenchmarkHandleHeldUpdates measures taking in one second of cache changes of all
-// engines, 20 changes from each.
-func BenchmarkHandleHeldUpdates(b *testing.B) {
+// BenchmarkApplyCacheUpdates measures applying one second of cache changes of all engines,
+// 20 changes from each.
+func BenchmarkApplyCacheUpdates(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dnodes", size.nodes), func(b *testing.B) {
-			_, h := newFleetNode(b, size.nodes, size.engines)
-			h.rankEngines(h.chooseEngines(h.state.Snapshot()))
+			_, f := newFleetNode(b, size.nodes, size.engines)
+			f.rankEngines(f.chooseEngines(f.siteState.Snapshot()))
 			var answers [][]byte
 			for batch := range 20 {
 				var a cacheUpdatesAnswer
 				for i := range size.engines {
-					if _, wanted := h.ranked[engineID(i)]; !wanted {
+					if _, wanted := f.ranked[engineID(i)]; !wanted {
 						continue
 					}
 					changes := []route.EngineCacheChange{{Part: route.PartHash(i*1000 + batch), Tokens: 3000}, {Part: route.PartHash(i*1000 + (batch+10)%20)}}
@@ -165,7 +165,7 @@
 					if err := json.Unmarshal(text, &a); err != nil {
 						b.Fatal(err)
 					}
-					h.applyPacked(a.Updates)
+					f.applyPacked(a.Updates)
 				}
 			}
 		})
--- a/service/gateway/dispatch.go
+++ b/service/gateway/dispatch.go
@@ -25,8 +25,8 @@
 	fetchTargetFactor = 3.0
 )
 
-// dispatch builds what a replica is told beside the request, and the plan for fetching
-// and saving the prompt's KV cache.
+// dispatch builds the metadata that is sent to a replica with the request, and the plan
+// for fetching and saving the prompt's KV cache.
 func (x *exchange) dispatch(c route.Choice, now time.Time) (*site.Dispatch, *route.Plan) {
 	d := &site.Dispatch{Instance: c.ID, TimeLeft: x.deadline.Sub(now), Priority: -1}
 	if x.organisation != nil {
--- a/service/gateway/engine_caches.go
+++ b/service/gateway/engine_caches.go
@@ -37,8 +37,8 @@
 	// of a core per engine: tracking all 256 took 3.1 %, where the whole control plane may
 	// take 2.8 %.
 	maxTrackedEngines = 64
-	// peerInterestTerm is how long a node keeps logging updates for peers after a peer last
-	// asked.
+	// peerInterestTerm is how long a node keeps logging updates after a peer last asked for
+	// them.
 	peerInterestTerm = 3 * cachePollWait
 	// remoteRelayDuty is the duty of relaying the updates of all other halls' engines to this
 	// hall.
@@ -47,28 +47,28 @@
 
 // engineCacheFollower keeps this node's index of engine cache contents up to date.
 type engineCacheFollower struct {
-	engines Engines
-	state   *SiteState
-	cache   *route.CacheIndex
-	members *control.Members
-	client  *peer.Client
-	self    control.Member
-	clock   *replicaClock
-	updates *cacheUpdateLog
-	log     *slog.Logger
+	engines    Engines
+	siteState  *SiteState
+	cacheIndex *route.CacheIndex
+	members    *control.Members
+	client     *peer.Client
+	self       control.Member
+	clock      *replicaClock
+	updates    *cacheUpdateLog
+	log        *slog.Logger
 
 	mu           sync.Mutex
-	inputs       followInputs
+	inputs       engineFollowInputs
 	ranked       map[string]rankedEngine       // Tracked engines, by ID.
-	awaitingFull map[string]bool               // Tracked engines of which no full update has arrived yet.
+	awaitingFull map[string]bool               // Tracked engines without a full update so far.
 	followed     map[string]context.CancelFunc // Engines that this node follows itself, by ID.
 	sources      map[netip.AddrPort]*updateSource
 	lastAsked    time.Time // When a peer last asked this node for updates.
 	wg           sync.WaitGroup
 }
 
-// followInputs determine which engines a node follows itself and which peers it polls.
-type followInputs struct {
+// engineFollowInputs determine which engines a node follows itself and which peers it polls.
+type engineFollowInputs struct {
 	view     *control.View
 	snapshot *site.Snapshot
 	revision int
@@ -86,11 +86,11 @@
 	cancel     context.CancelFunc
 }
 
-func newEngineCacheFollower(engines Engines, state *SiteState, cache *route.CacheIndex, members *control.Members, client *peer.Client, self control.Member, clock *replicaClock, log *slog.Logger) *engineCacheFollower {
+func newEngineCacheFollower(engines Engines, siteState *SiteState, cacheIndex *route.CacheIndex, members *control.Members, client *peer.Client, self control.Member, clock *replicaClock, log *slog.Logger) *engineCacheFollower {
 	return &engineCacheFollower{
 		engines:      engines,
-		state:        state,
-		cache:        cache,
+		siteState:    siteState,
+		cacheIndex:   cacheIndex,
 		members:      members,
 		client:       client,
 		self:         self,
@@ -104,45 +104,45 @@
 }
 
 // stop cancels all following and polling; the caller holds mu.
-func (h *engineCacheFollower) stop() {
-	h.setFollowed(nil)
-	h.setSources(nil)
+func (f *engineCacheFollower) stop() {
+	f.setFollowed(nil)
+	f.setSources(nil)
 }
 
 // restart drops all connections and follows the engines again: connections may have died
 // unnoticed while the machine was suspended.
-func (h *engineCacheFollower) restart() {
-	h.mu.Lock()
-	h.stop()
-	h.inputs = followInputs{}
-	h.mu.Unlock()
-	h.refresh(context.Background())
+func (f *engineCacheFollower) restart() {
+	f.mu.Lock()
+	f.stop()
+	f.inputs = engineFollowInputs{}
+	f.mu.Unlock()
+	f.refresh(context.Background())
 }
 
 // close stops all following and polling and waits for it to end.
-func (h *engineCacheFollower) close() {
-	h.mu.Lock()
-	h.stop()
-	h.mu.Unlock()
-	h.wg.Wait()
+func (f *engineCacheFollower) close() {
+	f.mu.Lock()
+	f.stop()
+	f.mu.Unlock()
+	f.wg.Wait()
 }
 
 // refresh recomputes which engines this node follows itself and which peers it polls; the
 // timer service calls it.
-func (h *engineCacheFollower) refresh(context.Context) {
-	inputs := followInputs{view: h.members.View(), snapshot: h.state.Snapshot(), revision: h.state.Revision()}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if inputs == h.inputs {
+func (f *engineCacheFollower) refresh(context.Context) {
+	inputs := engineFollowInputs{view: f.members.View(), snapshot: f.siteState.Snapshot(), revision: f.siteState.Revision()}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if inputs == f.inputs {
 		return
 	}
-	h.inputs = inputs
-	engines := h.chooseEngines(inputs.snapshot)
-	h.rankEngines(engines)
+	f.inputs = inputs
+	engines := f.chooseEngines(inputs.snapshot)
+	f.rankEngines(engines)
 	follow := map[string]site.Upstream{}
 	ask := map[netip.AddrPort]map[string]int{}
 	for hall, list := range engines {
-		addr, ok := h.source(hall)
+		addr, ok := f.source(hall)
 		if !ok {
 			for _, u := range list {
 				follow[u.ID] = u
@@ -154,143 +154,143 @@
 		}
 		ask[addr][hall] = len(list)
 	}
-	h.setFollowed(follow)
-	h.setSources(ask)
+	f.setFollowed(follow)
+	f.setSources(ask)
 }
 
 // chooseEngines lists the engines that this node tracks, by hall and in the order of
 // route.SelectTracked.
-func (h *engineCacheFollower) chooseEngines(s *site.Snapshot) map[string][]site.Upstream {
+func (f *engineCacheFollower) chooseEngines(s *site.Snapshot) map[string][]site.Upstream {
 	byHall := map[string][]site.Upstream{}
-	if s == nil || h.state.disabled.EngineCacheEvents {
+	if s == nil || f.siteState.disabled.EngineCacheEvents {
 		return byHall
 	}
 	pools := map[string]*route.Pool{}
-	for name, p := range h.state.Pools() {
+	for name, p := range f.siteState.Pools() {
 		if v := s.Services[name]; v != nil && v.Engine != nil && v.Engine.PlannedFetch && v.Engine.MaxWatches > 0 {
 			pools[name] = p
 		}
 	}
 	for name, p := range pools {
 		var tracked []site.Upstream
-		// Nothing may be sent to evacuated engines, these calls included.
+		// Evacuated engines must not be sent anything, not even these calls.
 		usable := slices.DeleteFunc(p.Upstreams(), func(u site.Upstream) bool { return u.Evacuated })
-		for hall, engines := range route.SelectTracked(h.self.DataHall, usable, maxTrackedEngines/len(pools)) {
+		for hall, engines := range route.SelectTracked(f.self.DataHall, usable, maxTrackedEngines/len(pools)) {
 			byHall[hall] = append(byHall[hall], engines...)
 			tracked = append(tracked, engines...)
 		}
-		h.cache.SetEngines(name, tracked, s.Services[name].Engine)
+		f.cacheIndex.SetEngines(name, tracked, s.Services[name].Engine)
 	}
 	return byHall
 }
 
 // rankEngines records the rank of each engine in its hall; the caller holds mu.
-func (h *engineCacheFollower) rankEngines(engines map[string][]site.Upstream) {
-	old := h.ranked
-	h.ranked = map[string]rankedEngine{}
+func (f *engineCacheFollower) rankEngines(engines map[string][]site.Upstream) {
+	old := f.ranked
+	f.ranked = map[string]rankedEngine{}
 	for hall, list := range engines {
 		for rank, u := range list {
-			h.ranked[u.ID] = rankedEngine{hall: hall, rank: rank}
+			f.ranked[u.ID] = rankedEngine{hall: hall, rank: rank}
 			if _, known := old[u.ID]; !known {
-				h.awaitingFull[u.ID] = true
+				f.awaitingFull[u.ID] = true
 			}
 		}
 	}
-	for id := range h.awaitingFull {
-		if _, wanted := h.ranked[id]; !wanted {
-			delete(h.awaitingFull, id)
+	for id := range f.awaitingFull {
+		if _, wanted := f.ranked[id]; !wanted {
+			delete(f.awaitingFull, id)
 		}
 	}
 }
 
 // source is the peer that this node polls about the engines of a hall; ok is false if it
 // follows them itself.
-func (h *engineCacheFollower) source(hall string) (addr netip.AddrPort, ok bool) {
+func (f *engineCacheFollower) source(hall string) (addr netip.AddrPort, ok bool) {
 	duty := remoteRelayDuty
-	if hall == h.self.DataHall {
+	if hall == f.self.DataHall {
 		duty = hallRelayDuty + hall
 	}
-	if local, found := h.relayFor(h.self.DataHall, duty); found && local.Name != h.self.Name {
+	if local, found := f.relayFor(f.self.DataHall, duty); found && local.Name != f.self.Name {
 		return local.Peer, true
 	}
-	if hall == h.self.DataHall {
+	if hall == f.self.DataHall {
 		return addr, false
 	}
-	remote, found := h.relayFor(hall, hallRelayDuty+hall)
+	remote, found := f.relayFor(hall, hallRelayDuty+hall)
 	return remote.Peer, found
 }
 
 // relayFor is the node of a hall that has a relay duty.
-func (h *engineCacheFollower) relayFor(hall, duty string) (control.Member, bool) {
-	return control.Owner(control.WithWidestLinks(hallMembers(h.members, hall)), duty)
+func (f *engineCacheFollower) relayFor(hall, duty string) (control.Member, bool) {
+	return control.Owner(control.WithWidestLinks(hallMembers(f.members, hall)), duty)
 }
 
 // setFollowed starts following the engines that are new in wanted and stops following those
 // that are not in it; the caller holds mu.
-func (h *engineCacheFollower) setFollowed(wanted map[string]site.Upstream) {
+func (f *engineCacheFollower) setFollowed(wanted map[string]site.Upstream) {
 	for id, u := range wanted {
-		if h.followed[id] == nil {
+		if f.followed[id] == nil {
 			ctx, cancel := context.WithCancel(context.Background())
-			h.followed[id] = cancel
-			h.wg.Go(func() { h.followEngine(ctx, u) })
+			f.followed[id] = cancel
+			f.wg.Go(func() { f.followEngine(ctx, u) })
 		}
 	}
-	for id, cancel := range h.followed {
+	for id, cancel := range f.followed {
 		if _, ok := wanted[id]; !ok {
 			cancel()
-			delete(h.followed, id)
+			delete(f.followed, id)
 		}
 	}
 }
 
 // setSources does the same for the peers to poll; the caller holds mu.
-func (h *engineCacheFollower) setSources(wanted map[netip.AddrPort]map[string]int) {
-	for addr, src := range h.sources {
+func (f *engineCacheFollower) setSources(wanted map[netip.AddrPort]map[string]int) {
+	for addr, src := range f.sources {
 		if wanted[addr] == nil {
 			src.cancel()
-			delete(h.sources, addr)
+			delete(f.sources, addr)
 		}
 	}
 	for addr, maxEngines := range wanted {
-		if src := h.sources[addr]; src != nil {
+		if src := f.sources[addr]; src != nil {
 			src.maxEngines = maxEngines
 			continue
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		src := &updateSource{maxEngines: maxEngines, cancel: cancel}
-		h.sources[addr] = src
-		h.wg.Go(func() { h.pollSource(ctx, addr, src) })
+		f.sources[addr] = src
+		f.wg.Go(func() { f.pollSource(ctx, addr, src) })
 	}
 }
 
 // followEngine applies one engine's events until ctx ends.
-func (h *engineCacheFollower) followEngine(ctx context.Context, u site.Upstream) {
+func (f *engineCacheFollower) followEngine(ctx context.Context, u site.Upstream) {
 	boot, since, lost := int64(0), int64(0), false
 	for ctx.Err() == nil {
-		if p := h.state.Pool(u.Service); p != nil && p.InBackoff(u.ID, boottime.Now()) {
+		if p := f.siteState.Pool(u.Service); p != nil && p.InBackoff(u.ID, boottime.Now()) {
 			sleep(ctx, cachePollRetry)
 			continue
 		}
-		c, err := h.engines.Changes(ctx, u.Addr, since, cachePollWait)
+		c, err := f.engines.Changes(ctx, u.Addr, since, cachePollWait)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			if !lost {
-				h.log.Warn("engine event stream lost", "replica", u.ID, "err", err)
-				h.apply(route.EngineCacheUpdate{Engine: u.ID, Stale: true})
+				f.log.Warn("engine event stream lost", "replica", u.ID, "err", err)
+				f.apply(route.EngineCacheUpdate{Engine: u.ID, Stale: true})
 			}
 			lost = true
 			sleep(ctx, cachePollRetry)
 			continue
 		}
 		if lost {
-			h.log.Info("engine event stream restored", "replica", u.ID, "boot", c.Boot)
+			f.log.Info("engine event stream restored", "replica", u.ID, "boot", c.Boot)
 		}
-		h.clock.update(c.Clock, boottime.Now())
+		f.clock.update(c.Clock, boottime.Now())
 		full := since == 0 || c.Lost || c.Boot != boot
 		if full || lost || len(c.Changes) > 0 {
-			h.apply(newCacheUpdate(u.ID, full, c))
+			f.apply(newCacheUpdate(u.ID, full, c))
 		}
 		boot, since, lost = c.Boot, c.Next, false
 		sleep(ctx, cachePollPause)
@@ -305,36 +305,36 @@
 	return update
 }
 
-// apply applies an update to the index, and logs it if peers poll this node.
-func (h *engineCacheFollower) apply(c route.EngineCacheUpdate) {
-	h.cache.ApplyEngineUpdate(c)
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// apply applies an update to the index, and adds it to the log if peers poll this node.
+func (f *engineCacheFollower) apply(c route.EngineCacheUpdate) {
+	f.cacheIndex.ApplyEngineUpdate(c)
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	if c.Full {
-		delete(h.awaitingFull, c.Engine)
+		delete(f.awaitingFull, c.Engine)
 	}
-	e, kept := h.ranked[c.Engine]
-	if !kept {
+	e, tracked := f.ranked[c.Engine]
+	if !tracked {
 		return
 	}
-	if boottime.Since(h.lastAsked) > peerInterestTerm {
-		h.updates.skip() // Packing and logging is most of the cost of an update.
+	if boottime.Since(f.lastAsked) > peerInterestTerm {
+		f.updates.skip() // Packing it for the log is most of the cost of an update.
 		return
 	}
-	h.updates.add(e, packCacheUpdate(c))
+	f.updates.add(e, packCacheUpdate(c))
 }
 
 // nextRequest is the next poll of a source.
-func (h *engineCacheFollower) nextRequest(src *updateSource, epoch, from uint64) cacheUpdatesRequest {
+func (f *engineCacheFollower) nextRequest(src *updateSource, epoch, from uint64) cacheUpdatesRequest {
 	q := cacheUpdatesRequest{Epoch: epoch, From: from, WaitMS: cachePollWait.Milliseconds()}
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	q.MaxEngines = src.maxEngines
 	for hall := range src.maxEngines {
 		q.Halls = append(q.Halls, hall)
 	}
-	for id := range h.awaitingFull {
-		if src.maxEngines[h.ranked[id].hall] > 0 {
+	for id := range f.awaitingFull {
+		if src.maxEngines[f.ranked[id].hall] > 0 {
 			q.NeedFull = append(q.NeedFull, id)
 		}
 	}
@@ -342,73 +342,73 @@
 }
 
 // pollSource applies a peer's updates until ctx ends.
-func (h *engineCacheFollower) pollSource(ctx context.Context, addr netip.AddrPort, src *updateSource) {
+func (f *engineCacheFollower) pollSource(ctx context.Context, addr netip.AddrPort, src *updateSource) {
 	pause := cachePollPause
-	if !slices.Contains(h.hallAddrs(), addr) {
+	if !slices.Contains(f.hallAddrs(), addr) {
 		pause = remoteCachePollPause
 	}
 	var epoch, from uint64
 	lost := false
 	for ctx.Err() == nil {
-		answer, err := h.call(ctx, addr, h.nextRequest(src, epoch, from))
+		answer, err := f.call(ctx, addr, f.nextRequest(src, epoch, from))
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
 			if !lost {
-				h.log.Warn("engine cache updates from peer lost", "peer", addr, "err", err)
-				h.markSourceStale(src)
+				f.log.Warn("engine cache updates from peer lost", "peer", addr, "err", err)
+				f.markSourceStale(src)
 			}
 			lost, epoch = true, 0
 			sleep(ctx, cachePollRetry)
 			continue
 		case lost:
-			h.log.Info("engine cache updates from peer restored", "peer", addr)
+			f.log.Info("engine cache updates from peer restored", "peer", addr)
 			lost = false
 		}
 		epoch, from = answer.Epoch, answer.Next
-		h.applyPacked(answer.Updates)
+		f.applyPacked(answer.Updates)
 		sleep(ctx, pause)
 	}
 }
 
-func (h *engineCacheFollower) call(ctx context.Context, addr netip.AddrPort, req cacheUpdatesRequest) (answer cacheUpdatesAnswer, err error) {
-	err = h.client.CallWithin(ctx, cachePollWait+answerSlack, addr, methodCacheUpdates, req, &answer)
+func (f *engineCacheFollower) call(ctx context.Context, addr netip.AddrPort, req cacheUpdatesRequest) (answer cacheUpdatesAnswer, err error) {
+	err = f.client.CallWithin(ctx, cachePollWait+answerSlack, addr, methodCacheUpdates, req, &answer)
 	return answer, err
 }
 
 // hallAddrs lists the addresses of this hall's live nodes.
-func (h *engineCacheFollower) hallAddrs() (list []netip.AddrPort) {
-	for _, m := range hallMembers(h.members, h.self.DataHall) {
+func (f *engineCacheFollower) hallAddrs() (list []netip.AddrPort) {
+	for _, m := range hallMembers(f.members, f.self.DataHall) {
 		list = append(list, m.Peer)
 	}
 	return list
 }
 
 // applyPacked applies updates received from a peer.
-func (h *engineCacheFollower) applyPacked(updates []packedCacheUpdate) {
+func (f *engineCacheFollower) applyPacked(updates []packedCacheUpdate) {
 	for _, p := range updates {
 		c, err := p.unpack()
 		if err != nil {
-			h.log.Error("engine cache update from peer can't be decoded", "err", err)
+			f.log.Error("engine cache update from peer can't be decoded", "err", err)
 			continue
 		}
-		h.apply(c)
+		f.apply(c)
 	}
 }
 
 // markSourceStale marks the contents of all engines that a source reports on as stale, so that
 // they are not used.
-func (h *engineCacheFollower) markSourceStale(src *updateSource) {
-	h.mu.Lock()
+func (f *engineCacheFollower) markSourceStale(src *updateSource) {
+	f.mu.Lock()
 	var ids []string
-	for id, e := range h.ranked {
+	for id, e := range f.ranked {
 		if e.rank < src.maxEngines[e.hall] {
 			ids = append(ids, id)
 		}
 	}
-	h.mu.Unlock()
+	f.mu.Unlock()
 	for _, id := range ids {
-		h.apply(route.EngineCacheUpdate{Engine: id, Stale: true})
+		f.apply(route.EngineCacheUpdate{Engine: id, Stale: true})
 	}
 }
--- a/service/gateway/engine_caches_serve.go
+++ b/service/gateway/engine_caches_serve.go
@@ -11,7 +11,7 @@
 	"github.com/drumpath/drumpath/pkg/boottime"
 )
 
-// cacheUpdatesRequest are the parameters of methodCacheUpdates: it asks for the updates from a
+// cacheUpdatesRequest holds the parameters of methodCacheUpdates: it asks for the updates from a
 // sequence number on, of the engines of some halls.
 type cacheUpdatesRequest struct {
 	Epoch uint64   `json:"epoch"`
@@ -20,7 +20,7 @@
 	// MaxEngines limits the engines by rank in each hall, in the order of route.SelectTracked;
 	// nil means all engines of Halls.
 	MaxEngines map[string]int `json:"most,omitempty"`
-	// NeedFull lists engines of which the asking node has no contents yet.
+	// NeedFull lists engines whose contents the asking node does not have yet.
 	NeedFull []string `json:"fresh,omitempty"`
 	WaitMS   int64    `json:"wait_ms"`
 }
@@ -40,23 +40,23 @@
 }
 
 // serve handles methodCacheUpdates.
-func (h *engineCacheFollower) serve(ctx context.Context, params json.RawMessage) (any, error) {
+func (f *engineCacheFollower) serve(ctx context.Context, params json.RawMessage) (any, error) {
 	var q cacheUpdatesRequest
 	if err := json.Unmarshal(params, &q); err != nil {
 		return nil, eris.Wrap(err, "bad parameters")
 	}
-	h.mu.Lock()
-	h.lastAsked = boottime.Now()
-	h.mu.Unlock()
+	f.mu.Lock()
+	f.lastAsked = boottime.Now()
+	f.mu.Unlock()
 	end := time.After(min(cachePollWait, time.Duration(q.WaitMS)*time.Millisecond))
 	for {
-		updates, next, changed, ok := h.updates.since(q)
+		updates, next, changed, ok := f.updates.since(q)
 		if !ok {
-			updates = h.fullUpdates(func(string, rankedEngine) bool { return true }, q)
+			updates = f.fullUpdates(func(string, rankedEngine) bool { return true }, q)
 		} else if len(q.NeedFull) > 0 {
-			updates = append(h.fullUpdates(func(id string, _ rankedEngine) bool { return slices.Contains(q.NeedFull, id) }, q), updates...)
+			updates = append(f.fullUpdates(func(id string, _ rankedEngine) bool { return slices.Contains(q.NeedFull, id) }, q), updates...)
 		}
-		answer := cacheUpdatesAnswer{Epoch: h.updates.epoch, Next: next, Updates: updates}
+		answer := cacheUpdatesAnswer{Epoch: f.updates.epoch, Next: next, Updates: updates}
 		if len(updates) > 0 {
 			return answer, nil
 		}
@@ -73,17 +73,17 @@
 
 // fullUpdates returns the full contents of the requested engines that match; engines with
 // stale contents are left out.
-func (h *engineCacheFollower) fullUpdates(match func(id string, e rankedEngine) bool, q cacheUpdatesRequest) (updates []packedCacheUpdate) {
-	h.mu.Lock()
+func (f *engineCacheFollower) fullUpdates(match func(id string, e rankedEngine) bool, q cacheUpdatesRequest) (updates []packedCacheUpdate) {
+	f.mu.Lock()
 	var ids []string
-	for id, e := range h.ranked {
+	for id, e := range f.ranked {
 		if q.wants(e.hall, e.rank) && match(id, e) {
 			ids = append(ids, id)
 		}
 	}
-	h.mu.Unlock()
+	f.mu.Unlock()
 	for _, id := range ids {
-		if c := h.cache.EngineContents(id); !c.Stale {
+		if c := f.cacheIndex.EngineContents(id); !c.Stale {
 			updates = append(updates, packCacheUpdate(c))
 		}
 	}
--- a/service/gateway/engine_caches_test.go
+++ b/service/gateway/engine_caches_test.go
@@ -78,16 +78,16 @@
 		members.Merge([]control.Member{o}, time.Now())
 	}
 	client := peer.NewClient("key")
-	h := newEngineCacheFollower(e, state, cache, members, client, self, new(replicaClock), log)
+	f := newEngineCacheFollower(e, state, cache, members, client, self, new(replicaClock), log)
 	t.Cleanup(func() {
-		h.close()
+		f.close()
 		client.Close()
 	})
-	return h
+	return f
 }
 
-func (h *engineCacheFollower) holds(part string) bool {
-	c := h.cache.EngineContents("e")
+func (f *engineCacheFollower) holds(part string) bool {
+	c := f.cacheIndex.EngineContents("e")
 	for _, v := range c.Changes {
 		if v.Part == route.HashPart("m@1", part) && !c.Stale {
 			return true
@@ -114,20 +114,20 @@
 func TestEngineCacheAfterFailedCallsAndLostEvents(t *testing.T) {
 	engine := &fakeEngine{}
 	engine.add(part("a", 100), part("b", 100))
-	h := newTestCacheFollower(t, "n0", engine)
-	h.refresh(t.Context())
-	eventually(t, "both parts are cached", func() bool { return h.holds("a") && h.holds("b") })
+	f := newTestCacheFollower(t, "n0", engine)
+	f.refresh(t.Context())
+	eventually(t, "both parts are cached", func() bool { return f.holds("a") && f.holds("b") })
 	engine.set(func() { engine.fail = true })
-	eventually(t, "no part counts as cached", func() bool { return !h.holds("a") && !h.holds("b") })
+	eventually(t, "no part counts as cached", func() bool { return !f.holds("a") && !f.holds("b") })
 	engine.add(part("a", 0), part("c", 100))
 	engine.set(func() { engine.fail = false })
-	eventually(t, "changes made meanwhile are known", func() bool { return !h.holds("a") && h.holds("b") && h.holds("c") })
+	eventually(t, "changes made meanwhile are known", func() bool { return !f.holds("a") && f.holds("b") && f.holds("c") })
 	// Events are lost: parts known before may have been dropped in the meantime.
 	engine.set(func() {
 		engine.events = append(engine.events, part("b", 0), part("d", 100))
 		engine.from = int64(len(engine.events)) - 1
 	})
-	eventually(t, "only parts reported since are cached", func() bool { return !h.holds("b") && !h.holds("c") && h.holds("d") })
+	eventually(t, "only parts reported since are cached", func() bool { return !f.holds("b") && !f.holds("c") && f.holds("d") })
 }
 
 // A call in flight when the machine was suspended may never be answered. On waking the engine
@@ -135,9 +135,9 @@
 func TestEngineIsAskedAgainAfterSuspension(t *testing.T) {
 	engine := &fakeEngine{}
 	engine.add(part("a", 100), part("b", 100))
-	h := newTestCacheFollower(t, "n0", engine)
-	h.refresh(t.Context())
-	eventually(t, "both parts are cached", func() bool { return h.holds("a") && h.holds("b") })
+	f := newTestCacheFollower(t, "n0", engine)
+	f.refresh(t.Context())
+	eventually(t, "both parts are cached", func() bool { return f.holds("a") && f.holds("b") })
 	before := 0
 	engine.set(func() { engine.hang, before = true, engine.calls })
 	eventually(t, "a call is in flight", func() bool {
@@ -148,9 +148,9 @@
 	engine.add(part("a", 0))
 	engine.set(func() { engine.hang = false })
 	time.Sleep(50 * time.Millisecond)
-	assert.Assert(t, h.holds("a"), "the call still hangs")
-	h.restart()
-	eventually(t, "the dropped part is known", func() bool { return !h.holds("a") && h.holds("b") })
+	assert.Assert(t, f.holds("a"), "the call still hangs")
+	f.restart()
+	eventually(t, "the dropped part is known", func() bool { return !f.holds("a") && f.holds("b") })
 }
 
 // The other nodes of a hall poll its relay, which alone follows the engine.
@@ -164,7 +164,7 @@
 	server.Handle(peer.RolePeer, methodCacheUpdates, relay.serve)
 	server.Start()
 	t.Cleanup(server.Close)
-	asker := holdingsSubscriber(t, server.Addr())
+	asker := newCacheUpdateSubscriber(t, server.Addr())
 	relay.refresh(t.Context())
 	asker.refresh(t.Context())
 	eventually(t, "cached parts are passed on", func() bool { return asker.holds("a") })
@@ -176,20 +176,20 @@
 
 // A peer that asks for updates no longer in the log gets the full contents instead.
 func TestRequestForOldUpdatesGetsFullContents(t *testing.T) {
-	h := newTestCacheFollower(t, "n0", &fakeEngine{})
-	h.rankEngines(h.chooseEngines(h.state.Snapshot()))
-	h.lastAsked = time.Now() // As if a peer had just asked.
+	f := newTestCacheFollower(t, "n0", &fakeEngine{})
+	f.rankEngines(f.chooseEngines(f.siteState.Snapshot()))
+	f.lastAsked = time.Now() // As if a peer had just asked.
 	for i := range 2 * maxLoggedUpdates {
-		h.apply(newCacheUpdate("e", i == 0, site.CacheChanges{Changes: []site.CacheChange{part(fmt.Sprint(i%7), 100)}}))
+		f.apply(newCacheUpdate("e", i == 0, site.CacheChanges{Changes: []site.CacheChange{part(fmt.Sprint(i%7), 100)}}))
 	}
 	ask := func(q cacheUpdatesRequest) cacheUpdatesAnswer {
 		text, err := json.Marshal(q)
 		assert.NilError(t, err)
-		a, err := h.serve(t.Context(), text)
+		a, err := f.serve(t.Context(), text)
 		assert.NilError(t, err)
 		return a.(cacheUpdatesAnswer)
 	}
-	for _, q := range []cacheUpdatesRequest{{}, {Epoch: h.updates.epoch, From: 5}, {Epoch: h.updates.epoch, From: 1 << 40}} {
+	for _, q := range []cacheUpdatesRequest{{}, {Epoch: f.updates.epoch, From: 5}, {Epoch: f.updates.epoch, From: 1 << 40}} {
 		q.Halls = []string{"h"}
 		a := ask(q)
 		assert.Equal(t, len(a.Updates), 1)
@@ -198,7 +198,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(c.Changes), 7)
 	}
-	a := ask(cacheUpdatesRequest{Epoch: h.updates.epoch, From: h.updates.next - 3, Halls: []string{"h"}})
+	a := ask(cacheUpdatesRequest{Epoch: f.updates.epoch, From: f.updates.next - 3, Halls: []string{"h"}})
 	assert.Equal(t, len(a.Updates), 3)
 	assert.Equal(t, len(ask(cacheUpdatesRequest{Halls: []string{"other"}}).Updates), 0)
 }
--- a/service/gateway/evacuations.go
+++ b/service/gateway/evacuations.go
@@ -106,8 +106,8 @@
 // out of use.
 const evacuationSteps = 8
 
-// evacuationRunning reports whether replicas of a data hall are just being taken out of
-// use, so that the pools have to be rebuilt. The caller holds mu.
+// evacuationRunning reports whether replicas of a data hall are being taken out of use,
+// so that the pools have to be rebuilt. The caller holds mu.
 func (st *SiteState) evacuationRunning(now time.Time) bool {
 	for _, e := range st.evacuated {
 		if e.ended.IsZero() && now.Sub(e.since) < st.evacuationTime+2*upstreamExpireInterval {
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -44,7 +44,7 @@
 
 	fingerprinted bool
 	content       site.Fingerprint // Valid if fingerprinted is set.
-	suspectRun    bool             // The attempt under way runs by a grant for suspect content.
+	suspectRun    bool             // The current attempt holds a grant to run suspect content.
 }
 
 // wholeAnswer is a replica's answer that has been read completely.
@@ -55,8 +55,8 @@
 
 // Cancellation causes of requests whose client connection has closed.
 var (
-	errClientLeft  = errors.New("the client has gone")
-	errNodeStopped = errors.New("the node has closed the connection at its stop")
+	errClientLeft  = errors.New("the client closed the connection")
+	errNodeStopped = errors.New("the node closed the connection because it stopped")
 )
 
 const (
@@ -237,11 +237,11 @@
 const (
 	// fullPause is how long a replica that was full is avoided.
 	fullPause = 60 * time.Millisecond
-	// weightsSwapPause is how long a replica is avoided that is probably swapping its
-	// weights.
+	// weightsSwapPause is how long a replica that is probably swapping its weights is
+	// avoided.
 	weightsSwapPause = 400 * time.Millisecond
-	// reusedAddressPause is how long a replica is avoided at whose address another one
-	// answers: its row in the list lasts up to three heartbeats, some seconds, after its
+	// reusedAddressPause is how long a replica is avoided after another one has answered
+	// at its address: its row in the list lasts up to three heartbeats, some seconds, after its
 	// end. At 0.4 s the retry budget was spent on it, and 24 large prompts a day were
 	// refused or failed; at 4 s it was 4 (engines that crash and restart, four seeds).
 	reusedAddressPause = 4 * time.Second
@@ -356,7 +356,7 @@
 	return retryLater(reasonNoReplica, retry)
 }
 
-// deliver passes a replica's answer to the client.
+// deliver passes a replica's answer on to the client.
 func (x *exchange) deliver(ctx context.Context, a *attempt) (bool, refusal) {
 	x.mayHaveRun++
 	if x.route.Streaming && a.head.Status == http.StatusOK {
--- a/service/gateway/exchange_needs.go
+++ b/service/gateway/exchange_pick.go
@@ -95,12 +95,12 @@
 }
 
 const (
-	// newWeightsPeriod is how long after new weights were named answers on older ones
-	// count nearly in full, and newWeightsStaleness their penalty until then.
+	// For newWeightsPeriod after new weights were named, replicas with older ones are
+	// penalized with the weight newWeightsStaleness, and after that with 1.
 	newWeightsPeriod    = time.Second
 	newWeightsStaleness = 0.3
-	// orderWindowMargin is how long before the time by which all replicas must have new
-	// weights requests are no longer sent to replicas with older ones.
+	// orderWindowMargin is taken off the time that replicas have to load new weights:
+	// this long before its end, requests stop going to replicas with older ones.
 	orderWindowMargin = 1200 * time.Millisecond
 )
 
--- a/service/gateway/exchange_suspects.go
+++ b/service/gateway/exchange_suspects.go
@@ -63,7 +63,7 @@
 }
 
 // awaitClearance waits until the request may be sent to a replica; ok is false if it is
-// refused. A request with suspect content needs a grant to run.
+// refused. A request with suspect content needs a grant.
 func (x *exchange) awaitClearance(ctx context.Context) (f refusal, ok bool) {
 	x.g.suspects.WaitLearned(ctx)
 	if f, blocked := x.refusalIfBlocked(); blocked {
@@ -80,7 +80,7 @@
 	return retryLater(reasonSuspected, suspectRetryAfter), false
 }
 
-// endSuspectRun ends an attempt. If it ran by a grant for suspect content and got no
+// endSuspectRun ends an attempt. If it held a grant for suspect content and got no
 // whole answer, it gives the grant back, so that the next attempt need not wait for it
 // to expire.
 func (x *exchange) endSuspectRun(finished bool) {
@@ -96,9 +96,9 @@
 }
 
 // recordLostRun records that the answer to an attempt was lost while the request may
-// have run. To find out whether the replica has ended, it dials a new connection;
-// failing that, other attempts and the platform's list tell. If the connection fell
-// silent, it does not dial, as that could take long.
+// have run. To find out whether the replica has ended, it dials a new connection. If
+// that is inconclusive, other attempts and the platform's list decide. If the connection
+// fell silent, it does not dial, as that could take long.
 func (x *exchange) recordLostRun(ctx context.Context, a *attempt, err error, now time.Time) {
 	u := &a.choice.Upstream
 	// The client left, the deadline passed, or the network path fell silent.
--- a/service/gateway/follow.go
+++ b/service/gateway/follow.go
@@ -34,8 +34,8 @@
 	batchDelay time.Duration
 	// apply applies rows; if whole is set, they are the whole table.
 	apply func(rows []site.Row, whole bool, now time.Time)
-	// onFailure is called after each failed call. That the store no longer has the
-	// changes is no failure.
+	// onFailure is called after each failed call. site.ErrHistoryGone does not count as a
+	// failure.
 	onFailure func(now time.Time)
 	// onAnswer is called after each call that succeeded, with the time when it was
 	// started, unless the machine was suspended meanwhile.
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// errStale means that the store answered with an older version than it did before.
-var errStale = errors.New("the store is behind what it has told before")
+// errStoreBehind means that the store answered with an older version than before.
+var errStoreBehind = errors.New("the store returned an older version than before")
 
 func (f *follower) list(ctx context.Context) error {
 	l, err := f.store.List(ctx, f.table)
@@ -140,7 +140,7 @@
 		return err
 	}
 	if l.Version < f.version {
-		return errStale
+		return errStoreBehind
 	}
 	f.apply(l.Rows, true, boottime.Now())
 	f.version, f.listed = l.Version, true
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -58,27 +58,27 @@
 
 // Gateway is one node.
 type Gateway struct {
-	settings   atomic.Pointer[config.GatewaySettings]
-	platform   Platform
-	codec      Codec
-	log        *slog.Logger
-	timer      *timer.Service
-	siteState  *SiteState
-	cacheIndex *route.CacheIndex
-	nodes      *nodes
-	peers      *peer.Server
-	client     *peer.Client
-	readers    *sharedReader
-	watchers   *storeEventRelay
-	stores     *kvStoreFollower
-	holdings   *engineCacheFollower
-	suspects   *suspects.Suspects
-	rateLimits *ratelimit.Limits
-	rollout    *rollout.Rollout
-	conns      *upstreamConns
-	clients    *clientConns
-	metrics    *metrics
-	clock      *replicaClock
+	settings     atomic.Pointer[config.GatewaySettings]
+	platform     Platform
+	codec        Codec
+	log          *slog.Logger
+	timer        *timer.Service
+	siteState    *SiteState
+	cacheIndex   *route.CacheIndex
+	nodes        *nodes
+	peers        *peer.Server
+	client       *peer.Client
+	tableReader  *sharedReader
+	storeEvents  *storeEventRelay
+	kvStores     *kvStoreFollower
+	engineCaches *engineCacheFollower
+	suspects     *suspects.Suspects
+	rateLimits   *ratelimit.Limits
+	rollout      *rollout.Rollout
+	conns        *upstreamConns
+	clients      *clientConns
+	metrics      *metrics
+	clock        *replicaClock
 
 	entry           net.Listener
 	readyServer     *auxServer
@@ -115,26 +115,26 @@
 		return nil, err
 	}
 	g = &Gateway{
-		platform:   p,
-		codec:      p.Codec,
-		log:        log,
-		timer:      built.Timer,
-		siteState:  built.SiteState,
-		cacheIndex: built.CacheIndex,
-		nodes:      built.Nodes,
-		peers:      built.Peers,
-		client:     built.Client,
-		readers:    built.Readers,
-		watchers:   built.Watchers,
-		stores:     built.Stores,
-		holdings:   built.Holdings,
-		suspects:   built.Suspects,
-		rateLimits: built.Limits,
-		rollout:    built.Rollout,
-		conns:      built.Conns,
-		clients:    built.Clients,
-		metrics:    built.Metrics,
-		clock:      built.Clock,
+		platform:     p,
+		codec:        p.Codec,
+		log:          log,
+		timer:        built.Timer,
+		siteState:    built.SiteState,
+		cacheIndex:   built.CacheIndex,
+		nodes:        built.Nodes,
+		peers:        built.Peers,
+		client:       built.Client,
+		tableReader:  built.TableReader,
+		storeEvents:  built.StoreEvents,
+		kvStores:     built.KVStores,
+		engineCaches: built.EngineCaches,
+		suspects:     built.Suspects,
+		rateLimits:   built.RateLimits,
+		rollout:      built.Rollout,
+		conns:        built.Conns,
+		clients:      built.Clients,
+		metrics:      built.Metrics,
+		clock:        built.Clock,
 
 		retryBudgets: map[string]*route.RetryShare{},
 		queues:       map[string]*route.PromptQueue{},
@@ -174,21 +174,21 @@
 	if g.metricsServer != nil {
 		g.metricsServer.start(g)
 	}
-	hold := g.conf().Platform.LongPollTimeout.Std()
+	longPoll := g.conf().Platform.LongPollTimeout.Std()
 	g.followers = []*follower{
 		{
-			store: g.readers, table: site.TableOperator, name: "operator", longPoll: hold, log: g.log,
+			store: g.tableReader, table: site.TableOperator, name: "operator", longPoll: longPoll, log: g.log,
 			apply:     g.siteState.ApplyOperator,
 			onFailure: func(time.Time) {},
-			onAnswer:  func(begun, _ time.Time) { g.suspension.recordAnswer(site.TableOperator, begun) },
+			onAnswer:  func(startedAt, _ time.Time) { g.suspension.recordAnswer(site.TableOperator, startedAt) },
 		},
 		{
-			store: g.readers, table: site.TableUpstreams, name: "upstreams", longPoll: hold, log: g.log,
+			store: g.tableReader, table: site.TableUpstreams, name: "upstreams", longPoll: longPoll, log: g.log,
 			apply: g.siteState.ApplyUpstreams, batchDelay: upstreamsBatchDelay,
 			onFailure: g.siteState.MarkStoreUnreachable,
-			onAnswer: func(begun, now time.Time) {
+			onAnswer: func(startedAt, now time.Time) {
 				g.siteState.MarkStoreSynced(now)
-				g.suspension.recordAnswer(site.TableUpstreams, begun)
+				g.suspension.recordAnswer(site.TableUpstreams, startedAt)
 			},
 		},
 	}
@@ -202,9 +202,9 @@
 	g.runEvery(seedProbeInterval, g.nodes.probeSeeds)
 	g.runEvery(connPruneInterval, func(context.Context) { g.conns.prune(boottime.Now()) })
 	g.runEvery(upstreamExpireInterval, func(context.Context) { g.siteState.Expire(boottime.Now()) })
-	g.runEvery(refreshInterval, g.stores.refresh)
-	g.runEvery(refreshInterval, g.holdings.refresh)
-	g.runEvery(freeInterval, g.stores.freeUnused)
+	g.runEvery(refreshInterval, g.kvStores.refresh)
+	g.runEvery(refreshInterval, g.engineCaches.refresh)
+	g.runEvery(freeInterval, g.kvStores.freeUnused)
 	g.runEvery(rollout.StepInterval, g.rollout.Step)
 	g.runEvery(refreshInterval, g.updateRetrySlack)
 	g.runEvery(suspects.StepInterval, g.suspects.Step)
@@ -267,8 +267,8 @@
 }
 
 // isolated reports whether the node may miss operators' changes: it reaches no other node
-// although it knows some, and has not heard from the store for longer than an evacuation
-// may take. If the store is down for every node, it accepts no changes either, and nodes
+// although it knows some, and has had no answer from the store for longer than an
+// evacuation may take. If the store is down for every node, it accepts no changes either, and nodes
 // that reach each other know all there is.
 func (g *Gateway) isolated(now time.Time) bool {
 	if len(g.nodes.members.All()) <= 1 || len(g.nodes.members.Working()) > 1 {
@@ -373,8 +373,8 @@
 	}
 	g.timer.Close()
 	g.rollout.Close()
-	g.stores.close()
-	g.holdings.close()
+	g.kvStores.close()
+	g.engineCaches.close()
 	g.readyServer.close()
 	g.directoryServer.close()
 	if g.metricsServer != nil {
--- a/service/gateway/large_configuration_test.go
+++ b/service/gateway/large_configuration_test.go
@@ -89,8 +89,8 @@
 //
 // One node of a hall read the store's row and sent it whole to each of the
 // others: 1.8 MB and 1.5 s on a narrow link with 4,240 routes, 2.4 MB and 1.9 s with
-// 5,640. A call to the reader ends 1.4 s after it was made, up to one of which it has
-// waited for the change, and a call to the store 1.7 s after, however much has arrived. A
+// 5,640. A call to the reader ends 1.4 s after it was made, of which it may have
+// waited up to 1 s for the change, and a call to the store 1.7 s after, however much has arrived. A
 // version that takes longer is requested again and again and never arrives; abandoned
 // transfers go on filling the link, so versions that would fit are late, too. In four runs
 // with 20 nodes the first version was in force everywhere after at most 0.8 s; the second
@@ -122,14 +122,14 @@
 
 // simulatedNode is the part of a node that keeps its configuration up to date.
 type simulatedNode struct {
-	member    control.Member
-	link      *link
-	server    *peer.Server
-	client    *peer.Client
-	store     Store
-	members   *control.Members
-	readers   *sharedReader
-	siteState *SiteState
+	member      control.Member
+	link        *link
+	server      *peer.Server
+	client      *peer.Client
+	store       Store
+	members     *control.Members
+	tableReader *sharedReader
+	siteState   *SiteState
 
 	mu      sync.Mutex
 	inForce map[int64]time.Time // Since when, by version.
@@ -189,8 +189,8 @@
 	}
 	n.store = platform.NewStore(h.links.connect(h.t, n.link, nil, h.store.Addr()))
 	n.members = control.NewMembers(n.member, time.Second, nil, rand.New(rand.NewPCG(1, 2)))
-	n.readers = newSharedReader(n.store, n.member, n.members, n.client, log)
-	server.Handle(peer.RolePeer, methodTableChanges, n.readers.serve)
+	n.tableReader = newSharedReader(n.store, n.member, n.members, n.client, log)
+	server.Handle(peer.RolePeer, methodTableChanges, n.tableReader.serve)
 	return n
 }
 
@@ -214,7 +214,7 @@
 	for _, n := range h.nodes {
 		list = append(list, n.member)
 	}
-	owner, ok := control.Owner(control.WithWidestLinks(list), readDuty+tableName(site.TableOperator))
+	owner, ok := control.Owner(control.WithWidestLinks(list), readerDuty+tableName(site.TableOperator))
 	assert.Assert(h.t, ok)
 	for _, n := range h.nodes {
 		if n.member.Name == owner.Name {
@@ -321,7 +321,7 @@
 // follower returns a follower of the operator's table.
 func (n *simulatedNode) follower() *follower {
 	return &follower{
-		store: n.readers, table: site.TableOperator, name: "operator", longPoll: longPollTimeout,
+		store: n.tableReader, table: site.TableOperator, name: "operator", longPoll: longPollTimeout,
 		apply: func(rows []site.Row, _ bool, now time.Time) {
 			n.siteState.ApplyOperator(rows, false, now)
 			n.recordInForce()
@@ -334,7 +334,7 @@
 
 // preload gives the node a configuration as if it had read it.
 func (n *simulatedNode) preload(f *follower, l site.Listing) {
-	n.readers.apply(changesRequest{Table: site.TableOperator, Whole: true}, l, true)
+	n.tableReader.apply(changesRequest{Table: site.TableOperator, Whole: true}, l, true)
 	f.apply(l.Rows, true, time.Now())
 	f.version, f.listed = l.Version, true
 }
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -12,8 +12,8 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// Nodes send each other the loads that they have in flight, so that each knows the total
-// load of a replica or a link without asking it.
+// Nodes send each other the loads that they have in flight, in datagrams called notes, so
+// that each knows the total load of a replica or a link without asking it.
 //
 // In a small data hall every node sends to every other as soon as it has dispatched a
 // prompt. In a large one it sends to one node, the speaker, which sends the sum to all.
@@ -40,7 +40,7 @@
 	// maxSumReplicas limits a sum to the busiest replicas: it must fit a datagram, and
 	// idle replicas need no mention.
 	maxSumReplicas = 400
-	// speakerDuty names the duty of sending a hall's sum.
+	// speakerDuty is the prefix of the duty of sending a hall's sum.
 	speakerDuty = "speak/"
 )
 
@@ -151,9 +151,9 @@
 // sendLoads sends this node's loads.
 func (n *nodes) sendLoads(peers []netip.AddrPort) {
 	loads := n.ownLoads()
-	s := n.newLoadNote()
-	s.Loads, s.Links = packLoads(loads), packTallies(n.cacheIndex.Tallies())
-	n.sendNote(peers, noteLoads, s)
+	note := n.newLoadNote()
+	note.Loads, note.Links = packLoads(loads), packTallies(n.cacheIndex.Tallies())
+	n.sendNote(peers, noteLoads, note)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loads.lastSent = loads
@@ -251,9 +251,9 @@
 		}
 	}
 	sum, links := n.sumHall(n.ownLoads(), newLinkTallies(n.cacheIndex.Tallies()))
-	s := n.newLoadNote()
-	s.Loads, s.Links = packLoads(busiest(sum, maxSumReplicas)), packTallies(links.list())
-	return n.sendNote(others, noteHallLoads, s)
+	note := n.newLoadNote()
+	note.Loads, note.Links = packLoads(busiest(sum, maxSumReplicas)), packTallies(links.list())
+	return n.sendNote(others, noteHallLoads, note)
 }
 
 // sumHall returns the loads of all nodes of this hall, this one's included, and their
--- a/service/gateway/loads_received.go
+++ b/service/gateway/loads_received.go
@@ -29,10 +29,10 @@
 	return r, err
 }
 
-// handleLoads takes in the loads of another node of this hall.
+// handleLoads records the loads of another node of this hall.
 func (n *nodes) handleLoads(params json.RawMessage) {
-	if _, s, old, ok := n.receiveLoads(params, n.loads.byNode, func(s *loadNote) string { return s.From }); ok {
-		added := s.talliesSince(old)
+	if _, r, old, ok := n.receiveLoads(params, n.loads.byNode, func(note *loadNote) string { return note.From }); ok {
+		added := r.talliesSince(old)
 		n.mu.Lock()
 		for store, t := range added {
 			n.loads.hallTallies[store] = n.loads.hallTallies[store].Plus(t)
@@ -42,37 +42,37 @@
 	}
 }
 
-// handleHallLoads takes in the sum of a hall. The speaker forwards the sums of other halls
-// in its own.
+// handleHallLoads records the sum of a hall. The speaker forwards the sums of other halls
+// within its own.
 func (n *nodes) handleHallLoads(params json.RawMessage) {
-	note, s, old, ok := n.receiveLoads(params, n.loads.byHall, func(s *loadNote) string { return s.Hall })
+	note, r, old, ok := n.receiveLoads(params, n.loads.byHall, func(note *loadNote) string { return note.Hall })
 	if !ok {
 		return
 	}
-	if s.hall == n.self.DataHall {
-		n.addPeerTallies(n.subtractOwn(s.talliesSince(old)))
+	if r.hall == n.self.DataHall {
+		n.addPeerTallies(n.subtractOwn(r.talliesSince(old)))
 		return
 	}
 	if n.speakers()[n.self.DataHall].Name == n.self.Name {
 		n.forwardHallLoads(note)
 	}
-	n.addPeerTallies(s.talliesSince(old))
+	n.addPeerTallies(r.talliesSince(old))
 }
 
 // forwardHallLoads sends the sum of another hall to the nodes of this one, unless the last
 // one still occupies the link. A skipped sum is covered by the next.
-func (n *nodes) forwardHallLoads(s loadNote) {
+func (n *nodes) forwardHallLoads(note loadNote) {
 	now := boottime.Now()
 	n.mu.Lock()
-	due := !now.Before(n.loads.nextForward[s.Hall])
+	due := !now.Before(n.loads.nextForward[note.Hall])
 	n.mu.Unlock()
 	if !due {
 		return
 	}
-	sent := n.sendNote(n.hallPeers(n.self.DataHall), noteHallLoads, s)
+	sent := n.sendNote(n.hallPeers(n.self.DataHall), noteHallLoads, note)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loads.nextForward[s.Hall] = now.Add(n.transmitTime(sent))
+	n.loads.nextForward[note.Hall] = now.Add(n.transmitTime(sent))
 }
 
 // subtractOwn removes this node's own part from the hall's link totals.
@@ -89,40 +89,40 @@
 
 // receiveLoads stores a note by its key and reports whether it is newer than the last one.
 // A note that can't be decoded is counted and dropped, and the last one stays.
-func (n *nodes) receiveLoads(params json.RawMessage, received map[string]receivedLoads, key func(*loadNote) string) (note loadNote, s, old receivedLoads, ok bool) {
+func (n *nodes) receiveLoads(params json.RawMessage, received map[string]receivedLoads, key func(*loadNote) string) (note loadNote, r, old receivedLoads, ok bool) {
 	now := boottime.Now()
 	err := json.Unmarshal(params, &note)
 	if err == nil {
-		s, err = decodeLoads(&note, now)
+		r, err = decodeLoads(&note, now)
 	}
 	if err != nil {
 		n.notesDropped.Add(1)
 		n.log.Debug("node state can't be decoded", "err", err)
-		return note, s, old, false
+		return note, r, old, false
 	}
 	if note.From == n.self.Name {
-		return note, s, old, false
+		return note, r, old, false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	old = received[key(&note)]
-	same := s.from == old.from && s.incarnation == old.incarnation
-	if same && s.seq <= old.seq && now.Sub(old.receivedAt) < loadExpiry {
-		return note, s, old, false
+	same := r.from == old.from && r.incarnation == old.incarnation
+	if same && r.seq <= old.seq && now.Sub(old.receivedAt) < loadExpiry {
+		return note, r, old, false
 	}
-	received[key(&note)] = s
+	received[key(&note)] = r
 	n.loads.changed = true
-	return note, s, old, true
+	return note, r, old, true
 }
 
 // talliesSince returns what was added to the link totals since an older note of the same
 // node.
-func (s *receivedLoads) talliesSince(old receivedLoads) linkTallies {
+func (r *receivedLoads) talliesSince(old receivedLoads) linkTallies {
 	added := linkTallies{}
-	if s.incarnation != old.incarnation || s.from != old.from {
+	if r.incarnation != old.incarnation || r.from != old.from {
 		return added
 	}
-	for store, t := range s.links {
+	for store, t := range r.links {
 		if d := t.Since(old.links[store]); !d.Empty() {
 			added[store] = d
 		}
@@ -171,12 +171,12 @@
 	n.loads.changed, n.loads.mergedAt = false, now
 	sum := map[route.NameHash]route.PeerLoad{}
 	for _, received := range []map[string]receivedLoads{n.loads.byNode, n.loads.byHall} {
-		for name, s := range received {
+		for name, r := range received {
 			switch {
-			case now.Sub(s.receivedAt) > loadExpiry:
+			case now.Sub(r.receivedAt) > loadExpiry:
 				delete(received, name)
-			case !n.ignoresHall(s.hall):
-				addLoads(sum, s.loads)
+			case !n.ignoresHall(r.hall):
+				addLoads(sum, r.loads)
 			}
 		}
 	}
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -48,7 +48,7 @@
 	self       control.Member
 	regions    map[string]string // By data hall.
 	coldShares *coldShares
-	// suspects gets the blocked requests that the nodes' table lists.
+	// suspects loads the blocked requests that the nodes' table also lists.
 	suspects     *suspects.Suspects
 	rateLimits   *ratelimit.Limits
 	members      *control.Members
@@ -65,12 +65,12 @@
 	mu              sync.Mutex
 	announced       bool
 	membersReadAt   time.Time
-	nextMembersRead time.Time        // The list of nodes is not read before.
+	nextMembersRead time.Time        // The list of nodes is not read before this.
 	unprobed        []netip.AddrPort // Known by address only, probed probeBatch at a time.
 	probeBatch      int
 	readFailedSince time.Time // Since when the list of nodes can't be read, zero if it can.
 	loads           loadState
-	pendingUpdates  []replicaUpdate // To be sent together.
+	pendingUpdates  []replicaUpdate // Sent together in the next batch.
 }
 
 // nodeRow is the row that a node writes so that nodes that start later find it.
@@ -131,7 +131,7 @@
 // readNodes writes this node's address and reads the others' rows.
 func (n *nodes) readNodes(ctx context.Context) (rows []site.Row, err error) {
 	if err := n.announce(ctx); err != nil {
-		return nil, eris.Wrap(err, "write the own address")
+		return nil, eris.Wrap(err, "write this node's address")
 	}
 	l, err := n.store.List(ctx, site.TableNodes)
 	return l.Rows, eris.Wrap(err, "read the nodes' addresses")
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// addSeeds takes in the rows of the nodes' table and begins to probe the nodes in it.
+// addSeeds loads the rows of the nodes' table and begins to probe the nodes in it.
 func (n *nodes) addSeeds(rows []site.Row) {
 	var unprobed []netip.AddrPort
 	for _, r := range rows {
@@ -185,7 +185,7 @@
 }
 
 // probeSeeds probes the next batch of nodes of which only the address is known; the timer
-// service calls it. Nodes that have been heard from meanwhile are left out: if all nodes
+// service calls it. Nodes that have contacted this one meanwhile are left out: if all nodes
 // start together, each pair exchanges one probe instead of two.
 func (n *nodes) probeSeeds(context.Context) {
 	n.mu.Lock()
--- a/service/gateway/packed_rows_test.go
+++ b/service/gateway/packed_rows_test.go
@@ -126,7 +126,8 @@
 	assert.Equal(t, len(f), 0)
 }
 
-// Packs and unpacks one answer by number of routes; the metric "told" is the packed size.
+// BenchmarkPackRows measures packing and unpacking one answer, by number of routes; the
+// metric "told" is the packed size.
 func BenchmarkPackRows(b *testing.B) {
 	for _, n := range []int{100, 1000, 5600, 20_000} {
 		for _, c := range []struct {
--- a/service/gateway/queue.go
+++ b/service/gateway/queue.go
@@ -22,8 +22,8 @@
 	// maxLateStartWaitShare at the prompt's deadline, so that it is served nevertheless.
 	lateStartWaitShare    = 0.1
 	maxLateStartWaitShare = 0.5
-	// queueTimeAfterStop is how long a prompt may wait once the node has been told to
-	// stop: one sent later might not finish within the grace period.
+	// queueTimeAfterStop is how long a prompt may wait once the node has begun to stop:
+	// one sent later might not finish within the grace period.
 	queueTimeAfterStop = time.Second
 	// minQueueRetryAfter is the least Retry-After of a full queue: a client that retries
 	// sooner would find the same queue.
@@ -154,8 +154,8 @@
 }
 
 // canStartSoon reports whether an engine is expected to start the prompt soon. It is
-// also true if there is no engine at all: the attempt then fails and the client is told
-// at once.
+// also true if there is no engine at all: the attempt then fails and the client gets the
+// refusal at once.
 func (x *exchange) canStartSoon(late bool, now time.Time) bool {
 	c, ok := x.pick(now)
 	share := startWaitShare
--- a/service/gateway/reader_serve.go
+++ b/service/gateway/reader_serve.go
@@ -12,7 +12,7 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// changesRequest are the parameters of methodTableChanges; Whole asks for the whole table.
+// changesRequest holds the parameters of methodTableChanges; Whole asks for the whole table.
 type changesRequest struct {
 	Table  site.Table `json:"table"`
 	After  int64      `json:"after"`
@@ -39,7 +39,7 @@
 	Rows    packedRows `json:"rows,omitzero"`
 	Version int64      `json:"version"`
 	AgeMS   int64      `json:"age_ms"`
-	// HistoryGone says that the changes since the requested version are not known here.
+	// HistoryGone says that this node does not have the changes since the requested version.
 	HistoryGone bool `json:"gone"`
 }
 
@@ -61,7 +61,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(boottime.Until(trustedUntil)): // The asking node is to try another one.
+		case <-time.After(boottime.Until(trustedUntil)): // The asking node tries another one.
 		case <-end:
 			answer, _, _, err = r.answer(q)
 			return answer, err
--- a/service/gateway/readers.go
+++ b/service/gateway/readers.go
@@ -24,12 +24,12 @@
 const (
 	// methodTableChanges asks a reader for changes of a table.
 	methodTableChanges = "gateway.table_changes"
-	// maxDirectNodes is the number of nodes up to which each does for itself what one could do
-	// for all: the savings are not worth the additional failures then. For reading tables it
-	// counts all nodes, else those of a hall.
+	// maxDirectNodes is the number of nodes up to which none works on behalf of the others:
+	// so few calls are saved that the additional ways to fail are not worth it. For reading
+	// tables all nodes count, otherwise those of a hall.
 	maxDirectNodes = 4
-	// readDuty is the prefix of the duty of reading a table.
-	readDuty = "read/"
+	// readerDuty is the prefix of the duty of reading a table.
+	readerDuty = "read/"
 	// readersPerTable is how many readers are tried in turn. With only one, its loss sent each
 	// node of its hall to the store, where a configuration of 2.5 MB takes a link of 10 Mbit/s
 	// two seconds.
@@ -61,12 +61,12 @@
 	// refreshTimeout limits how long a node whose copy is stale may take to read the store
 	// when it is asked.
 	refreshTimeout = time.Second
-	// readerSkipTerm is how long a node does not ask a reader that has failed.
+	// readerSkipTerm is how long a node stops asking a reader that has failed.
 	readerSkipTerm = 3 * time.Second
 )
 
 // errReaderBehind says that a reader's copy of a table is missing or too old.
-var errReaderBehind = errors.New("the reader has not heard from the store lately")
+var errReaderBehind = errors.New("the reader's copy of the table is missing or too old")
 
 // sharedReader reads the store's tables through other nodes where possible; its List and
 // Changes have the store's semantics.
@@ -122,7 +122,7 @@
 		return p
 	}
 	for _, t := range []site.Table{site.TableOperator, site.TableUpstreams} {
-		p.owners[t] = control.Owners(r.readerCandidates(view), readDuty+tableName(t), readersPerTable)
+		p.owners[t] = control.Owners(r.readerCandidates(view), readerDuty+tableName(t), readersPerTable)
 	}
 	return p
 }
@@ -224,20 +224,20 @@
 	return q
 }
 
-// read asks the readers in turn, and then the store. Only the first call is a long poll: if it
-// fails, an answer is due at once.
+// read asks the readers in turn, and then the store. Only the first call is a long poll: after
+// a failure the next answer must come at once.
 func (r *sharedReader) read(ctx context.Context, q changesRequest, wait time.Duration) (l site.Listing, err error) {
 	for range readersPerTable {
 		addr, ok := r.reader(q.Table)
 		if !ok {
 			break
 		}
-		begun := boottime.Now()
+		startedAt := boottime.Now()
 		l, err = r.askNode(ctx, addr, q)
 		if err == nil || errors.Is(err, site.ErrHistoryGone) || ctx.Err() != nil {
 			return l, err
 		}
-		r.skipReader(q.Table, addr, begun, err)
+		r.skipReader(q.Table, addr, startedAt, err)
 		q.WaitMS = 0
 	}
 	return r.readStoreOrPeer(ctx, q, func(ctx context.Context) (site.Listing, error) { return r.readStore(ctx, q, wait) })
@@ -246,7 +246,7 @@
 // readStore reads the store itself.
 func (r *sharedReader) readStore(ctx context.Context, q changesRequest, wait time.Duration) (l site.Listing, err error) {
 	before := boottime.Refresh()
-	begun := boottime.Now()
+	startedAt := boottime.Now()
 	if r.storeUnreachable(q.Table) {
 		wait = 0
 	}
@@ -259,19 +259,19 @@
 	}
 	if err != nil {
 		if !errors.Is(err, site.ErrHistoryGone) {
-			r.noteStoreCallFailed(q.Table)
+			r.recordStoreCallFailed(q.Table)
 		}
 		return l, err
 	}
 	// The response may have arrived before the machine was suspended; then it is not recent.
 	r.apply(q, l, boottime.Refresh()-before < minSuspension)
-	r.logRows(q, l, sourceStore, begun)
+	r.logRows(q, l, sourceStore, startedAt)
 	return l, nil
 }
 
-// noteStoreCallFailed records that this node's own call failed, before the requests that wait
+// recordStoreCallFailed records that this node's own call failed, before the requests that wait
 // for it continue.
-func (r *sharedReader) noteStoreCallFailed(t site.Table) {
+func (r *sharedReader) recordStoreCallFailed(t site.Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table(t).storeFailedAt = boottime.Now()
@@ -299,7 +299,7 @@
 const sourceStore = "store"
 
 // logRows logs received rows of the operator's table, which changes seldom and may be large.
-func (r *sharedReader) logRows(q changesRequest, l site.Listing, source string, begun time.Time) {
+func (r *sharedReader) logRows(q changesRequest, l site.Listing, source string, startedAt time.Time) {
 	if q.Table != site.TableOperator || len(l.Rows) == 0 {
 		return
 	}
@@ -308,12 +308,12 @@
 		size += len(row.Value)
 	}
 	r.log.Info("operator rows received", "version", l.Version, "rows", len(l.Rows),
-		"bytes", size, "by", source, "after", boottime.Since(begun))
+		"bytes", size, "by", source, "after", boottime.Since(startedAt))
 }
 
-// skipReader keeps a reader that failed with err from being asked for a while.
-func (r *sharedReader) skipReader(t site.Table, addr netip.AddrPort, begun time.Time, err error) {
-	r.log.Warn("table read through peer failed", "table", tableName(t), "peer", addr, "after", boottime.Since(begun), "err", err)
+// skipReader stops asking a reader that failed with err, for readerSkipTerm.
+func (r *sharedReader) skipReader(t site.Table, addr netip.AddrPort, startedAt time.Time, err error) {
+	r.log.Warn("table read through peer failed", "table", tableName(t), "peer", addr, "after", boottime.Since(startedAt), "err", err)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.skippedUntil[addr] = boottime.Now().Add(readerSkipTerm)
@@ -321,7 +321,7 @@
 
 func (r *sharedReader) askNode(ctx context.Context, addr netip.AddrPort, q changesRequest) (l site.Listing, err error) {
 	defer func() { err = eris.Wrap(err, "ask reader") }()
-	begun := boottime.Now()
+	startedAt := boottime.Now()
 	var answer changesAnswer
 	timeout := time.Duration(q.WaitMS)*time.Millisecond + answerSlack
 	if q.WaitMS == 0 {
@@ -346,6 +346,6 @@
 	}
 	l = site.Listing{Rows: rows, Version: answer.Version}
 	r.apply(q, l, false)
-	r.logRows(q, l, addr.String(), begun)
+	r.logRows(q, l, addr.String(), startedAt)
 	return l, nil
 }
--- a/service/gateway/readers_bench_test.go
+++ b/service/gateway/readers_bench_test.go
@@ -17,8 +17,8 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// Measures passing one changed configuration from a reader to one node, by number of routes:
-// CPU time of both ends, and bytes on the link.
+// BenchmarkRelayConfiguration measures passing one changed configuration from a reader to one
+// node, by number of routes: CPU time of both ends, and bytes on the link.
 func BenchmarkRelayConfiguration(b *testing.B) {
 	for _, n := range []int{100, 1000, 5600, 20_000} {
 		values := [2][]byte{newConfigurationValue(b, n), newConfigurationValue(b, n+1)}
--- a/service/gateway/readers_test.go
+++ b/service/gateway/readers_test.go
@@ -105,7 +105,7 @@
 	for i := range maxDirectNodes + 2 {
 		list = append(list, control.Member{Name: fmt.Sprintf("n%d", i), DataHall: "h", Peer: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+i)), Incarnation: 1})
 	}
-	owner, ok := control.Owner(list, readDuty+tableName(site.TableUpstreams))
+	owner, ok := control.Owner(list, readerDuty+tableName(site.TableUpstreams))
 	assert.Assert(t, ok)
 	asker := control.Member{}
 	for i := range list {
@@ -146,7 +146,7 @@
 	clear(h.asker.skippedUntil)
 }
 
-// skipReader keeps the asker from asking its hall's reader.
+// skipReader makes the asker skip its hall's reader.
 func (h *testHall) skipReader() {
 	h.asker.skipReader(site.TableUpstreams, h.proxy.Addr(), time.Now(), errReaderBehind)
 }
@@ -204,25 +204,25 @@
 	assert.Equal(t, h.store.count(), before+1, "and for a while after that")
 }
 
-// A node that is asked while its copy is stale, as another was the reader until now, reads the
-// store once for all askers.
+// A node that becomes the reader has a stale copy when it is first asked. It reads the store
+// once for all askers.
 func TestStaleReaderReadsStoreOnceForAllAskers(t *testing.T) {
 	h := newTestHall(t)
 	h.store.add("a")
 	h.readStore(t)
 	h.makeReaderStale()
 	h.store.add("b")
-	h.readOnceForAll(t, 1)
+	h.checkReadOnceForAll(t, 1)
 	h.makeReaderStale()
 	h.store.add("c")
 	h.store.mu.Lock()
 	h.store.historyStart = h.store.version
 	h.store.mu.Unlock()
-	h.readOnceForAll(t, 2) // A call for the changes, and one for the whole table.
+	h.checkReadOnceForAll(t, 2) // A call for the changes, and one for the whole table.
 }
 
-// readOnceForAll reads the table 8 times at once, and checks the number of calls to the store.
-func (h *testHall) readOnceForAll(t *testing.T, calls int) {
+// checkReadOnceForAll reads the table 8 times at once, and checks the number of calls to the store.
+func (h *testHall) checkReadOnceForAll(t *testing.T, calls int) {
 	t.Helper()
 	before := h.store.count()
 	var wg sync.WaitGroup
@@ -338,7 +338,7 @@
 
 // A node that received a change from a peer passes it on after it goes back to reading the
 // store, which does not report it again. Found by the soak, seed 129.
-func TestChangesHeardFromPeersArePassedOn(t *testing.T) {
+func TestChangesReceivedFromPeersArePassedOn(t *testing.T) {
 	h := newTestHall(t)
 	h.store.add("a")
 	h.readStore(t)
@@ -403,7 +403,7 @@
 	h.asker.store = failing
 	var logged bytes.Buffer
 	h.asker.log = slog.New(slog.NewTextHandler(&logged, nil))
-	h.skipReader() // Its hall's reader has failed it.
+	h.skipReader() // As if its hall's reader had failed.
 	others := func() {
 		// All other members of the hall get the address of the one real node.
 		var list []control.Member
@@ -477,9 +477,9 @@
 	assert.Equal(t, n.speakers()["h"].Name, wide.Name)
 	for i := range 8 {
 		store := &site.Service{Name: fmt.Sprint("s", i), Store: &site.Store{MaxWatches: 4}}
-		watcher, ok := newStoreEventRelay(nil, self, m, nil).relayFor(store)
+		relay, ok := newStoreEventRelay(nil, self, m, nil).relayFor(store)
 		assert.Assert(t, ok)
-		assert.Equal(t, watcher, wide.Peer)
+		assert.Equal(t, relay, wide.Peer)
 	}
 	wide.State = control.MemberDead
 	m.Merge([]control.Member{wide}, time.Now())
@@ -487,11 +487,11 @@
 }
 
 func TestRelayServesRecordedEvents(t *testing.T) {
-	w := newStoreEventRelay(nil, control.Member{}, nil, nil)
+	r := newStoreEventRelay(nil, control.Member{}, nil, nil)
 	ask := func(boot, since int64) (site.CacheChanges, error) {
 		params, err := json.Marshal(eventsRequest{Store: "s", Boot: boot, Since: since, WaitMS: 1})
 		assert.NilError(t, err)
-		a, err := w.serve(t.Context(), params)
+		a, err := r.serve(t.Context(), params)
 		if err != nil {
 			return site.CacheChanges{}, err
 		}
@@ -502,8 +502,8 @@
 	batch := func(boot, next int64, part string) site.CacheChanges {
 		return site.CacheChanges{Boot: boot, Next: next, Changes: []site.CacheChange{{Realm: "r", Part: part, Tokens: 1}}}
 	}
-	w.record("s", 0, batch(1, 10, "a"))
-	w.record("s", 10, batch(1, 20, "b"))
+	r.record("s", 0, batch(1, 10, "a"))
+	r.record("s", 10, batch(1, 20, "b"))
 	c, err := ask(0, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(c.Changes), 2)
@@ -512,19 +512,19 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(c.Changes), 1)
 	assert.Equal(t, c.Changes[0].Part, "b")
-	w.record("s", 20, batch(2, 5, "c")) // The store has restarted.
+	r.record("s", 20, batch(2, 5, "c")) // The store has restarted.
 	c, err = ask(1, 20)
 	assert.NilError(t, err)
 	assert.Equal(t, c.Boot, int64(2))
 	assert.Equal(t, len(c.Changes), 1)
-	w.mu.Lock()
-	w.markLost("s")
-	w.mu.Unlock()
+	r.mu.Lock()
+	r.markLost("s")
+	r.mu.Unlock()
 	_, err = ask(2, 5)
 	assert.ErrorIs(t, err, errNotFollowed, "the events of a lost store are not served")
 }
 
-// cutOffLimit is the time within which a node has to hear of a change though its reader is cut
+// cutOffLimit is the time within which a node must receive a change though its reader is cut
 // off, or all its readers are frozen: a site of a few nodes has a change in force within 2 s.
 // slowReceiveLimit is the same while a reader receives a response slowly, which takes links as
 // narrow and configurations as large as larger sites have; the rest of inForceWithin is for
@@ -534,14 +534,14 @@
 	slowReceiveLimit = 2600 * time.Millisecond
 )
 
-// timeToHear returns how long the asker takes to hear of a change that the store already has.
-func (h *testHall) timeToHear(t *testing.T, after int64) time.Duration {
+// timeToReceive returns how long the asker takes to receive a change that the store already has.
+func (h *testHall) timeToReceive(t *testing.T, after int64) time.Duration {
 	t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	for {
 		l, err := h.asker.Changes(t.Context(), site.TableUpstreams, after, longPollTimeout)
 		if err == nil && len(l.Rows) > 0 {
-			return time.Since(begun)
+			return time.Since(startedAt)
 		}
 	}
 }
@@ -585,8 +585,8 @@
 	}()
 	time.Sleep(20 * time.Millisecond) // The first call is in flight.
 	h.store.add("b")
-	took := h.timeToHear(t, 1)
-	t.Logf("heard after %v", took)
+	took := h.timeToReceive(t, 1)
+	t.Logf("received after %v", took)
 	assert.Assert(t, took < cutOffLimit, "%v", took)
 }
 
@@ -616,8 +616,8 @@
 	}()
 	time.Sleep(50 * time.Millisecond) // The call is in flight.
 	h.store.add("b")
-	took := h.timeToHear(t, 1)
-	t.Logf("heard after %v", took)
+	took := h.timeToReceive(t, 1)
+	t.Logf("received after %v", took)
 	assert.Assert(t, took < slowReceiveLimit, "%v", took)
 }
 
@@ -671,18 +671,18 @@
 			read(2)
 		}
 	})
-	begun := time.Now()
+	startedAt := time.Now()
 	wg.Go(func() { f.run(ctx) })
 	select {
 	case n := <-got:
-		took := time.Since(begun)
+		took := time.Since(startedAt)
 		t.Logf("came after %v, %d bytes over the link", took, link.received.Load())
 		assert.Equal(t, n, size)
 		assert.Assert(t, took < inForceWithin, "%v", took)
 		assert.Assert(t, link.received.Load() > size, "the answer came from the reader")
 		assert.Assert(t, link.received.Load() < 2*size, "it was sent once: %d bytes", link.received.Load())
 	case <-time.After(2 * inForceWithin):
-		t.Fatalf("not within %v: %d bytes over the link", time.Since(begun), link.received.Load())
+		t.Fatalf("not within %v: %d bytes over the link", time.Since(startedAt), link.received.Load())
 	}
 }
 
@@ -725,8 +725,8 @@
 	}
 	link.frozen.Store(true)
 	h.store.add("b")
-	took := h.timeToHear(t, 1)
-	t.Logf("heard after %v", took)
+	took := h.timeToReceive(t, 1)
+	t.Logf("received after %v", took)
 	assert.Assert(t, took < cutOffLimit, "%v", took)
 }
 
@@ -752,20 +752,20 @@
 		}
 		wg.Wait()
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	// On a busy machine the nodes may take longer than the pause to ask.
-	maxCalls := func() int { return 1 + int(time.Since(begun)/refreshPause) }
+	maxCalls := func() int { return 1 + int(time.Since(startedAt)/refreshPause) }
 	askAll()
-	assert.Assert(t, failing.count() <= maxCalls(), "%d calls in %v", failing.count(), time.Since(begun))
+	assert.Assert(t, failing.count() <= maxCalls(), "%d calls in %v", failing.count(), time.Since(startedAt))
 	time.Sleep(refreshPause)
 	before := failing.count()
 	askAll()
 	assert.Assert(t, failing.count() > before, "it is tried again")
-	assert.Assert(t, failing.count() <= maxCalls(), "%d calls in %v", failing.count(), time.Since(begun))
+	assert.Assert(t, failing.count() <= maxCalls(), "%d calls in %v", failing.count(), time.Since(startedAt))
 }
 
 // A row was missing from the whole table that a node served, until it changed again. The node
-// had heard of the row's change before it applied a whole table that was read earlier: the
+// had received the row's change before it applied a whole table that was read earlier: the
 // older row was skipped without carrying the newer one over.
 func TestWholeTableKeepsNewerRow(t *testing.T) {
 	h := newTestHall(t)
@@ -833,8 +833,8 @@
 	}()
 	<-started
 	cancel()
-	begun := time.Now()
+	startedAt := time.Now()
 	<-done
-	t.Logf("ended after %v", time.Since(begun))
-	assert.Assert(t, time.Since(begun) < limit, "%v", time.Since(begun))
+	t.Logf("ended after %v", time.Since(startedAt))
+	assert.Assert(t, time.Since(startedAt) < limit, "%v", time.Since(startedAt))
 }
--- a/service/gateway/replica_updates.go
+++ b/service/gateway/replica_updates.go
@@ -26,7 +26,7 @@
 	updateBatchDelay = 30 * time.Millisecond
 	// maxUpdatesPerNote limits the updates in one datagram; each takes some 60 bytes.
 	maxUpdatesPerNote = 200
-	// updateRelayDuty names the duty of relaying updates in a hall.
+	// updateRelayDuty is the prefix of the duty of relaying updates in a hall.
 	updateRelayDuty = "news/"
 )
 
--- a/service/gateway/silence_test.go
+++ b/service/gateway/silence_test.go
@@ -47,18 +47,18 @@
 // answered on a new one, plus 3 s for a busy machine.
 const maxCallTime = cachePollWait + answerSlack + cachePollRetry + 3*time.Second
 
-// What engines hold is sent over one connection between two nodes. After it had gone
-// silent, the receiving node had no data about the data hall's engines for good.
-func TestHoldingsResumeAfterConnectionGoesSilent(t *testing.T) {
+// Engine cache updates are sent over one connection between two nodes. After it had gone
+// silent, the receiving node never learned the contents of the data hall's engines again.
+func TestEngineCacheUpdatesResumeAfterConnectionGoesSilent(t *testing.T) {
 	forEachSilentDirection(t, func(t *testing.T, silence func(*netproxy.Proxy)) {
 		e := &fakeEngine{}
 		e.add(part("a", 100))
 		source := newTestCacheFollower(t, "n0", e)
 		p := serveBehindProxy(t, methodCacheUpdates, source.serve)
-		subscriber := holdingsSubscriber(t, p.Addr())
+		subscriber := newCacheUpdateSubscriber(t, p.Addr())
 		source.refresh(t.Context())
 		subscriber.refresh(t.Context())
-		eventually(t, "holdings are passed on", func() bool { return subscriber.holds("a") })
+		eventually(t, "cached parts are passed on", func() bool { return subscriber.holds("a") })
 		silence(p)
 		started := time.Now()
 		e.add(part("b", 100))
@@ -67,9 +67,9 @@
 	})
 }
 
-// holdingsSubscriber returns a node that receives what engines hold from the node at
+// newCacheUpdateSubscriber returns a node that receives engine cache updates from the node at
 // addr.
-func holdingsSubscriber(t *testing.T, addr netip.AddrPort) *engineCacheFollower {
+func newCacheUpdateSubscriber(t *testing.T, addr netip.AddrPort) *engineCacheFollower {
 	for i := range 20 { // Find a name with which the node's source is not itself.
 		owner := control.Member{Name: "n0", DataHall: "h", State: control.MemberAlive, Peer: addr, Incarnation: 1}
 		subscriber := newTestCacheFollower(t, fmt.Sprintf("told%d", i), nil, owner)
--- a/service/gateway/site_state.go
+++ b/service/gateway/site_state.go
@@ -78,12 +78,12 @@
 }
 
 // NewSiteState returns an empty site state.
-func NewSiteState(c Codec, hall string, returnTime time.Duration, k *route.CacheIndex, log *slog.Logger) *SiteState {
+func NewSiteState(codec Codec, hall string, returnTime time.Duration, cacheIndex *route.CacheIndex, log *slog.Logger) *SiteState {
 	return &SiteState{
-		codec:      c,
+		codec:      codec,
 		hall:       hall,
 		returnTime: returnTime,
-		cacheIndex: k,
+		cacheIndex: cacheIndex,
 		log:        log,
 		weights:    map[string]modelWeights{},
 		upstreams:  map[string]*upstreamEntry{},
@@ -397,8 +397,8 @@
 }
 
 // drop removes an upstream whose row is gone: at once, unless the store was unreachable
-// shortly before. Then the row may have expired for want of a heartbeat, and the upstream
-// gets time to return.
+// shortly before. Then the row may have expired only because heartbeats could not be
+// written, and the upstream gets time to return.
 func (st *SiteState) drop(id string, now time.Time) {
 	e, known := st.upstreams[id]
 	if !known || !e.missingSince.IsZero() {
--- a/service/gateway/store_events.go
+++ b/service/gateway/store_events.go
@@ -26,8 +26,8 @@
 	// stores was 18.0 s instead of 22.4 s in one simulated day, and 22.0 s instead of 24.1 s
 	// in another, one run each.
 	methodEventsOfStores = "gateway.events_of"
-	// watchDuty is the prefix of the duty of following a store for a hall.
-	watchDuty = "watch/"
+	// storeRelayDuty is the prefix of the duty of following a store for a hall.
+	storeRelayDuty = "watch/"
 	// spareWatches are the concurrent calls of a store that are left for nodes that start or
 	// take over. Relayed events arrive later, so each node follows the stores itself as long
 	// as that fits.
@@ -36,7 +36,7 @@
 	maxKeptBatches = 512
 )
 
-// eventsRequest are the parameters of methodStoreEvents.
+// eventsRequest holds the parameters of methodStoreEvents.
 type eventsRequest struct {
 	Store  string `json:"store"`
 	Boot   int64  `json:"boot"`
@@ -72,38 +72,38 @@
 
 // relayFor is the node that follows a store for this hall; ok is false if this node follows it
 // itself.
-func (w *storeEventRelay) relayFor(v *site.Service) (addr netip.AddrPort, ok bool) {
-	if n := len(w.members.Working()); v.Store.MaxWatches <= 0 || n <= v.Store.MaxWatches-spareWatches {
+func (r *storeEventRelay) relayFor(v *site.Service) (addr netip.AddrPort, ok bool) {
+	if n := len(r.members.Working()); v.Store.MaxWatches <= 0 || n <= v.Store.MaxWatches-spareWatches {
 		return addr, false
 	}
-	owner, found := control.Owner(control.WithWidestLinks(hallMembers(w.members, w.self.DataHall)), watchDuty+v.Name)
-	return owner.Peer, found && owner.Name != w.self.Name
+	owner, found := control.Owner(control.WithWidestLinks(hallMembers(r.members, r.self.DataHall)), storeRelayDuty+v.Name)
+	return owner.Peer, found && owner.Name != r.self.Name
 }
 
 // changes waits for a store's events after position since of its start boot.
-func (w *storeEventRelay) changes(ctx context.Context, v *site.Service, boot, since int64, wait time.Duration) (c site.CacheChanges, err error) {
-	if addr, ok := w.relayFor(v); ok {
+func (r *storeEventRelay) changes(ctx context.Context, v *site.Service, boot, since int64, wait time.Duration) (c site.CacheChanges, err error) {
+	if addr, ok := r.relayFor(v); ok {
 		q := eventsRequest{Store: v.Name, Boot: boot, Since: since, WaitMS: wait.Milliseconds()}
-		err = w.client.CallWithin(ctx, wait+answerSlack, addr, methodStoreEvents, q, &c)
+		err = r.client.CallWithin(ctx, wait+answerSlack, addr, methodStoreEvents, q, &c)
 		return c, eris.Wrap(err, "ask store event relay")
 	}
-	c, err = w.engines.Changes(ctx, v.Store.Addr, since, wait)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	c, err = r.engines.Changes(ctx, v.Store.Addr, since, wait)
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if err != nil {
-		w.markLost(v.Name)
+		r.markLost(v.Name)
 		return c, err
 	}
-	w.record(v.Name, since, c)
+	r.record(v.Name, since, c)
 	return c, nil
 }
 
 // record adds an answer of the store to the events kept for other nodes; the caller holds mu.
-func (w *storeEventRelay) record(name string, since int64, c site.CacheChanges) {
-	s := w.stores[name]
+func (r *storeEventRelay) record(name string, since int64, c site.CacheChanges) {
+	s := r.stores[name]
 	if s == nil {
 		s = &relayedStore{changed: make(chan struct{})}
-		w.stores[name] = s
+		r.stores[name] = s
 	}
 	last := len(s.batches) - 1
 	if last < 0 || s.batches[last].Boot != c.Boot || s.batches[last].Next != since || c.Lost {
@@ -125,8 +125,8 @@
 }
 
 // markLost records that a store can't be reached; the caller holds mu.
-func (w *storeEventRelay) markLost(name string) {
-	if s := w.stores[name]; s != nil {
+func (r *storeEventRelay) markLost(name string) {
+	if s := r.stores[name]; s != nil {
 		s.lost = true
 		close(s.changed)
 		s.changed = make(chan struct{})
@@ -134,14 +134,14 @@
 }
 
 // serve handles methodStoreEvents.
-func (w *storeEventRelay) serve(ctx context.Context, params json.RawMessage) (any, error) {
+func (r *storeEventRelay) serve(ctx context.Context, params json.RawMessage) (any, error) {
 	var q eventsRequest
 	if err := json.Unmarshal(params, &q); err != nil {
 		return nil, eris.Wrap(err, "bad parameters")
 	}
 	end := time.After(min(eventPollWait, time.Duration(q.WaitMS)*time.Millisecond))
 	for {
-		c, changed, err := w.since(q)
+		c, changed, err := r.since(q)
 		if err != nil {
 			return nil, err
 		}
@@ -166,11 +166,11 @@
 
 // pollSeveral asks a relay for the events of several stores; the results are in the same
 // order. A relay of the previous version only knows the call for one store.
-func (w *storeEventRelay) pollSeveral(ctx context.Context, addr netip.AddrPort, requests []eventsRequest) (results []storeEventsResult, err error) {
+func (r *storeEventRelay) pollSeveral(ctx context.Context, addr netip.AddrPort, requests []eventsRequest) (results []storeEventsResult, err error) {
 	defer func() { err = eris.Wrap(err, "ask store event relay") }()
-	err = w.client.CallWithin(ctx, refreshTimeout, addr, methodEventsOfStores, requests, &results)
+	err = r.client.CallWithin(ctx, refreshTimeout, addr, methodEventsOfStores, requests, &results)
 	if peer.UnknownMethod(err) {
-		return w.pollOneByOne(ctx, addr, requests)
+		return r.pollOneByOne(ctx, addr, requests)
 	}
 	if err == nil && len(results) != len(requests) {
 		return nil, eris.Errorf("relay answered for %d of %d stores", len(results), len(requests))
@@ -178,11 +178,11 @@
 	return results, err
 }
 
-func (w *storeEventRelay) pollOneByOne(ctx context.Context, addr netip.AddrPort, requests []eventsRequest) ([]storeEventsResult, error) {
+func (r *storeEventRelay) pollOneByOne(ctx context.Context, addr netip.AddrPort, requests []eventsRequest) ([]storeEventsResult, error) {
 	results := make([]storeEventsResult, len(requests))
 	for i, q := range requests {
 		q.WaitMS = 0
-		if err := w.client.CallWithin(ctx, refreshTimeout, addr, methodStoreEvents, q, &results[i].Changes); err != nil {
+		if err := r.client.CallWithin(ctx, refreshTimeout, addr, methodStoreEvents, q, &results[i].Changes); err != nil {
 			results[i].Err = err.Error()
 		}
 	}
@@ -191,14 +191,14 @@
 
 // serveSeveral handles methodEventsOfStores. It doesn't wait for events: callers poll again
 // soon.
-func (w *storeEventRelay) serveSeveral(_ context.Context, params json.RawMessage) (any, error) {
+func (r *storeEventRelay) serveSeveral(_ context.Context, params json.RawMessage) (any, error) {
 	var requests []eventsRequest
 	if err := json.Unmarshal(params, &requests); err != nil {
 		return nil, eris.Wrap(err, "bad parameters")
 	}
 	results := make([]storeEventsResult, len(requests))
 	for i, q := range requests {
-		c, _, err := w.since(q)
+		c, _, err := r.since(q)
 		if err != nil {
 			results[i].Err = err.Error()
 			continue
@@ -210,10 +210,10 @@
 
 // since returns the kept events after a position; Lost is set if the kept events don't reach
 // back that far.
-func (w *storeEventRelay) since(req eventsRequest) (c site.CacheChanges, changed chan struct{}, err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.stores[req.Store]
+func (r *storeEventRelay) since(req eventsRequest) (c site.CacheChanges, changed chan struct{}, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s := r.stores[req.Store]
 	if s == nil || s.lost || len(s.batches) == 0 {
 		return c, nil, errNotFollowed
 	}
--- a/service/gateway/store_outage.go
+++ b/service/gateway/store_outage.go
@@ -19,7 +19,7 @@
 	// storeRetryInterval is how long peers are asked before the store is tried again.
 	storeRetryInterval = 2 * time.Second
 	// storeRetryTimeout limits a call that tests whether the store is reachable again; the
-	// node hears nothing during the call.
+	// node receives no changes during the call.
 	storeRetryTimeout = 400 * time.Millisecond
 	// outageMaxAge is the age from which a peer's copy of a table is not used: the peer's long
 	// poll of the store should have ended before.
@@ -34,7 +34,7 @@
 	logged     bool
 }
 
-// readsFromPeers reports whether peers are to be asked for a table before the store.
+// readsFromPeers reports whether peers are asked for a table before the store.
 func (r *sharedReader) readsFromPeers(t site.Table) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,8 +48,8 @@
 	return !r.outages[t].since.IsZero()
 }
 
-// noteStoreUnreachable records that a call to the store failed.
-func (r *sharedReader) noteStoreUnreachable(t site.Table) {
+// recordStoreUnreachable records that a call to the store failed.
+func (r *sharedReader) recordStoreUnreachable(t site.Table) {
 	now := boottime.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,8 +75,8 @@
 	}
 }
 
-// noteStoreReached ends the outage of a table.
-func (r *sharedReader) noteStoreReached(t site.Table) {
+// recordStoreReached ends the outage of a table.
+func (r *sharedReader) recordStoreReached(t site.Table) {
 	r.mu.Lock()
 	o := r.outages[t]
 	delete(r.outages, t)
@@ -94,13 +94,13 @@
 		}
 	}
 	if l, err = r.callStore(ctx, q.Table, read); err == nil || errors.Is(err, site.ErrHistoryGone) {
-		r.noteStoreReached(q.Table)
+		r.recordStoreReached(q.Table)
 		return l, err
 	}
 	if ctx.Err() != nil {
 		return l, err
 	}
-	r.noteStoreUnreachable(q.Table)
+	r.recordStoreUnreachable(q.Table)
 	fromPeer, peerErr := r.askPeer(ctx, q)
 	if peerErr != nil && !errors.Is(peerErr, site.ErrHistoryGone) {
 		return l, err
--- a/service/gateway/stores.go
+++ b/service/gateway/stores.go
@@ -40,14 +40,14 @@
 // kvStoreFollower follows the events of the KV cache stores, and frees parts that will not be
 // used again.
 type kvStoreFollower struct {
-	engines Engines
-	relay   *storeEventRelay
-	state   *SiteState
-	cache   *route.CacheIndex
-	members *control.Members
-	self    string
-	clock   *replicaClock
-	log     *slog.Logger
+	engines     Engines
+	storeEvents *storeEventRelay
+	siteState   *SiteState
+	cacheIndex  *route.CacheIndex
+	members     *control.Members
+	self        string
+	clock       *replicaClock
+	log         *slog.Logger
 
 	mu       sync.Mutex
 	inputs   storeFollowInputs
@@ -77,7 +77,7 @@
 // refresh starts following new stores and stops following removed ones; the timer service
 // calls it.
 func (s *kvStoreFollower) refresh(context.Context) {
-	inputs := storeFollowInputs{view: s.members.View(), snapshot: s.state.Snapshot()}
+	inputs := storeFollowInputs{view: s.members.View(), snapshot: s.siteState.Snapshot()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if inputs.snapshot == nil || inputs == s.inputs {
@@ -93,7 +93,7 @@
 			s.followed[v.Name] = f
 		}
 		var relayed bool
-		if f.relay, relayed = s.relay.relayFor(v); relayed {
+		if f.relay, relayed = s.storeEvents.relayFor(v); relayed {
 			relays[f.relay] = true
 			f.stop()
 		} else if f.cancel == nil {
@@ -154,7 +154,7 @@
 	s.inputs = storeFollowInputs{}
 	s.mu.Unlock()
 	for _, name := range names {
-		s.cache.MarkStoreStale(name)
+		s.cacheIndex.MarkStoreStale(name)
 	}
 	s.refresh(context.Background())
 	return len(names)
@@ -174,7 +174,7 @@
 func (s *kvStoreFollower) followStore(ctx context.Context, f *followedStore) {
 	for ctx.Err() == nil {
 		req := s.request(f)
-		changes, err := s.relay.changes(ctx, f.service, req.Boot, req.Since, eventPollWait)
+		changes, err := s.storeEvents.changes(ctx, f.service, req.Boot, req.Since, eventPollWait)
 		if ctx.Err() != nil {
 			return
 		}
@@ -195,7 +195,7 @@
 		for _, f := range s.relayedBy(addr) {
 			stores, requests = append(stores, f), append(requests, s.request(f))
 		}
-		results, err := s.relay.pollSeveral(ctx, addr, requests)
+		results, err := s.storeEvents.pollSeveral(ctx, addr, requests)
 		if ctx.Err() != nil {
 			return
 		}
@@ -252,7 +252,7 @@
 	}
 	s.mu.Unlock()
 	if err != nil {
-		s.cache.MarkStoreStale(name)
+		s.cacheIndex.MarkStoreStale(name)
 		if !lost {
 			s.log.Warn("store of kept state lost", "store", name, "err", err)
 		}
@@ -262,14 +262,14 @@
 		s.log.Info("store of kept state back", "store", name, "boot", c.Boot)
 	}
 	s.clock.update(c.Clock, now)
-	s.cache.ApplyStoreChanges(name, c, now)
+	s.cacheIndex.ApplyStoreChanges(name, c, now)
 	return true
 }
 
 // freeUnused frees parts made under replaced weights in the stores that this node is
 // responsible for; the timer service calls it.
 func (s *kvStoreFollower) freeUnused(ctx context.Context) {
-	snapshot := s.state.Snapshot()
+	snapshot := s.siteState.Snapshot()
 	if snapshot == nil {
 		return
 	}
@@ -279,7 +279,7 @@
 		if !ok || owner.Name != s.self || !v.Store.Managed {
 			continue
 		}
-		list, boot := s.cache.UnusedParts(v.Name, maxFreedPerCall, func(realm string) bool { return s.replaced(realm, now) })
+		list, boot := s.cacheIndex.UnusedParts(v.Name, maxFreedPerCall, func(realm string) bool { return s.replaced(realm, now) })
 		if len(list) == 0 {
 			continue
 		}
@@ -287,7 +287,7 @@
 			s.log.Warn("parts not freed", "store", v.Name, "parts", len(list), "err", err)
 			continue
 		}
-		s.cache.RemoveFreed(v.Name, boot, list)
+		s.cacheIndex.RemoveFreed(v.Name, boot, list)
 		s.log.Info("parts freed", "store", v.Name, "parts", len(list), "boot", boot)
 	}
 }
@@ -299,11 +299,11 @@
 	if !ok {
 		return false
 	}
-	newest, since := s.state.Weights(model)
+	newest, since := s.siteState.Weights(model)
 	if version >= newest || now.Sub(since) < replacedTerm {
 		return false
 	}
-	for _, p := range s.state.Pools() {
+	for _, p := range s.siteState.Pools() {
 		for _, u := range p.Upstreams() {
 			if u.Weights[model] == version {
 				return false
@@ -313,6 +313,6 @@
 	return true
 }
 
-// replacedTerm is twice the longest fetch, plus a margin for nodes that hear of new weights
-// late.
+// replacedTerm is twice the longest fetch, plus a margin for nodes that learn of new
+// weights late.
 const replacedTerm = 2*maxFetchTimeout + time.Second
--- a/service/gateway/stores_test.go
+++ b/service/gateway/stores_test.go
@@ -18,21 +18,21 @@
 	"github.com/drumpath/drumpath/service/peer"
 )
 
-// relayedStores is a node that gets the events of many stores from a relay of its hall.
-type relayedStores struct {
+// relayedNode is a node that receives the events of many stores through a relay of its hall.
+type relayedNode struct {
 	*kvStoreFollower
-	relayNode *storeEventRelay // On the relay.
-	calls     map[string]*atomic.Int64
-	names     []string
+	relay *storeEventRelay // On the relay.
+	calls map[string]*atomic.Int64
+	names []string
 }
 
-// newRelayedStores returns such a node; methods are those that the relay serves.
-func newRelayedStores(t *testing.T, count int, methods ...string) *relayedStores {
+// newRelayedNode returns such a node; methods are those that the relay serves.
+func newRelayedNode(t *testing.T, count int, methods ...string) *relayedNode {
 	log := slog.New(slog.DiscardHandler)
-	x := &relayedStores{relayNode: newStoreEventRelay(nil, control.Member{}, nil, nil), calls: map[string]*atomic.Int64{}}
+	x := &relayedNode{relay: newStoreEventRelay(nil, control.Member{}, nil, nil), calls: map[string]*atomic.Int64{}}
 	server, err := peer.NewServer(netip.MustParseAddrPort("127.0.0.1:0"), map[peer.Role]string{peer.RolePeer: "key"}, log)
 	assert.NilError(t, err)
-	serve := map[string]func(context.Context, json.RawMessage) (any, error){methodStoreEvents: x.relayNode.serve, methodEventsOfStores: x.relayNode.serveSeveral}
+	serve := map[string]func(context.Context, json.RawMessage) (any, error){methodStoreEvents: x.relay.serve, methodEventsOfStores: x.relay.serveSeveral}
 	for _, method := range methods {
 		n := new(atomic.Int64)
 		x.calls[method] = n
@@ -61,7 +61,7 @@
 	k.Configure(list)
 	b := NewSiteState(nil, "h", time.Second, k, log)
 	b.snapshot.Store(site.NewSnapshot(1, nil, services, site.Limits{}))
-	x.kvStoreFollower = newStores(self, nil, newStoreEventRelay(nil, self, m, client), b, k, m, new(replicaClock), log)
+	x.kvStoreFollower = newKVStoreFollower(self, nil, newStoreEventRelay(nil, self, m, client), b, k, m, new(replicaClock), log)
 	t.Cleanup(func() {
 		x.close()
 		client.Close()
@@ -70,15 +70,15 @@
 	return x
 }
 
-func (x *relayedStores) record(name string, since, next int64, parts ...site.CacheChange) {
-	x.relayNode.mu.Lock()
-	defer x.relayNode.mu.Unlock()
-	x.relayNode.record(name, since, site.CacheChanges{Boot: 1, Next: next, Changes: parts})
+func (x *relayedNode) record(name string, since, next int64, parts ...site.CacheChange) {
+	x.relay.mu.Lock()
+	defer x.relay.mu.Unlock()
+	x.relay.record(name, since, site.CacheChanges{Boot: 1, Next: next, Changes: parts})
 }
 
 // parts counts the known parts in connected stores.
-func (x *relayedStores) parts() (parts, connected int) {
-	for _, s := range x.cache.Status() {
+func (x *relayedNode) parts() (parts, connected int) {
+	for _, s := range x.cacheIndex.Status() {
 		if s.Connected {
 			connected++
 			parts += s.Parts
@@ -91,34 +91,34 @@
 func TestManyStoresArePolledInOneCall(t *testing.T) {
 	t.Parallel()
 	const count = 58
-	x := newRelayedStores(t, count, methodStoreEvents, methodEventsOfStores)
+	x := newRelayedNode(t, count, methodStoreEvents, methodEventsOfStores)
 	for _, name := range x.names {
 		x.record(name, 0, 10, part("a", 100))
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	x.refresh(t.Context())
 	eventually(t, "the parts of all stores are known", func() bool { parts, connected := x.parts(); return parts == count && connected == count })
 	x.record("s00", 10, 20, part("b", 100))
 	x.record("s01", 10, 20, part("a", 0))
 	eventually(t, "changes are known", func() bool {
-		s := x.cache.Status()
+		s := x.cacheIndex.Status()
 		return s[0].Parts == 2 && s[1].Parts == 0
 	})
 	assert.Equal(t, x.calls[methodStoreEvents].Load(), int64(0))
-	assert.Assert(t, x.calls[methodEventsOfStores].Load() <= 1+int64(time.Since(begun)/relayPollPause))
+	assert.Assert(t, x.calls[methodEventsOfStores].Load() <= 1+int64(time.Since(startedAt)/relayPollPause))
 }
 
 // A store that the relay can't reach is not used; the others are.
 func TestUnreachableStoreDoesNotHideOthers(t *testing.T) {
 	t.Parallel()
-	x := newRelayedStores(t, 3, methodStoreEvents, methodEventsOfStores)
+	x := newRelayedNode(t, 3, methodStoreEvents, methodEventsOfStores)
 	x.record("s00", 0, 10, part("a", 100))
 	x.record("s01", 0, 10, part("a", 100))
 	x.refresh(t.Context())
 	eventually(t, "two stores are connected", func() bool { parts, connected := x.parts(); return parts == 2 && connected == 2 })
-	x.relayNode.mu.Lock()
-	x.relayNode.markLost("s00")
-	x.relayNode.mu.Unlock()
+	x.relay.mu.Lock()
+	x.relay.markLost("s00")
+	x.relay.mu.Unlock()
 	eventually(t, "one store is connected", func() bool { _, connected := x.parts(); return connected == 1 })
 	x.record("s00", 10, 20, part("b", 100))
 	x.record("s02", 0, 10, part("a", 100))
@@ -131,12 +131,12 @@
 // change of relay: half of 71 nodes knew the stores' contents only after 1.7 s.
 func TestRelayWithoutEventsIsAskedAgainSoon(t *testing.T) {
 	t.Parallel()
-	x := newRelayedStores(t, 3, methodStoreEvents, methodEventsOfStores)
-	begun := time.Now()
+	x := newRelayedNode(t, 3, methodStoreEvents, methodEventsOfStores)
+	startedAt := time.Now()
 	x.refresh(t.Context())
 	const calls = 4
 	eventually(t, "the relay was polled several times", func() bool { return x.calls[methodEventsOfStores].Load() >= calls })
-	assert.Assert(t, time.Since(begun) < (calls-1)*relayPollPause-300*time.Millisecond)
+	assert.Assert(t, time.Since(startedAt) < (calls-1)*relayPollPause-300*time.Millisecond)
 	for _, name := range x.names {
 		x.record(name, 0, 10, part("a", 100))
 	}
@@ -149,7 +149,7 @@
 // A relay of the previous version is asked for one store at a time.
 func TestOldRelayIsAskedForEachStore(t *testing.T) {
 	t.Parallel()
-	x := newRelayedStores(t, 4, methodStoreEvents)
+	x := newRelayedNode(t, 4, methodStoreEvents)
 	for _, name := range x.names {
 		x.record(name, 0, 10, part("a", 100))
 	}
@@ -161,7 +161,7 @@
 // under the same names: their contents count as unknown until they answer again.
 func TestStoresArePolledAgainAfterSuspension(t *testing.T) {
 	const count = 3
-	x := newRelayedStores(t, count, methodEventsOfStores)
+	x := newRelayedNode(t, count, methodEventsOfStores)
 	for _, name := range x.names {
 		x.record(name, 0, 10, part("a", 100))
 	}
--- a/service/gateway/suspension.go
+++ b/service/gateway/suspension.go
@@ -26,8 +26,8 @@
 
 	mu      sync.Mutex
 	handled atomic.Int64 // Total of boottime.Refresh that has been handled, in nanoseconds.
-	// since is when a suspension was detected, until the node has heard from the store or
-	// from other nodes after it; nil otherwise.
+	// since is when a suspension was detected. synced resets it to nil once the node has
+	// read the tables again, from the store or from other nodes, or has waited long enough.
 	since    atomic.Pointer[time.Time]
 	answered map[site.Table]time.Time // Start of the last call that was answered.
 }
@@ -68,14 +68,14 @@
 	for _, f := range g.followers {
 		f.pollNow()
 	}
-	stores := g.stores.restart()
-	g.holdings.restart()
+	stores := g.kvStores.restart()
+	g.engineCaches.restart()
 	g.log.Warn("machine was suspended", "node", g.conf().Node.Name, "for", suspended, "in_flight", g.inFlight.Load(),
 		"resting", closed, "stores", stores)
 }
 
-// synced reports whether the node has heard the current state since its machine was last
-// suspended.
+// synced reports whether the node has read the current state since its machine was last
+// suspended, or has waited for it long enough.
 func (g *Gateway) synced() bool {
 	since := g.suspension.since.Load()
 	if since == nil {
--- a/service/gateway/suspension_test.go
+++ b/service/gateway/suspension_test.go
@@ -67,7 +67,7 @@
 }
 
 // An answer of the store from before a suspension must not count as fresh after it, or
-// the node would tell other nodes that it is.
+// other nodes would trust this node's copy.
 func TestAnswerFromBeforeSuspensionIsNotFresh(t *testing.T) {
 	self := control.Member{Name: "n0", DataHall: "h", Incarnation: 1}
 	store := &suspendingStore{}
@@ -75,12 +75,12 @@
 	q := changesRequest{Table: site.TableOperator, Whole: true}
 	_, err := r.readStore(t.Context(), q, 0)
 	assert.NilError(t, err)
-	heard := r.tables[site.TableOperator].storeReadAt
-	assert.Assert(t, !heard.IsZero())
+	readAt := r.tables[site.TableOperator].storeReadAt
+	assert.Assert(t, !readAt.IsZero())
 	store.suspendFor = 8 * time.Second
 	_, err = r.readStore(t.Context(), q, 0)
 	assert.NilError(t, err)
-	assert.Equal(t, r.tables[site.TableOperator].storeReadAt, heard)
+	assert.Equal(t, r.tables[site.TableOperator].storeReadAt, readAt)
 }
 
 // suspendingStore simulates a suspension of the machine before each answer arrives.
@@ -104,7 +104,7 @@
 		store: longPollStore{calls}, table: site.TableOperator, longPoll: time.Hour, log: slog.New(slog.DiscardHandler),
 		apply:     func([]site.Row, bool, time.Time) {},
 		onFailure: func(time.Time) { t.Error("the store is reachable") },
-		onAnswer:  func(begun, _ time.Time) { answered <- begun },
+		onAnswer:  func(startedAt, _ time.Time) { answered <- startedAt },
 	}
 	done := make(chan struct{})
 	go func() {
--- a/service/gateway/upstream_conn.go
+++ b/service/gateway/upstream_conn.go
@@ -16,9 +16,9 @@
 	// upstreamDialTimeout bounds connecting to a replica, which takes some milliseconds;
 	// a lost SYN would be sent again after a second.
 	upstreamDialTimeout = 400 * time.Millisecond
-	// upstreamAckTimeout ends a connection whose peer acknowledges nothing: it has lost
-	// power or the network path is down. It is longer than the loss of a few packets in
-	// a row takes.
+	// upstreamAckTimeout ends a connection whose peer acknowledges nothing, because it has
+	// lost power or the network path is down. It is longer than it takes to recover from
+	// the loss of a few packets in a row.
 	upstreamAckTimeout = 900 * time.Millisecond
 	upstreamBufferSize = 8 << 10
 	// maxUpstreamHeadBytes bounds the head of a replica's answer.
@@ -82,7 +82,7 @@
 func (c *upstreamConn) close() { _ = c.conn.Close() } // Nothing more is sent or read.
 
 // errMismatched means that too many answers to other requests came first.
-var errMismatched = errors.New("answers of other requests in the place of this one's")
+var errMismatched = errors.New("received answers to other requests instead of this one")
 
 // maxMismatched is how many answers to other requests are skipped. A replica may send
 // one twice, the second time late; more mean that the connection is unusable.
--- a/service/gateway/wiring.go
+++ b/service/gateway/wiring.go
@@ -24,23 +24,23 @@
 type components struct {
 	dig.In
 
-	Timer      *timer.Service
-	SiteState  *SiteState
-	CacheIndex *route.CacheIndex
-	Nodes      *nodes
-	Peers      *peer.Server
-	Client     *peer.Client
-	Readers    *sharedReader
-	Watchers   *storeEventRelay
-	Stores     *kvStoreFollower
-	Holdings   *engineCacheFollower
-	Suspects   *suspects.Suspects
-	Limits     *ratelimit.Limits
-	Rollout    *rollout.Rollout
-	Conns      *upstreamConns
-	Clients    *clientConns
-	Metrics    *metrics
-	Clock      *replicaClock
+	Timer        *timer.Service
+	SiteState    *SiteState
+	CacheIndex   *route.CacheIndex
+	Nodes        *nodes
+	Peers        *peer.Server
+	Client       *peer.Client
+	TableReader  *sharedReader
+	StoreEvents  *storeEventRelay
+	KVStores     *kvStoreFollower
+	EngineCaches *engineCacheFollower
+	Suspects     *suspects.Suspects
+	RateLimits   *ratelimit.Limits
+	Rollout      *rollout.Rollout
+	Conns        *upstreamConns
+	Clients      *clientConns
+	Metrics      *metrics
+	Clock        *replicaClock
 }
 
 // build has the container construct the components.
@@ -108,9 +108,9 @@
 			return r
 		},
 		func() *route.CacheIndex {
-			k := route.NewCacheIndex()
-			k.Disable(s.Disabled)
-			return k
+			index := route.NewCacheIndex()
+			index.Disable(s.Disabled)
+			return index
 		},
 		func() *upstreamConns {
 			u := newUpstreamConns()
@@ -124,10 +124,10 @@
 		},
 		newMetrics,
 		newStoreEventRelay,
-		newStores,
+		newKVStoreFollower,
 		newEngineCacheFollower,
 		newNodes,
-		newPeers,
+		newPeerServer,
 	}
 }
 
@@ -140,8 +140,8 @@
 	return int((1 - reservedDescriptorShare) * float64(descriptors))
 }
 
-// newNodes creates the exchange with other nodes and registers the handlers of its
-// datagrams.
+// newNodes creates the part of this node that exchanges state with the others, and
+// registers the handlers of its datagrams.
 func newNodes(s config.GatewaySettings, self control.Member, members *control.Members, shares *coldShares, sus *suspects.Suspects, limits *ratelimit.Limits, store Store, siteState *SiteState, cacheIndex *route.CacheIndex, log *slog.Logger) (*nodes, error) {
 	n := &nodes{
 		self:        self,
@@ -175,16 +175,16 @@
 	return n, nil
 }
 
-// newPeers creates the server for calls from other nodes.
-func newPeers(s config.GatewaySettings, readers *sharedReader, watchers *storeEventRelay, holdings *engineCacheFollower, sus *suspects.Suspects, limits *ratelimit.Limits, log *slog.Logger) (*peer.Server, error) {
+// newPeerServer creates the server for calls from other nodes.
+func newPeerServer(s config.GatewaySettings, tableReader *sharedReader, storeEvents *storeEventRelay, engineCaches *engineCacheFollower, sus *suspects.Suspects, limits *ratelimit.Limits, log *slog.Logger) (*peer.Server, error) {
 	server, err := peer.NewServer(s.Peer.Listen, map[peer.Role]string{peer.RolePeer: s.Peer.Key}, log)
 	if err != nil {
 		return nil, err
 	}
-	server.Handle(peer.RolePeer, methodTableChanges, readers.serve)
-	server.Handle(peer.RolePeer, methodStoreEvents, watchers.serve)
-	server.Handle(peer.RolePeer, methodEventsOfStores, watchers.serveSeveral)
-	server.Handle(peer.RolePeer, methodCacheUpdates, holdings.serve)
+	server.Handle(peer.RolePeer, methodTableChanges, tableReader.serve)
+	server.Handle(peer.RolePeer, methodStoreEvents, storeEvents.serve)
+	server.Handle(peer.RolePeer, methodEventsOfStores, storeEvents.serveSeveral)
+	server.Handle(peer.RolePeer, methodCacheUpdates, engineCaches.serve)
 	server.Handle(peer.RolePeer, suspects.MethodRun, sus.ServeRun)
 	server.Handle(peer.RolePeer, suspects.MethodRunEnded, sus.ServeRunEnded)
 	server.Handle(peer.RolePeer, ratelimit.MethodTake, peer.Handle(limits.ServeTake))
@@ -193,10 +193,10 @@
 	return server, nil
 }
 
-func newStores(
+func newKVStoreFollower(
 	self control.Member,
 	e Engines,
-	watchers *storeEventRelay,
+	storeEvents *storeEventRelay,
 	siteState *SiteState,
 	cacheIndex *route.CacheIndex,
 	members *control.Members,
@@ -204,15 +204,15 @@
 	log *slog.Logger,
 ) *kvStoreFollower {
 	return &kvStoreFollower{
-		engines:  e,
-		relay:    watchers,
-		state:    siteState,
-		cache:    cacheIndex,
-		members:  members,
-		self:     self.Name,
-		clock:    clock,
-		log:      log,
-		followed: map[string]*followedStore{},
-		relays:   map[netip.AddrPort]context.CancelFunc{},
+		engines:     e,
+		storeEvents: storeEvents,
+		siteState:   siteState,
+		cacheIndex:  cacheIndex,
+		members:     members,
+		self:        self.Name,
+		clock:       clock,
+		log:         log,
+		followed:    map[string]*followedStore{},
+		relays:      map[netip.AddrPort]context.CancelFunc{},
 	}
 }
