--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -360,7 +360,7 @@
 	},
 	{
 		"backoff: orders wait", "service/gateway/rollout_fleet.go",
-		"	return now.Sub(since) < s.within/2\n", "	_ = since\n	return false\n",
+		"	return now.Sub(since) < f.within/2\n", "	_ = since\n	return false\n",
 		"./internal/standin/onplatform", "TestWeightsOrderWaitsForBackoff",
 	},
 }
--- a/service/gateway/cold_shares_test.go
+++ b/service/gateway/cold_shares_test.go
@@ -24,7 +24,7 @@
 }
 
 // The shares of a cold replica together stay within its limit, also if nodes believe
-// different members dead, and most of the limit is given out.
+// different members dead, and most of the limit is assigned.
 func TestColdSharesDoNotExceedLimit(t *testing.T) {
 	const views = 5 // Each with other dead nodes.
 	for _, nodes := range []int{1, 2, 7, 9, 59, 71, 295, 900} {
--- a/service/gateway/control_bench_test.go
+++ b/service/gateway/control_bench_test.go
@@ -24,8 +24,8 @@
 func newFleetNode(b *testing.B, nodeCount, engines int) (*nodes, *engineCacheFollower) {
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: "front-0", DataHall: "hall-0", State: control.MemberAlive, Link: 20}
-	k := route.NewCacheIndex()
-	siteState := NewSiteState(nil, self.DataHall, time.Second, k, log)
+	cacheIndex := route.NewCacheIndex()
+	siteState := NewSiteState(nil, self.DataHall, time.Second, cacheIndex, log)
 	engine := &site.Engine{PlannedFetch: true, MaxWatches: 4, TokenBytes: 18_000, LinkRate: 1e10, Capacity: 40_000}
 	siteState.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
 	for i := range engines {
@@ -50,10 +50,10 @@
 	}
 	b.Cleanup(probes.Close)
 	probes.Start()
-	n := &nodes{self: self, members: m, siteState: siteState, cacheIndex: k, log: log, loads: newLoadState(), loadsDue: make(chan struct{}, 1), probes: probes}
+	n := &nodes{self: self, members: m, siteState: siteState, cacheIndex: cacheIndex, log: log, loads: newLoadState(), loadsDue: make(chan struct{}, 1), probes: probes}
 	client := peer.NewClient("key")
 	b.Cleanup(client.Close)
-	return n, newEngineCacheFollower(nil, siteState, k, m, client, self, new(replicaClock), log)
+	return n, newEngineCacheFollower(nil, siteState, cacheIndex, m, client, self, new(replicaClock), log)
 }
 
 func engineID(i int) string { return fmt.Sprintf("i-%08x", uint32(i)*2654435761) }
--- a/service/gateway/engine_caches_test.go
+++ b/service/gateway/engine_caches_test.go
@@ -67,18 +67,18 @@
 func newTestCacheFollower(t *testing.T, name string, e Engines, others ...control.Member) *engineCacheFollower {
 	log := slog.New(slog.DiscardHandler)
 	self := control.Member{Name: name, DataHall: "h", State: control.MemberAlive}
-	cache := route.NewCacheIndex()
-	state := NewSiteState(nil, "h", time.Second, cache, log)
+	cacheIndex := route.NewCacheIndex()
+	siteState := NewSiteState(nil, "h", time.Second, cacheIndex, log)
 	engine := &site.Engine{PlannedFetch: true, MaxWatches: 4, TokenBytes: 1, LinkRate: 1e9, Capacity: 40_000}
-	state.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
-	state.upstreams["e"] = &upstreamEntry{Upstream: site.Upstream{ID: "e", Service: "llm", DataHall: "h", Weights: map[string]int64{"m": 1}}}
-	state.rebuildPools(time.Now())
+	siteState.snapshot.Store(site.NewSnapshot(1, nil, map[string]*site.Service{"llm": {Name: "llm", Engine: engine}}, site.Limits{}))
+	siteState.upstreams["e"] = &upstreamEntry{Upstream: site.Upstream{ID: "e", Service: "llm", DataHall: "h", Weights: map[string]int64{"m": 1}}}
+	siteState.rebuildPools(time.Now())
 	members := control.NewMembers(self, time.Second, nil, newRand())
 	for _, o := range others {
 		members.Merge([]control.Member{o}, time.Now())
 	}
 	client := peer.NewClient("key")
-	f := newEngineCacheFollower(e, state, cache, members, client, self, new(replicaClock), log)
+	f := newEngineCacheFollower(e, siteState, cacheIndex, members, client, self, new(replicaClock), log)
 	t.Cleanup(func() {
 		f.close()
 		client.Close()
--- a/service/gateway/evacuations.go
+++ b/service/gateway/evacuations.go
@@ -48,8 +48,8 @@
 	st.rebuildPools(now)
 }
 
-// endEvacuation returns a data hall to service. Its replicas have probably become cold,
-// which they report only a moment later, so they count as cold from now on.
+// endEvacuation returns a data hall to service. Its replicas have probably become cold
+// but report it only a moment later, so they count as cold from now on.
 func (st *SiteState) endEvacuation(hall string, e *evacuation, version int64, now time.Time) {
 	e.version, e.ended = version, now
 	st.log.Info("data hall evacuation ended", "hall", hall, "version", version, "after", now.Sub(e.since))
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -40,7 +40,7 @@
 	// failedAnswer is a replica's error answer, kept while another replica is tried.
 	failedAnswer *wholeAnswer
 	// stream is set once bytes of a streamed answer have been sent to the client.
-	stream *relay
+	stream *streamRelay
 
 	fingerprinted bool
 	content       site.Fingerprint // Valid if fingerprinted is set.
--- a/service/gateway/follow.go
+++ b/service/gateway/follow.go
@@ -19,8 +19,8 @@
 	maxFollowRetry = 800 * time.Millisecond
 )
 
-// follower keeps a local copy of one table of the store up to date.
-type follower struct {
+// tableFollower keeps a local copy of one table of the store up to date.
+type tableFollower struct {
 	store interface {
 		List(ctx context.Context, t site.Table) (site.Listing, error)
 		Changes(ctx context.Context, t site.Table, after int64, wait time.Duration) (site.Listing, error)
@@ -54,7 +54,7 @@
 
 // run follows the table until ctx ends, from the version that it has reached. It reads
 // the whole table again only if the store no longer has the changes since that version.
-func (f *follower) run(ctx context.Context) {
+func (f *tableFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		suspendedBefore := boottime.Refresh()
 		startedAt := boottime.Now()
@@ -85,7 +85,7 @@
 
 // beginCall returns the context of the next call, which pollNow cancels, and how long
 // the store may hold the call.
-func (f *follower) beginCall(ctx context.Context) (call context.Context, longPoll time.Duration, done context.CancelFunc) {
+func (f *tableFollower) beginCall(ctx context.Context) (call context.Context, longPoll time.Duration, done context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	call, f.cancel = context.WithCancel(ctx)
@@ -98,7 +98,7 @@
 
 // pollNow interrupts the call under way and asks the store again at once. It is called
 // after the machine was suspended.
-func (f *follower) pollNow() {
+func (f *tableFollower) pollNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pollAtOnce = true
@@ -107,7 +107,7 @@
 	}
 }
 
-func (f *follower) poll(ctx context.Context, longPoll time.Duration) error {
+func (f *tableFollower) poll(ctx context.Context, longPoll time.Duration) error {
 	if !f.listed {
 		return f.list(ctx)
 	}
@@ -134,7 +134,7 @@
 // errStoreBehind means that the store answered with an older version than before.
 var errStoreBehind = errors.New("the store returned an older version than before")
 
-func (f *follower) list(ctx context.Context) error {
+func (f *tableFollower) list(ctx context.Context) error {
 	l, err := f.store.List(ctx, f.table)
 	if err != nil {
 		return err
@@ -149,14 +149,14 @@
 
 // recordFailure logs the first of several failures in a row; recordSuccess logs how long
 // they lasted.
-func (f *follower) recordFailure(now time.Time, err error) {
+func (f *tableFollower) recordFailure(now time.Time, err error) {
 	if f.failingSince.IsZero() {
 		f.failingSince = now
 		f.log.Warn("store lost", "table", f.name, "version", f.version, "err", err)
 	}
 }
 
-func (f *follower) recordSuccess(now time.Time) {
+func (f *tableFollower) recordSuccess(now time.Time) {
 	if !f.failingSince.IsZero() {
 		f.log.Info("store back", "table", f.name, "version", f.version, "away", now.Sub(f.failingSince))
 	}
@@ -164,7 +164,7 @@
 	f.retryDelay = 0
 }
 
-func (f *follower) backOff(ctx context.Context) {
+func (f *tableFollower) backOff(ctx context.Context) {
 	f.retryDelay = min(maxFollowRetry, max(minFollowRetry, 2*f.retryDelay))
 	sleep(ctx, f.retryDelay/2+time.Duration(rand.Int64N(int64(f.retryDelay))))
 }
--- a/service/gateway/follow_test.go
+++ b/service/gateway/follow_test.go
@@ -36,7 +36,7 @@
 func TestLostHistoryDoesNotCountAsUnreachableStore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var failures, listings atomic.Int64
-	f := &follower{
+	f := &tableFollower{
 		store: &lostHistoryStore{}, table: site.TableUpstreams, name: "upstreams", longPoll: storePollWait,
 		apply: func(_ []site.Row, all bool, _ time.Time) {
 			if all && listings.Add(1) == 1 {
--- a/service/gateway/gateway.go
+++ b/service/gateway/gateway.go
@@ -92,8 +92,8 @@
 	retryBudgetsMu sync.Mutex
 	retryBudgets   map[string]*route.RetryShare
 
-	followers  []*follower // One per table of the store.
-	suspension *suspension
+	tableFollowers []*tableFollower // One per table of the store.
+	suspension     *suspension
 
 	inFlight        atomic.Int64
 	stopRequestedAt atomic.Pointer[time.Time] // Nil before the stop is requested.
@@ -175,7 +175,7 @@
 		g.metricsServer.start(g)
 	}
 	longPoll := g.conf().Platform.LongPollTimeout.Std()
-	g.followers = []*follower{
+	g.tableFollowers = []*tableFollower{
 		{
 			store: g.tableReader, table: site.TableOperator, name: "operator", longPoll: longPoll, log: g.log,
 			apply:     g.siteState.ApplyOperator,
@@ -192,7 +192,7 @@
 			},
 		},
 	}
-	for _, f := range g.followers {
+	for _, f := range g.tableFollowers {
 		g.wg.Go(func() { f.run(g.ctx) })
 	}
 	every := g.conf().Peer.ProbeEvery.Std()
--- a/service/gateway/large_configuration_test.go
+++ b/service/gateway/large_configuration_test.go
@@ -319,8 +319,8 @@
 }
 
 // follower returns a follower of the operator's table.
-func (n *simulatedNode) follower() *follower {
-	return &follower{
+func (n *simulatedNode) follower() *tableFollower {
+	return &tableFollower{
 		store: n.tableReader, table: site.TableOperator, name: "operator", longPoll: longPollTimeout,
 		apply: func(rows []site.Row, _ bool, now time.Time) {
 			n.siteState.ApplyOperator(rows, false, now)
@@ -333,7 +333,7 @@
 }
 
 // preload gives the node a configuration as if it had read it.
-func (n *simulatedNode) preload(f *follower, l site.Listing) {
+func (n *simulatedNode) preload(f *tableFollower, l site.Listing) {
 	n.tableReader.apply(changesRequest{Table: site.TableOperator, Whole: true}, l, true)
 	f.apply(l.Rows, true, time.Now())
 	f.version, f.listed = l.Version, true
--- a/service/gateway/loads.go
+++ b/service/gateway/loads.go
@@ -85,7 +85,7 @@
 	hallTallies         linkTallies
 	ownTallies          linkTallies         // This node's part of hallTallies.
 	lastSent            []route.ReplicaLoad // The loads that this node sent last.
-	ownTalliesAtHallSum linkTallies         // This node's when its hall's sum was last received.
+	ownTalliesAtHallSum linkTallies         // This node's totals when its hall's sum was last received.
 
 	nextForward map[string]time.Time // When the next sum of a hall may be forwarded.
 
--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -254,14 +254,14 @@
 type suspectNotifier struct{ n *nodes }
 
 // SendNote implements suspects.Notifier.
-func (t suspectNotifier) SendNote(to []netip.AddrPort, method string, params any) int {
-	return t.n.sendNote(to, method, params)
+func (s suspectNotifier) SendNote(to []netip.AddrPort, method string, params any) int {
+	return s.n.sendNote(to, method, params)
 }
 
 // Recipients implements suspects.Notifier.
-func (t suspectNotifier) Recipients(try int) (direct, relays []netip.AddrPort) {
-	return t.n.updateRecipients(try)
+func (s suspectNotifier) Recipients(try int) (direct, relays []netip.AddrPort) {
+	return s.n.updateRecipients(try)
 }
 
 // HallPeers implements suspects.Notifier.
-func (t suspectNotifier) HallPeers() []netip.AddrPort { return t.n.hallPeers(t.n.self.DataHall) }
+func (s suspectNotifier) HallPeers() []netip.AddrPort { return s.n.hallPeers(s.n.self.DataHall) }
--- a/service/gateway/packed_rows_test.go
+++ b/service/gateway/packed_rows_test.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// Any bytes from a peer give rows or an error: a peer of another version, or with faulty
-// memory, must not crash this node.
+// FuzzUnpackRows checks that any bytes from a peer give rows or an error: a peer of another
+// version, or with faulty memory, must not crash this node.
 func FuzzUnpackRows(f *testing.F) {
 	const (
 		mutants    = 400 // Of each seed, so that tests without -fuzz see some.
--- a/service/gateway/readers_test.go
+++ b/service/gateway/readers_test.go
@@ -656,7 +656,7 @@
 	_, _, _, err := h.reader.answer(changesRequest{Table: site.TableUpstreams, After: 1}) // Packs the answer.
 	assert.NilError(t, err)
 	got := make(chan int, 1)
-	f := &follower{
+	f := &tableFollower{
 		store: h.asker, table: site.TableUpstreams, name: "upstreams", longPoll: storePollWait,
 		apply:     func(rows []site.Row, _ bool, _ time.Time) { got <- len(rows[0].Value) },
 		onFailure: func(time.Time) {}, onAnswer: func(_, _ time.Time) {}, log: slog.New(slog.DiscardHandler),
@@ -821,7 +821,7 @@
 	s := platform.NewStore(netip.MustParseAddrPort(server.Listener.Addr().String()))
 	defer s.Close()
 	ctx, cancel := context.WithCancel(t.Context())
-	f := &follower{
+	f := &tableFollower{
 		store: s, table: site.TableOperator, name: "operator", longPoll: 100 * time.Millisecond,
 		apply: func([]site.Row, bool, time.Time) {}, onFailure: func(time.Time) {}, onAnswer: func(_, _ time.Time) {},
 		log: slog.New(slog.DiscardHandler), version: 1, listed: true,
--- a/service/gateway/relay.go
+++ b/service/gateway/relay.go
@@ -11,12 +11,12 @@
 	"github.com/drumpath/drumpath/pkg/route"
 )
 
-// relay passes a stream of server-sent events on to the client.
+// streamRelay passes a stream of server-sent events on to the client.
 //
 // Only whole events are passed on, each as soon as it is complete, so that another
 // replica can resume the stream after the last of them. The head and the first event are
 // sent together: until then the request may still be tried elsewhere.
-type relay struct {
+type streamRelay struct {
 	out    *clientWriter
 	head   *http1.Head // Head of the first replica's answer.
 	lastID string      // ID of the last event that was passed on.
@@ -38,7 +38,7 @@
 	first := x.stream == nil
 	r := x.stream
 	if first {
-		r = &relay{out: x.out, head: a.head}
+		r = &streamRelay{out: x.out, head: a.head}
 	}
 	r.partial = nil
 	err := x.copyEvents(r, a)
@@ -68,7 +68,7 @@
 }
 
 // copyEvents passes events on until the end of the stream, for which it returns nil.
-func (x *exchange) copyEvents(r *relay, a *attempt) error {
+func (x *exchange) copyEvents(r *streamRelay, a *attempt) error {
 	buf := make([]byte, relayBufferSize)
 	for {
 		n, err := a.body.Read(buf)
@@ -93,7 +93,7 @@
 }
 
 // write passes on the events that are complete with these bytes.
-func (r *relay) write(b []byte) {
+func (r *streamRelay) write(b []byte) {
 	r.partial = append(r.partial, b...)
 	end := lastEventEnd(r.partial)
 	if end == 0 && len(r.partial) > maxEventBytes {
@@ -111,7 +111,7 @@
 
 // skipRepeated drops events at the front that were passed on before: a replica that
 // resumes a stream may send some of them again.
-func (r *relay) skipRepeated(events []byte) []byte {
+func (r *streamRelay) skipRepeated(events []byte) []byte {
 	for len(events) > 0 && r.lastID != "" {
 		end := firstEventEnd(events)
 		if end == 0 || !notAfter(eventID(events[:end]), r.lastID) {
@@ -129,7 +129,7 @@
 	return errA == nil && errB == nil && a <= b
 }
 
-func (r *relay) send(events []byte) {
+func (r *streamRelay) send(events []byte) {
 	if id := lastEventID(events); id != "" {
 		r.lastID = id
 	}
@@ -141,7 +141,7 @@
 }
 
 // finish ends the stream, with what is buffered.
-func (r *relay) finish() {
+func (r *streamRelay) finish() {
 	if len(r.partial) > 0 {
 		r.send(r.partial)
 		r.partial = nil
--- a/service/gateway/replica_updates.go
+++ b/service/gateway/replica_updates.go
@@ -44,8 +44,8 @@
 	// AvoidMs is for how many milliseconds to avoid the replica while it loads the
 	// weights.
 	AvoidMs int64 `json:"a,omitempty"`
-	// Rate is the request rate that the replica accepts from all nodes together. It names
-	// the replica itself.
+	// Rate is the request rate that the replica accepts from all nodes together. It
+	// identifies the replica's start by itself, so Started is not set.
 	Rate *ratelimit.RateUpdate `json:"l,omitempty"`
 	// Model and Version name the weights.
 	Model   string `json:"m,omitempty"`
--- a/service/gateway/rollout_fleet.go
+++ b/service/gateway/rollout_fleet.go
@@ -18,16 +18,16 @@
 }
 
 // Targets implements rollout.Fleet.
-func (s *rolloutFleet) Targets() (list []rollout.Target) {
-	newest := s.siteState.NewestWeights()
+func (f *rolloutFleet) Targets() (list []rollout.Target) {
+	newest := f.siteState.NewestWeights()
 	if len(newest) == 0 {
 		return nil
 	}
 	now := boottime.Now()
-	for _, p := range s.siteState.Pools() {
+	for _, p := range f.siteState.Pools() {
 		for _, u := range p.Upstreams() {
 			for model := range u.Weights {
-				if want, named := newest[model]; named && !u.Draining && !u.Evacuated && !s.postponed(p, &u, model, now) {
+				if want, named := newest[model]; named && !u.Draining && !u.Evacuated && !f.postponed(p, &u, model, now) {
 					list = append(list, rollout.Target{Upstream: u, Model: model, Version: want})
 				}
 			}
@@ -38,46 +38,46 @@
 
 // postponed reports whether a replica gets no order yet because it asked this node to back
 // off. An order waits for at most half of the time allowed for new weights.
-func (s *rolloutFleet) postponed(p *route.Pool, u *site.Upstream, model string, now time.Time) bool {
+func (f *rolloutFleet) postponed(p *route.Pool, u *site.Upstream, model string, now time.Time) bool {
 	if !p.InBackoff(u.ID, now) {
 		return false
 	}
-	_, since := s.siteState.Weights(model)
-	return now.Sub(since) < s.within/2
+	_, since := f.siteState.Weights(model)
+	return now.Sub(since) < f.within/2
 }
 
 // AvoidForSwap implements rollout.Fleet.
-func (s *rolloutFleet) AvoidForSwap(t rollout.Target, d time.Duration) {
-	s.nodes.announceSwap(route.RefOf(&t.Upstream), t.Model, t.Version, d)
+func (f *rolloutFleet) AvoidForSwap(t rollout.Target, d time.Duration) {
+	f.nodes.announceSwap(route.RefOf(&t.Upstream), t.Model, t.Version, d)
 }
 
 // CountSwapping implements rollout.Fleet.
-func (s *rolloutFleet) CountSwapping() int {
+func (f *rolloutFleet) CountSwapping() int {
 	n, now := 0, boottime.Now()
-	for _, p := range s.siteState.Pools() {
+	for _, p := range f.siteState.Pools() {
 		n += p.CountSwapping(now)
 	}
 	return n
 }
 
 // RecordWeights implements rollout.Fleet.
-func (s *rolloutFleet) RecordWeights(t rollout.Target, version int64) {
-	if p := s.siteState.Pool(t.Service); p != nil {
+func (f *rolloutFleet) RecordWeights(t rollout.Target, version int64) {
+	if p := f.siteState.Pool(t.Service); p != nil {
 		p.RecordWeights(route.RefOf(&t.Upstream), t.Model, version)
-		s.nodes.announceWeights(route.RefOf(&t.Upstream), t.Model, version)
+		f.nodes.announceWeights(route.RefOf(&t.Upstream), t.Model, version)
 	}
 }
 
 // RecordDraining implements rollout.Fleet.
-func (s *rolloutFleet) RecordDraining(t rollout.Target) {
-	s.nodes.recordDraining(route.RefOf(&t.Upstream))
+func (f *rolloutFleet) RecordDraining(t rollout.Target) {
+	f.nodes.recordDraining(route.RefOf(&t.Upstream))
 }
 
 // Rank implements rollout.Fleet.
-func (s *rolloutFleet) Rank(duty string) int {
-	members := s.nodes.members.Working()
+func (f *rolloutFleet) Rank(duty string) int {
+	members := f.nodes.members.Working()
 	for i, m := range control.Owners(members, duty, len(members)) {
-		if m.Name == s.nodes.self.Name {
+		if m.Name == f.nodes.self.Name {
 			return i
 		}
 	}
--- a/service/gateway/site_state.go
+++ b/service/gateway/site_state.go
@@ -159,12 +159,12 @@
 	if version <= old.version {
 		return
 	}
-	n := modelWeights{version: version, since: now}
+	w := modelWeights{version: version, since: now}
 	if old.version > 0 {
-		n.older = append(slices.Clone(old.older), modelWeights{version: old.version, since: old.since})
-		n.older = n.older[max(0, len(n.older)-maxOlderVersions):]
+		w.older = append(slices.Clone(old.older), modelWeights{version: old.version, since: old.since})
+		w.older = w.older[max(0, len(w.older)-maxOlderVersions):]
 	}
-	st.weights[model] = n
+	st.weights[model] = w
 	st.log.Info("weights named", "model", model, "version", version)
 }
 
@@ -172,8 +172,8 @@
 func (st *SiteState) Weights(model string) (version int64, since time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	n := st.weights[model]
-	return n.version, n.since
+	w := st.weights[model]
+	return w.version, w.since
 }
 
 // WeightsBefore returns the newest version of a model's weights known at a time, 0 for
@@ -181,11 +181,11 @@
 func (st *SiteState) WeightsBefore(model string, at time.Time) int64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	n := st.weights[model]
-	if n.version > 0 && !n.since.After(at) {
-		return n.version
+	w := st.weights[model]
+	if w.version > 0 && !w.since.After(at) {
+		return w.version
 	}
-	for _, o := range slices.Backward(n.older) {
+	for _, o := range slices.Backward(w.older) {
 		if !o.since.After(at) {
 			return o.version
 		}
@@ -198,12 +198,12 @@
 func (st *SiteState) ReplacedAt(model string, version int64) time.Time {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	n := st.weights[model]
-	if n.version <= version {
+	w := st.weights[model]
+	if w.version <= version {
 		return time.Time{}
 	}
-	replaced := n.since
-	for _, o := range slices.Backward(n.older) {
+	replaced := w.since
+	for _, o := range slices.Backward(w.older) {
 		if o.version <= version {
 			break
 		}
@@ -217,8 +217,8 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	list := make(map[string]int64, len(st.weights))
-	for model, n := range st.weights {
-		list[model] = n.version
+	for model, w := range st.weights {
+		list[model] = w.version
 	}
 	return list
 }
--- a/service/gateway/site_state_test.go
+++ b/service/gateway/site_state_test.go
@@ -37,8 +37,8 @@
 // upstream list resets its part of the index; doing so with SiteState's lock held
 // deadlocked the node.
 func TestReplicaRestartDoesNotDeadlockCacheLookup(t *testing.T) {
-	k := route.NewCacheIndex()
-	st := NewSiteState(nil, "h", time.Second, k, slog.New(slog.DiscardHandler))
+	cacheIndex := route.NewCacheIndex()
+	st := NewSiteState(nil, "h", time.Second, cacheIndex, slog.New(slog.DiscardHandler))
 	u := site.Upstream{ID: "e", Service: "s", DataHall: "h", Started: time.UnixMilli(1), Weights: map[string]int64{"m": 1}}
 	st.applyRow(u, time.Now())
 	inside, done := make(chan struct{}), make(chan struct{})
@@ -49,7 +49,7 @@
 			time.Sleep(100 * time.Millisecond) // The upstream list is applied meanwhile.
 			return route.Realm{Name: "r", CompleteBefore: st.ReplacedAt("m", version)}
 		}
-		k.Coverage([]site.Upstream{u}, "m", realm, []site.Part{{ID: "p", Tokens: 10}}, &site.Engine{}, time.Second, time.Now())
+		cacheIndex.Coverage([]site.Upstream{u}, "m", realm, []site.Part{{ID: "p", Tokens: 10}}, &site.Engine{}, time.Second, time.Now())
 	}()
 	<-inside
 	restarted := u
--- a/service/gateway/store_events.go
+++ b/service/gateway/store_events.go
@@ -50,7 +50,7 @@
 // relayedStore holds the events of one store that a relay keeps for other nodes.
 type relayedStore struct {
 	batches []site.CacheChanges
-	since   int64 // The position from which on events are kept.
+	since   int64 // Events after this position are kept.
 	lost    bool
 	changed chan struct{}
 }
@@ -80,7 +80,8 @@
 	return owner.Peer, found && owner.Name != r.self.Name
 }
 
-// changes waits for a store's events after position since of its start boot.
+// changes waits for a store's events after position since; boot identifies the store's start
+// that the position belongs to.
 func (r *storeEventRelay) changes(ctx context.Context, v *site.Service, boot, since int64, wait time.Duration) (c site.CacheChanges, err error) {
 	if addr, ok := r.relayFor(v); ok {
 		q := eventsRequest{Store: v.Name, Boot: boot, Since: since, WaitMS: wait.Milliseconds()}
--- a/service/gateway/stores_test.go
+++ b/service/gateway/stores_test.go
@@ -57,11 +57,11 @@
 		list = append(list, v)
 		x.names = append(x.names, name)
 	}
-	k := route.NewCacheIndex()
-	k.Configure(list)
-	b := NewSiteState(nil, "h", time.Second, k, log)
-	b.snapshot.Store(site.NewSnapshot(1, nil, services, site.Limits{}))
-	x.kvStoreFollower = newKVStoreFollower(self, nil, newStoreEventRelay(nil, self, m, client), b, k, m, new(replicaClock), log)
+	cacheIndex := route.NewCacheIndex()
+	cacheIndex.Configure(list)
+	siteState := NewSiteState(nil, "h", time.Second, cacheIndex, log)
+	siteState.snapshot.Store(site.NewSnapshot(1, nil, services, site.Limits{}))
+	x.kvStoreFollower = newKVStoreFollower(self, nil, newStoreEventRelay(nil, self, m, client), siteState, cacheIndex, m, new(replicaClock), log)
 	t.Cleanup(func() {
 		x.close()
 		client.Close()
--- a/service/gateway/suspension.go
+++ b/service/gateway/suspension.go
@@ -65,7 +65,7 @@
 // boottime.Now, which includes the suspension.
 func (g *Gateway) resetAfterSuspension(suspended time.Duration) {
 	closed := g.conns.closeAllIdle()
-	for _, f := range g.followers {
+	for _, f := range g.tableFollowers {
 		f.pollNow()
 	}
 	stores := g.kvStores.restart()
--- a/service/gateway/suspension_test.go
+++ b/service/gateway/suspension_test.go
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	calls := make(chan time.Duration, 10)
 	answered := make(chan time.Time, 10)
-	f := &follower{
+	f := &tableFollower{
 		store: longPollStore{calls}, table: site.TableOperator, longPoll: time.Hour, log: slog.New(slog.DiscardHandler),
 		apply:     func([]site.Row, bool, time.Time) {},
 		onFailure: func(time.Time) { t.Error("the store is reachable") },
@@ -129,8 +129,8 @@
 	return site.Listing{Version: 1}, nil
 }
 
-func (h longPollStore) Changes(ctx context.Context, _ site.Table, _ int64, wait time.Duration) (l site.Listing, err error) {
-	h.calls <- wait
+func (s longPollStore) Changes(ctx context.Context, _ site.Table, _ int64, wait time.Duration) (l site.Listing, err error) {
+	s.calls <- wait
 	select {
 	case <-ctx.Done():
 		return l, ctx.Err()
