--- a/service/gateway/cold_shares_test.go
+++ b/service/gateway/cold_shares_test.go
@@ -24,7 +24,7 @@
 }
 
 // The shares of a cold replica together stay within its limit, also if nodes believe
-// different members dead, and most of the limit is given out.
+// different members dead, and most of the limit is assigned.
 func TestColdSharesDoNotExceedLimit(t *testing.T) {
 	const views = 5 // Each with other dead nodes.
 	for _, nodes := range []int{1, 2, 7, 9, 59, 71, 295, 900} {
@@ -86,5 +86,5 @@
 	assert.Equal(t, len(n.entryAddrs("d", "three", []string{"two"})), 2, "those of the homes")
 	assert.Equal(t, len(n.entryAddrs("elsewhere", "four", []string{"two"})), 2)
 	assert.Equal(t, len(n.entryAddrs("d", "three", []string{"nowhere"})), 1, "its own region")
-	assert.Equal(t, len(n.entryAddrs("elsewhere", "four", []string{"nowhere"})), 6, "somebody has to refuse")
+	assert.Equal(t, len(n.entryAddrs("elsewhere", "four", []string{"nowhere"})), 6, "some node has to refuse the request")
 }
--- a/service/gateway/evacuations.go
+++ b/service/gateway/evacuations.go
@@ -48,8 +48,8 @@
 	st.rebuildPools(now)
 }
 
-// endEvacuation returns a data hall to service. Its replicas have probably become cold,
-// which they report only a moment later, so they count as cold from now on.
+// endEvacuation returns a data hall to service. Its replicas have probably become cold
+// but report it only a moment later, so they count as cold from now on.
 func (st *SiteState) endEvacuation(hall string, e *evacuation, version int64, now time.Time) {
 	e.version, e.ended = version, now
 	st.log.Info("data hall evacuation ended", "hall", hall, "version", version, "after", now.Sub(e.since))
@@ -106,8 +106,8 @@
 // out of use.
 const evacuationSteps = 8
 
-// evacuationRunning reports whether replicas of a data hall are just being taken out of
-// use, so that the pools have to be rebuilt. The caller holds mu.
+// evacuationRunning reports whether replicas of a data hall are being taken out of use,
+// so that the pools have to be rebuilt. The caller holds mu.
 func (st *SiteState) evacuationRunning(now time.Time) bool {
 	for _, e := range st.evacuated {
 		if e.ended.IsZero() && now.Sub(e.since) < st.evacuationTime+2*upstreamExpireInterval {
--- a/service/gateway/packed_rows_test.go
+++ b/service/gateway/packed_rows_test.go
@@ -126,7 +126,8 @@
 	assert.Equal(t, len(f), 0)
 }
 
-// Packs and unpacks one answer by number of routes; the metric "told" is the packed size.
+// BenchmarkPackRows measures packing and unpacking one answer, by number of routes; the
+// metric "told" is the packed size.
 func BenchmarkPackRows(b *testing.B) {
 	for _, n := range []int{100, 1000, 5600, 20_000} {
 		for _, c := range []struct {
@@ -159,8 +160,8 @@
 	}
 }
 
-// Any bytes from a peer give rows or an error: a peer of another version, or with faulty
-// memory, must not crash this node.
+// FuzzUnpackRows checks that any bytes from a peer give rows or an error: a peer of another
+// version, or with faulty memory, must not crash this node.
 func FuzzUnpackRows(f *testing.F) {
 	const (
 		mutants    = 400 // Of each seed, so that tests without -fuzz see some.
