--- a/pkg/prompt/packed.go
+++ b/pkg/prompt/packed.go
@@ -54,7 +54,7 @@
 // UnpackKeys splits what PackKeys has concatenated.
 func UnpackKeys(b []byte) (keys []Key, err error) {
 	if len(b)%KeySize != 0 {
-		return nil, eris.Errorf("packed keys: %d bytes is not a multiple of the key size %d", len(b), KeySize)
+		return nil, eris.Errorf("packed keys: %d bytes", len(b))
 	}
 	keys = make([]Key, len(b)/KeySize)
 	for i := range keys {
--- a/pkg/site/fingerprint.go
+++ b/pkg/site/fingerprint.go
@@ -37,7 +37,7 @@
 // MarshalText writes the fingerprint in hexadecimal.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-var errInvalidFingerprint = errors.New("fingerprint is not 32 hexadecimal digits")
+var errInvalidFingerprint = errors.New("not a fingerprint")
 
 // UnmarshalText reads what MarshalText writes.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
--- a/service/gateway/readers.go
+++ b/service/gateway/readers.go
@@ -66,7 +66,7 @@
 )
 
 // errReaderBehind says that a reader's copy of a table is missing or too old.
-var errReaderBehind = errors.New("reader's copy of the table is missing or too old")
+var errReaderBehind = errors.New("the reader has not heard from the store lately")
 
 // sharedReader reads the store's tables through other nodes where possible; its List and
 // Changes have the store's semantics.
