--- a/pkg/load/profile.go
+++ b/pkg/load/profile.go
@@ -75,7 +75,7 @@
 func (p *Profile) validate() error {
 	switch {
 	case p.Rate <= 0:
-		return eris.New("rate: more than 0 is wanted")
+		return eris.New("rate must be greater than 0")
 	case p.Duration <= p.Warm:
 		return eris.New("duration must be greater than warm")
 	case p.Model == "" || p.MaxTokens < 1:
