--- a/service/gateway/nodes.go
+++ b/service/gateway/nodes.go
@@ -134,7 +134,7 @@
 		return nil, eris.Wrap(err, "write this node's address")
 	}
 	l, err := n.store.List(ctx, site.TableNodes)
-	return l.Rows, eris.Wrap(err, "read the nodes' addresses")
+	return l.Rows, eris.Wrap(err, "read addresses of nodes")
 }
 
 // announce writes this node's address unless that is done.
