--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -266,7 +266,7 @@
 	{
 		"suspects: owners tell all nodes", "service/suspects/notes.go",
 		"	case collect && change.New && change.After != suspect.Allowed:\n		s.broadcast(c)\n", "",
-		"./service/suspects", "TestRepeatedDeadlyRequestIsBlockedAtAllSizes",
+		"./service/suspects", "TestRepeatedCrashRequestIsBlockedAtAllSizes",
 	},
 	{
 		"suspects: nodes compare what they hold", "service/suspects/notes.go",
--- a/pkg/suspect/case.go
+++ b/pkg/suspect/case.go
@@ -41,7 +41,7 @@
 	// blockThreshold is the number of ends from which a request is blocked: operators allow
 	// three, and a few more that were in flight.
 	blockThreshold = 3
-	// blockMinRounds is the least number of rounds of these ends: when many replicas end at
+	// blockMinRounds is the minimum number of rounds of these ends: when many replicas end at
 	// once for another reason, a frequent request is in flight at several of them.
 	blockMinRounds = 2
 	// maxEnds bounds the ends that are stored for a case.
@@ -75,7 +75,7 @@
 	Finished time.Time
 }
 
-// LastEvent is the time of the last known end or finish of the request.
+// LastEvent returns the time of the last known end or finish of the request.
 func (c *Case) LastEvent() time.Time {
 	last := c.Finished
 	for _, e := range c.Ends {
@@ -112,7 +112,7 @@
 	return n
 }
 
-// merge adds the evidence of another case and says whether any of it was new.
+// merge adds the evidence of another case and reports whether any of it was new.
 func (c *Case) merge(other Case) (changed bool) {
 	if c.QuickHash == 0 {
 		c.QuickHash = other.QuickHash
@@ -133,7 +133,7 @@
 	return changed
 }
 
-// hasEnd says whether the end of a replica is stored.
+// hasEnd reports whether the end of a replica is stored.
 func (c *Case) hasEnd(replica string) bool {
 	return slices.ContainsFunc(c.Ends, func(e ReplicaEnd) bool { return e.Replica == replica })
 }
@@ -158,7 +158,7 @@
 	slices.SortFunc(c.Ends, byTime)
 }
 
-// clearedByFinish says whether an end does not count because its run began before the last
+// clearedByFinish reports whether an end does not count because its run began before the last
 // finish or within finishGrace after it.
 func (c *Case) clearedByFinish(e ReplicaEnd) bool {
 	return !c.Finished.IsZero() && e.StartedAt.Before(c.Finished.Add(finishGrace))
--- a/pkg/suspect/doc.go
+++ b/pkg/suspect/doc.go
@@ -1,7 +1,7 @@
 // Package suspect decides which requests are no longer sent to replicas because replicas
 // ended while they ran them.
 //
-// It protects against a request that crashes each replica that runs it, and that its caller
+// It protects against a request that crashes each replica that runs it, and that its client
 // repeats at any node. A replica that ends loses all requests in flight and all that it has
 // cached, and is away for seconds. Unless nodes remember the request itself, each repeat
 // costs another replica.
--- a/pkg/suspect/finishes.go
+++ b/pkg/suspect/finishes.go
@@ -19,15 +19,15 @@
 	return max(1, h.Sum64())
 }
 
-// recentFinishes remembers when requests were last finished at this node, for finishGrace
-// to twice that.
+// recentFinishes remembers when requests were last finished at this node, for one to two
+// times finishGrace.
 type recentFinishes struct {
 	current, previous map[uint64]time.Time
 	currentSince      time.Time // When current was begun.
 }
 
 // maxFinishes bounds each of the two maps, 40 bytes an entry: 400 requests a second, six
-// times the share of one of 900 nodes at the peak of 60,000.
+// times the share of each of 900 nodes at a peak of 60,000.
 const maxFinishes = 4096
 
 // record remembers a finish. When current is full, previous is dropped early.
@@ -38,7 +38,7 @@
 	m.current[quickHash] = now
 }
 
-// lastFinish is when a request was last finished, zero if that is not remembered.
+// lastFinish returns when a request was last finished, zero if that is not remembered.
 func (m *recentFinishes) lastFinish(quickHash uint64) time.Time {
 	if t, ok := m.current[quickHash]; ok {
 		return t
--- a/pkg/suspect/register.go
+++ b/pkg/suspect/register.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// allowedTTL is how long a case is kept that is not yet watched. Callers repeat within
+	// allowedTTL is how long a case is kept that is not yet watched. Clients repeat within
 	// seconds; a minute allows for one that waits in between.
 	allowedTTL = time.Minute
 	// flaggedTTL is how long a watched or blocked case is kept after its last event. An
-	// hour is far longer than callers go on repeating, and lets a request be tried again
+	// hour is far longer than clients go on repeating, and lets a request be tried again
 	// some time after the engine software was fixed.
 	flaggedTTL = time.Hour
 	// maxCases bounds the memory, some 200 bytes a case. It has room for a request in each
@@ -25,8 +25,8 @@
 	maxCases = 4096
 )
 
-// Register holds what one node knows of requests under which replicas ended. It is safe for
-// concurrent use.
+// Register holds one node's evidence about requests that were in flight at replicas that
+// ended. It is safe for concurrent use.
 type Register struct {
 	// entryCount is the number of entries; while it is 0, nothing has to be hashed.
 	entryCount atomic.Int64
@@ -44,17 +44,17 @@
 	runningUntil time.Time
 	// grantedTo is the node that the run was granted to, empty for a run of this node.
 	grantedTo string
-	// finishAnnounced says that the last finish was announced to other nodes.
+	// finishAnnounced means that the last finish was announced to other nodes.
 	finishAnnounced bool
 }
 
 // NewRegister returns an empty register.
 func NewRegister() *Register { return &Register{entries: map[site.Fingerprint]*entry{}} }
 
-// Empty says whether nothing is known of any request.
+// Empty reports whether the register holds no cases.
 func (r *Register) Empty() bool { return r.entryCount.Load() == 0 }
 
-// Case returns what is known of a request.
+// Case returns the case of a request, one without evidence if there is none.
 func (r *Register) Case(f site.Fingerprint) Case {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,8 +71,8 @@
 	return c
 }
 
-// Finished remembers that a replica has finished a request at this node.
-func (r *Register) Finished(quickHash uint64, now time.Time) {
+// RecordFinish remembers that a replica has finished a request at this node.
+func (r *Register) RecordFinish(quickHash uint64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.finishes.record(quickHash, now)
@@ -81,9 +81,9 @@
 // MergeResult is how Merge changed a case.
 type MergeResult struct {
 	Before, After Verdict
-	// New says that some of the evidence was new.
+	// New means that some of the evidence was new.
 	New bool
-	// OwnFinish says that this node has finished the request and other nodes may not know
+	// OwnFinish means that this node has finished the request and other nodes may not know
 	// it.
 	OwnFinish bool
 }
@@ -117,10 +117,10 @@
 	return result
 }
 
-// ShouldAnnounce says whether this node should announce its own finish of a request, and
-// notes it as announced. It says so once after each new end, unless another node has
+// TryAnnounce reports whether this node should announce its own finish of a request, and
+// marks it as announced. It returns true once after each new end, unless another node has
 // announced a finish.
-func (r *Register) ShouldAnnounce(f site.Fingerprint) bool {
+func (r *Register) TryAnnounce(f site.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[f]
@@ -131,7 +131,7 @@
 	return true
 }
 
-// StartRun says whether this node may send a watched request now. The run counts as in
+// StartRun reports whether this node may send a watched request now. The run counts as in
 // progress for at most maxRun, unless its outcome is learnt earlier.
 func (r *Register) StartRun(f site.Fingerprint, maxRun time.Duration, now time.Time) bool {
 	return r.tryRun(f, "", maxRun, now)
@@ -159,8 +159,8 @@
 	return true
 }
 
-// EndRun notes that this node's run of a watched request is over, and that nothing is known
-// of an end of its replica.
+// EndRun records that this node's run of a watched request is over and that its replica is
+// not known to have ended.
 func (r *Register) EndRun(f site.Fingerprint) { r.EndGrantedRun(f, "") }
 
 // EndGrantedRun is EndRun for a run that was granted to another node.
@@ -210,8 +210,8 @@
 	return watched, blocked
 }
 
-// Digest is equal at two nodes that know the same watched and blocked requests, and 0 if
-// there are none.
+// Digest returns a hash of the watched and blocked requests. It is equal at two nodes that
+// know the same ones, and 0 if there are none.
 func (r *Register) Digest() (sum uint64) {
 	if r.Empty() {
 		return 0
--- a/pkg/suspect/register_test.go
+++ b/pkg/suspect/register_test.go
@@ -23,7 +23,7 @@
 	return suspect.QuickHash("org-one", "POST", "boards.example", "/x", []byte(name))
 }
 
-// endCase is the end of a replica under a request, after a run of 0.1 s.
+// endCase returns a case with one end of a replica, 0.1 s after it got the request.
 func endCase(name, replica string, s float64) suspect.Case {
 	return suspect.Case{Content: content(name), QuickHash: quickHash(name), Ends: []suspect.ReplicaEnd{{Replica: replica, StartedAt: at(s - 0.1), EndedAt: at(s)}}}
 }
@@ -84,14 +84,14 @@
 // afterwards.
 func TestOwnFinishIsRemembered(t *testing.T) {
 	r := suspect.NewRegister()
-	r.Finished(quickHash("a"), at(1))
+	r.RecordFinish(quickHash("a"), at(1))
 	received := endCase("a", "r1", 2)
 	received.Ends = append(received.Ends, suspect.ReplicaEnd{Replica: "r2", StartedAt: at(2), EndedAt: at(3)})
 	result := r.Merge(received)
 	assert.Equal(t, result.After, suspect.Allowed)
 	assert.Assert(t, result.OwnFinish, "the finish is to be announced")
-	assert.Assert(t, r.ShouldAnnounce(content("a")))
-	assert.Assert(t, !r.ShouldAnnounce(content("a")), "once")
+	assert.Assert(t, r.TryAnnounce(content("a")))
+	assert.Assert(t, !r.TryAnnounce(content("a")), "once")
 	other := suspect.NewRegister()
 	other.Merge(received)
 	assert.Equal(t, verdict(other, "a"), suspect.Watched)
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -52,7 +52,7 @@
 	done             bool
 	sentAt           time.Time // Start of the current attempt.
 	engineStarted    time.Time // As reported with the answer; zero if unknown.
-	mayRun           bool      // Suspects.MayRun permitted it, as engines have ended under its prompt.
+	mayRun           bool      // Suspects.StartRun permitted it, as engines have ended under its prompt.
 }
 
 // Sources of a prompt's reused KV cache, as reported in the usage. SourceHot means that the
--- a/service/entry/run_suspects.go
+++ b/service/entry/run_suspects.go
@@ -58,7 +58,7 @@
 		if r.mayRun {
 			return nil // Asking again on a retry would wait for this very run.
 		}
-		if !suspects.MayRun(r.ctx, c.Content, maxPermittedRun) {
+		if !suspects.StartRun(r.ctx, c.Content, maxPermittedRun) {
 			return r.withCertainty(refusal(CodeSuspected, suspectedRetryAfter, "engines ended under this prompt, and another one like it is under way"))
 		}
 		r.mayRun = true
--- a/service/gateway/exchange_suspects.go
+++ b/service/gateway/exchange_suspects.go
@@ -70,7 +70,7 @@
 		return f, false
 	}
 	c := x.suspectCase()
-	if c.Verdict() == suspect.Allowed || x.g.suspects.MayRun(ctx, c.Content, boottime.Until(x.deadline)) {
+	if c.Verdict() == suspect.Allowed || x.g.suspects.StartRun(ctx, c.Content, boottime.Until(x.deadline)) {
 		x.suspectRun = c.Verdict() != suspect.Allowed
 		return f, true
 	}
--- a/service/suspects/blocked_row.go
+++ b/service/suspects/blocked_row.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// mustSave says whether a blocked request is not stored yet and this node is its first
-// owner.
+// mustSave reports whether there is a blocked request that is not stored yet and whose first
+// owner is this node.
 func (s *Suspects) mustSave(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/service/suspects/grants.go
+++ b/service/suspects/grants.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// grantTimeout bounds a call for a grant to run a watched request, as its caller waits.
+	// grantTimeout bounds a call for a grant to run a watched request, as its client waits.
 	grantTimeout = 150 * time.Millisecond
 	// MethodRun asks an owner of a watched request for a grant to send it; MethodRunEnded
 	// returns the grant.
@@ -30,10 +30,10 @@
 	Run bool `json:"run"`
 }
 
-// MayRun says whether a watched request may be sent now. This node allows itself one run at
+// StartRun reports whether a watched request may be sent now. This node allows itself one run at
 // a time; the first owner of the request that answers allows one among all nodes, for at
 // most maxRun. If no owner answers, only the limit of this node applies.
-func (s *Suspects) MayRun(ctx context.Context, f site.Fingerprint, maxRun time.Duration) bool {
+func (s *Suspects) StartRun(ctx context.Context, f site.Fingerprint, maxRun time.Duration) bool {
 	if !s.register.StartRun(f, maxRun, boottime.Now()) {
 		return false
 	}
@@ -58,8 +58,8 @@
 	return true
 }
 
-// EndRun returns the grant of a watched request whose run is over, when nothing is known of
-// an end of its replica. All owners are notified: when only the first one was, an owner
+// EndRun returns the grant of a watched request whose run is over and whose replica is not
+// known to have ended. All owners are notified: when only the first one was, an owner
 // whose answer had come too late went on refusing the request to all nodes for up to 10 s.
 func (s *Suspects) EndRun(f site.Fingerprint) {
 	s.register.EndRun(f)
--- a/service/suspects/learn.go
+++ b/service/suspects/learn.go
@@ -15,8 +15,8 @@
 	LearnInterval = 100 * time.Millisecond
 	// maxLearnWait bounds how long the first requests of a node wait until it knows the
 	// blocked requests. It covers a start of all nodes while the store refuses this one:
-	// the others know nothing either until they have read the store, which takes some 0.2
-	// s.
+	// the others know nothing either until they have read the store, which takes about
+	// 0.2 s.
 	maxLearnWait = time.Second
 )
 
@@ -24,13 +24,13 @@
 type learning struct {
 	// done is closed once requests need not wait any more.
 	done chan struct{}
-	// waiting says that a request has waited and the time limit runs.
+	// waiting means that a request has waited and the time limit runs.
 	waiting bool
-	// learned says that the node knows the blocked requests.
+	// learned means that the node knows the blocked requests.
 	learned bool
 }
 
-// MarkLearned notes that the node knows the blocked requests.
+// MarkLearned records that the node knows the blocked requests.
 func (s *Suspects) MarkLearned() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// hasLearned says whether the node knows the blocked requests.
+// hasLearned reports whether the node knows the blocked requests.
 func (s *Suspects) hasLearned() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/service/suspects/notes.go
+++ b/service/suspects/notes.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// NoteCases carries cases of requests under which replicas ended.
+	// NoteCases carries cases of requests.
 	NoteCases = "suspects.cases"
 	// NoteDigest carries the digest of the watched and blocked requests that a node knows.
 	NoteDigest = "suspects.digest"
@@ -72,13 +72,13 @@
 // casesNote holds the parameters of NoteCases.
 type casesNote struct {
 	Cases []caseMessage `json:"c"`
-	// Collect says that the receiver is an owner of the request, and tells all nodes once
-	// the request is watched or blocked.
+	// Collect means that the receiver is an owner of the request, and notifies all nodes
+	// once the request is watched or blocked.
 	Collect bool `json:"o,omitempty"`
-	// Relay says that the receiver forwards the note to its hall.
+	// Relay means that the receiver forwards the note to its hall.
 	Relay bool `json:"p,omitempty"`
-	// FromDigest says that the note answers a digest that differed, so the receiver missed
-	// what all nodes were told.
+	// FromDigest means that the note answers a digest that differed, so the receiver may
+	// have missed a broadcast.
 	FromDigest bool `json:"m,omitempty"`
 }
 
@@ -86,17 +86,17 @@
 type digestNote struct {
 	From   netip.AddrPort `json:"f"`
 	Digest uint64         `json:"d"`
-	// Answer says that the note answers another digest.
+	// Answer means that the note answers another digest.
 	Answer bool `json:"a,omitempty"`
-	// Learning says that the sender has just started and needs an answer even if both
-	// digests are equal. Learned says that the sender of an answer knows the blocked
+	// Learning means that the sender has just started and needs an answer even if both
+	// digests are equal. Learned means that the sender of an answer knows the blocked
 	// requests.
 	Learning bool `json:"l,omitempty"`
 	Learned  bool `json:"k,omitempty"`
 }
 
-// announce tells other nodes what this one has seen of a request: all nodes if it is or was
-// watched or blocked, otherwise its owners.
+// announce sends a case to other nodes: to all if the request is or was watched or blocked,
+// otherwise to its owners.
 func (s *Suspects) announce(c suspect.Case, change suspect.MergeResult, now time.Time) {
 	if change.Before != suspect.Allowed || change.After != suspect.Allowed {
 		s.broadcast(c)
@@ -176,7 +176,7 @@
 
 // missedBlockAge is the age of the last event up to which a block counts as missed by the
 // hall. A node that has just started learns of older blocks by digest, too, and need not
-// tell its hall.
+// notify its hall.
 const missedBlockAge = 10 * time.Second
 
 // finishJitter spreads the announcements of nodes that have finished a request which others
@@ -195,7 +195,7 @@
 		s.broadcast(c)
 	case change.OwnFinish && received.Verdict() != suspect.Allowed:
 		time.AfterFunc(rand.N(finishJitter), func() {
-			if s.register.ShouldAnnounce(c.Content) {
+			if s.register.TryAnnounce(c.Content) {
 				s.broadcast(s.register.Case(c.Content))
 			}
 		})
--- a/service/suspects/suspects.go
+++ b/service/suspects/suspects.go
@@ -20,14 +20,15 @@
 	"github.com/drumpath/drumpath/pkg/suspect"
 )
 
-// Suspects holds what this node and the others know of requests under which replicas ended.
+// Suspects holds the evidence of this node and the others about requests that were in flight
+// at replicas that ended.
 //
-// A node tells a first end only to the few owners that the request hashes to; they tell all
-// nodes once the request is watched or blocked. A replica that ends has up to some dozens
-// of requests in flight. If all of them were told to all nodes, the loss of a hall would
-// cost each of 900 nodes 1.6 MB.
+// A node reports a first end only to the few owners that the request hashes to; they notify
+// all nodes once the request is watched or blocked. A replica that ends has up to some
+// dozens of requests in flight. If each were announced to all nodes, the loss of a hall
+// would cost each of 900 nodes 1.6 MB.
 //
-//	event                                told to
+//	event                                sent to
 //	first end seen at this node          owners of the request, twice
 //	further end, finish                  all nodes, twice
 //	differing digest, each second        one random node, both ways
@@ -41,7 +42,7 @@
 	log      *slog.Logger
 	notifier Notifier
 	metrics  metrics
-	// dial returns an error if an address takes no connection.
+	// dial returns an error if an address accepts no connections.
 	dial func(addr netip.AddrPort) error
 	wg   sync.WaitGroup
 
@@ -67,10 +68,10 @@
 type Notifier interface {
 	// SendNote sends a note to some nodes and returns the bytes sent.
 	SendNote(to []netip.AddrPort, method string, params any) (sent int)
-	// Recipients returns the nodes to send a broadcast to: those to tell directly, and
+	// Recipients returns the nodes to send a broadcast to: those that get it directly, and
 	// relays that forward it to their halls. Each try has other relays.
 	Recipients(try int) (direct, relays []netip.AddrPort)
-	// HallPeers are the other nodes of this node's hall.
+	// HallPeers returns the other nodes of this node's hall.
 	HallPeers() []netip.AddrPort
 }
 
@@ -89,13 +90,13 @@
 type LostRun struct {
 	Content   site.Fingerprint
 	QuickHash uint64
-	RequestID string // The caller's request ID.
+	RequestID string // The client's request ID.
 	Replica   string // The replica's ID.
 	StartKey  string // From StartKeyOf.
 	Addr      netip.AddrPort
 	StartedAt time.Time
 	LostAt    time.Time // When the answer was lost.
-	// Reachable says that the replica took a connection afterwards.
+	// Reachable means that the replica accepted a connection afterwards.
 	Reachable bool
 }
 
@@ -111,7 +112,7 @@
 	// listedWindow is the same for a replica that the platform's list drops, which takes up
 	// to three of its heartbeats, or lists with a new start.
 	listedWindow = 10 * time.Second
-	// dialTimeout bounds a check whether a replica takes connections, which takes some
+	// dialTimeout bounds a check whether a replica accepts connections, which takes some
 	// milliseconds.
 	dialTimeout = 400 * time.Millisecond
 	// maxRunTime is longer than any request may take.
@@ -123,8 +124,8 @@
 	maxFirstEndsPerSecond = 100
 )
 
-// New returns a Suspects that knows no requests. Without a store, what is known is lost
-// when all nodes stop. SetNotifier must be called before any other method.
+// New returns a Suspects without evidence. Without a store, the evidence is lost when all
+// nodes stop. SetNotifier must be called before any other method.
 func New(self control.Member, members *control.Members, store Store, client Caller, log *slog.Logger) *Suspects {
 	return &Suspects{
 		self:       self,
@@ -154,10 +155,10 @@
 // SetNotifier sets how notes are sent to other nodes.
 func (s *Suspects) SetNotifier(n Notifier) { s.notifier = n }
 
-// Empty says whether nothing is known of any request.
+// Empty reports whether there is no evidence about any request.
 func (s *Suspects) Empty() bool { return s.register.Empty() }
 
-// Case returns what is known of a request.
+// Case returns the evidence about a request.
 func (s *Suspects) Case(f site.Fingerprint) suspect.Case { return s.register.Case(f) }
 
 // StartKeyOf identifies one start of a replica. started is zero if it is not known.
@@ -168,12 +169,12 @@
 	return id + "@" + strconv.FormatInt(started.UnixMilli(), 10)
 }
 
-// NotListening says whether the error of a new connection shows that no process listens at
+// NotListening reports whether the error of a new connection shows that no process listens at
 // its address. Timeouts don't show that: when the network is cut, every replica would seem
 // to have ended.
 func NotListening(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// RecordLostRun notes a request whose replica may have ended. If the replica was delisted
+// RecordLostRun records a request whose replica may have ended. If the replica was delisted
 // while its answer was awaited, RecordLostRun checks whether it has ended.
 func (s *Suspects) RecordLostRun(run LostRun) {
 	s.mu.Lock()
@@ -200,7 +201,7 @@
 	})
 }
 
-// markReachable notes that a replica takes connections.
+// markReachable records that a replica accepts connections.
 func (s *Suspects) markReachable(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,7 +212,7 @@
 	}
 }
 
-// recordDelistedAt notes when a replica was delisted.
+// recordDelistedAt records when a replica was delisted.
 func (s *Suspects) recordDelistedAt(id string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,7 +226,7 @@
 	maps.DeleteFunc(s.delistedAt, func(_ string, at time.Time) bool { return now.Sub(at) > maxRunTime })
 }
 
-// RecordNotListening notes that nothing listens any more at the address of one start of a
+// RecordNotListening records that nothing listens any more at the address of one start of a
 // replica.
 func (s *Suspects) RecordNotListening(startKey string, now time.Time) {
 	s.confirmEnds(now, func(r *LostRun) bool {
@@ -233,7 +234,7 @@
 	})
 }
 
-// RecordDelisted notes that the platform no longer lists a replica that had not reported to
+// RecordDelisted records that the platform no longer lists a replica that had not reported to
 // be draining. If answers of it were lost, RecordDelisted checks whether it has ended.
 func (s *Suspects) RecordDelisted(id string, now time.Time) {
 	s.recordDelistedAt(id, now)
@@ -249,7 +250,7 @@
 	}
 }
 
-// RecordRestart notes that a replica that had not reported to be draining has restarted
+// RecordRestart records that a replica that had not reported to be draining has restarted
 // under its ID.
 func (s *Suspects) RecordRestart(id string, now time.Time) {
 	s.confirmEnds(now, func(r *LostRun) bool { return r.Replica == id })
@@ -278,7 +279,7 @@
 	}
 }
 
-// RecordEnd notes that a replica ended while a request was in flight there.
+// RecordEnd records that a replica ended while a request was in flight there.
 func (s *Suspects) RecordEnd(r LostRun, now time.Time) {
 	change := s.register.Merge(suspect.Case{
 		Content:   r.Content,
@@ -295,9 +296,9 @@
 	}
 }
 
-// RecordFinish notes that a replica finished a request.
+// RecordFinish records that a replica finished a request.
 func (s *Suspects) RecordFinish(quickHash uint64, content func() site.Fingerprint, now time.Time) {
-	s.register.Finished(quickHash, now)
+	s.register.RecordFinish(quickHash, now)
 	if s.register.Empty() {
 		return // Nothing has to be hashed.
 	}
@@ -308,7 +309,7 @@
 	change := s.register.Merge(suspect.Case{Content: f, QuickHash: quickHash, Finished: now})
 	c := s.register.Case(f)
 	s.logChange(c, change)
-	if change.New && s.register.ShouldAnnounce(f) {
+	if change.New && s.register.TryAnnounce(f) {
 		s.announce(c, change, now)
 	}
 }
@@ -325,7 +326,7 @@
 	s.log.Warn("request suspected", "content", c.Content, "verdict", change.After.String(), "ends", len(c.Ends), "replicas", c.Replicas())
 }
 
-// owners are the nodes that collect the evidence about a request and grant its runs.
+// owners returns the nodes that collect the evidence about a request and grant its runs.
 func (s *Suspects) owners(f site.Fingerprint) []control.Member {
 	return control.Owners(s.members.View().Working, ownerDutyPrefix+f.String(), ownerCount)
 }
--- a/service/suspects/suspects_test.go
+++ b/service/suspects/suspects_test.go
@@ -72,7 +72,7 @@
 	return s
 }
 
-// disconnected says whether no messages pass between two nodes.
+// disconnected reports whether no messages pass between two nodes.
 func (cluster *testCluster) disconnected(a, b string) bool {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -105,7 +105,7 @@
 	cluster *testCluster
 }
 
-// smallHall is the number of nodes up to which all nodes of a hall are told directly.
+// smallHall is the number of nodes up to which all nodes of a hall get a broadcast directly.
 const smallHall = 8
 
 // Recipients returns relays for large halls, others at each try.
@@ -179,16 +179,16 @@
 	return err
 }
 
-var deadlyContent = site.NewFingerprint("org-one", "POST", "h", "/x", []byte("deadly"))
+var crashContent = site.NewFingerprint("org-one", "POST", "h", "/x", []byte("deadly"))
 
-// runDeadly sends a request from a node; its replica ends after 0.1 s.
-func (cluster *testCluster) runDeadly(s *Suspects) {
-	c := s.register.Case(deadlyContent)
+// sendCrashRequest sends a request from a node; its replica ends after 0.1 s.
+func (cluster *testCluster) sendCrashRequest(s *Suspects) {
+	c := s.register.Case(crashContent)
 	switch c.Verdict() {
 	case suspect.Blocked:
 		return
 	case suspect.Watched:
-		if !s.MayRun(context.Background(), deadlyContent, 4*time.Second) {
+		if !s.StartRun(context.Background(), crashContent, 4*time.Second) {
 			return
 		}
 	}
@@ -202,12 +202,12 @@
 	cluster.mu.Lock()
 	cluster.endedAt = append(cluster.endedAt, now)
 	cluster.mu.Unlock()
-	s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: startedAt, LostAt: now}, now)
+	s.RecordEnd(LostRun{Content: crashContent, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: startedAt, LostAt: now}, now)
 }
 
-// repeatDeadly calls runDeadly at random nodes at a fixed interval, also while earlier runs
-// are in progress.
-func (cluster *testCluster) repeatDeadly(every, d time.Duration, nodes []*Suspects) {
+// repeatCrashRequest calls sendCrashRequest at random nodes at a fixed interval, also while
+// earlier runs are in progress.
+func (cluster *testCluster) repeatCrashRequest(every, d time.Duration, nodes []*Suspects) {
 	var wg sync.WaitGroup
 	startedAt := time.Now()
 	for next := startedAt; time.Since(startedAt) < d; next = next.Add(every) {
@@ -215,7 +215,7 @@
 		cluster.mu.Lock()
 		s := nodes[cluster.rnd.IntN(len(nodes))]
 		cluster.mu.Unlock()
-		wg.Go(func() { cluster.runDeadly(s) })
+		wg.Go(func() { cluster.sendCrashRequest(s) })
 	}
 	wg.Wait()
 }
@@ -256,7 +256,7 @@
 
 // A request that ends its replicas is repeated at random nodes four times a second. Notes
 // arrive after 5 ms, or after 0.1 to 1.3 s, and one in fifty is lost.
-func TestRepeatedDeadlyRequestIsBlockedAtAllSizes(t *testing.T) {
+func TestRepeatedCrashRequestIsBlockedAtAllSizes(t *testing.T) {
 	soon := func() time.Duration { return 5 * time.Millisecond }
 	late := func() time.Duration { return 100*time.Millisecond + rand.N(1200*time.Millisecond) }
 	for _, size := range []struct{ nodes, halls int }{{7, 3}, {71, 3}, {295, 5}, {900, 7}} {
@@ -266,7 +266,7 @@
 					ctx, cancel := context.WithCancel(t.Context())
 					cluster := newTestCluster(size.nodes, size.halls, noteDelay)
 					cluster.startSteps(ctx)
-					cluster.repeatDeadly(250*time.Millisecond, 12*time.Second, cluster.nodes)
+					cluster.repeatCrashRequest(250*time.Millisecond, 12*time.Second, cluster.nodes)
 					cancel()
 					time.Sleep(5 * time.Second)
 					t.Logf("%d replicas ended, %d runs later than %v", len(cluster.endedAt), cluster.runsAfterThirdEnd(blockDeadline), blockDeadline)
@@ -304,7 +304,7 @@
 				}
 			}
 			connected := slices.DeleteFunc(slices.Clone(cluster.nodes), func(s *Suspects) bool { return cluster.isolated[s.self.Name] })
-			cluster.repeatDeadly(40*time.Millisecond, 8*time.Second, connected)
+			cluster.repeatCrashRequest(40*time.Millisecond, 8*time.Second, connected)
 			cancel()
 			time.Sleep(2 * time.Second)
 			lateRuns += cluster.runsAfterThirdEnd(blockDeadline)
@@ -325,14 +325,14 @@
 		for _, s := range isolated {
 			cluster.isolated[s.self.Name] = true
 		}
-		cluster.repeatDeadly(250*time.Millisecond, 10*time.Second, cluster.nodes[20:])
+		cluster.repeatCrashRequest(250*time.Millisecond, 10*time.Second, cluster.nodes[20:])
 		ended := len(cluster.endedAt)
 		assert.Equal(t, cluster.runsAfterThirdEnd(blockDeadline), 0, "runs sent by connected nodes")
 		cluster.mu.Lock()
 		clear(cluster.isolated)
 		cluster.mu.Unlock()
 		time.Sleep(blockDeadline)
-		cluster.repeatDeadly(50*time.Millisecond, 3*time.Second, isolated)
+		cluster.repeatCrashRequest(50*time.Millisecond, 3*time.Second, isolated)
 		cancel()
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, ended >= 3, "%d replicas ended", ended)
@@ -376,18 +376,18 @@
 		cluster.startSteps(ctx) // A node that misses all notes learns of the finish by digest.
 		quickHash := uint64(99)
 		for _, s := range cluster.nodes[100:140] {
-			s.register.Finished(quickHash, time.Now())
+			s.register.RecordFinish(quickHash, time.Now())
 		}
 		now := time.Now()
 		for i, s := range cluster.nodes[:3] {
 			startKey := fmt.Sprint("replica", i)
-			s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: quickHash, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
+			s.RecordEnd(LostRun{Content: crashContent, QuickHash: quickHash, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
 		}
 		time.Sleep(blockDeadline)
 		cancel()
 		defer time.Sleep(2 * StepInterval)
 		for _, s := range cluster.nodes {
-			c := s.register.Case(deadlyContent)
+			c := s.register.Case(crashContent)
 			assert.Equal(t, c.Verdict(), suspect.Allowed, "%s", s.self.Name)
 		}
 	})
@@ -408,16 +408,16 @@
 			const quickHash = uint64(99)
 			finishedNodes, isolated := cluster.nodes[100:140], cluster.nodes[200+offset]
 			for _, s := range finishedNodes {
-				s.register.Finished(quickHash, time.Now())
+				s.register.RecordFinish(quickHash, time.Now())
 				cluster.setIsolated(true, s)
 			}
 			now := time.Now()
 			for i, s := range cluster.nodes[:2] {
 				startKey := fmt.Sprint("replica", i)
-				s.RecordEnd(LostRun{Content: deadlyContent, QuickHash: quickHash, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
+				s.RecordEnd(LostRun{Content: crashContent, QuickHash: quickHash, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
 			}
 			time.Sleep(blockDeadline)
-			c := isolated.register.Case(deadlyContent)
+			c := isolated.register.Case(crashContent)
 			assert.Equal(t, c.Verdict(), suspect.Watched)
 			cluster.setIsolated(true, isolated)
 			for _, s := range finishedNodes {
@@ -426,7 +426,7 @@
 			time.Sleep(2 * blockDeadline)
 			cluster.setIsolated(false, isolated)
 			time.Sleep(blockDeadline)
-			c = isolated.register.Case(deadlyContent)
+			c = isolated.register.Case(crashContent)
 			assert.Check(t, c.Verdict() == suspect.Allowed, "%s has not learnt of the finish within %v", isolated.self.Name, blockDeadline)
 		})
 	}
@@ -442,10 +442,10 @@
 		for i := range 2 {
 			now := time.Now()
 			startKey := fmt.Sprint("replica", i)
-			cluster.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
+			cluster.nodes[i].RecordEnd(LostRun{Content: crashContent, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
 			time.Sleep(time.Second)
 		}
-		owners := cluster.nodes[0].owners(deadlyContent)
+		owners := cluster.nodes[0].owners(crashContent)
 		others := slices.DeleteFunc(slices.Clone(cluster.nodes), func(s *Suspects) bool {
 			return slices.ContainsFunc(owners, func(o control.Member) bool { return o.Name == s.self.Name })
 		})
@@ -456,9 +456,9 @@
 				cluster.slowToAnswer[o.Name] = slow
 			}
 		}
-		mayRun := func(s *Suspects) bool { return s.MayRun(t.Context(), deadlyContent, 4*time.Second) }
+		mayRun := func(s *Suspects) bool { return s.StartRun(t.Context(), crashContent, 4*time.Second) }
 		endRun := func(s *Suspects) {
-			s.EndRun(deadlyContent)
+			s.EndRun(crashContent)
 			time.Sleep(50 * time.Millisecond)
 		}
 
@@ -497,7 +497,7 @@
 		for i := range 3 {
 			now := time.Now()
 			startKey := fmt.Sprint("replica", i)
-			cluster.nodes[i].RecordEnd(LostRun{Content: deadlyContent, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
+			cluster.nodes[i].RecordEnd(LostRun{Content: crashContent, QuickHash: 1, Replica: startKey, StartKey: startKey, StartedAt: now, LostAt: now}, now)
 			time.Sleep(time.Second)
 		}
 		cluster.setIsolated(false, starting)
@@ -508,7 +508,7 @@
 		waitStart := time.Now()
 		starting.WaitLearned(ctx)
 		assert.Assert(t, time.Since(waitStart) < 700*time.Millisecond, "%v", time.Since(waitStart))
-		c := starting.Case(deadlyContent)
+		c := starting.Case(crashContent)
 		assert.Equal(t, c.Verdict(), suspect.Blocked)
 		cancel()
 		time.Sleep(2 * time.Second)
@@ -559,7 +559,7 @@
 }
 
 // Lost answers alone are no evidence that replicas ended: a node whose own network is cut
-// loses those of all replicas. Nor does a replica count that takes connections again, or
+// loses those of all replicas. Nor does a replica count that accepts connections again, or
 // that goes on serving after it was delisted.
 func TestOnlyConfirmedEndsCount(t *testing.T) {
 	cluster := newTestCluster(3, 1, func() time.Duration { return 0 })
@@ -591,7 +591,7 @@
 	assert.Equal(t, len(s.lostRuns), 0, "old lost runs are forgotten")
 }
 
-// A replica that loses power may be delisted while a caller with a long deadline still
+// A replica that loses power may be delisted while a client with a long deadline still
 // waits for its answer. The end counts although the answer is given up only later.
 func TestReplicaDelistedBeforeTheAnswerIsLostCounts(t *testing.T) {
 	cluster := newTestCluster(1, 1, func() time.Duration { return 0 })
@@ -621,7 +621,7 @@
 	assert.Equal(t, store.writes, 0)
 	for i := range 3 {
 		startKey := fmt.Sprint("replica", i)
-		s.register.Merge(suspect.Case{Content: deadlyContent, QuickHash: 1, Ends: []suspect.ReplicaEnd{
+		s.register.Merge(suspect.Case{Content: crashContent, QuickHash: 1, Ends: []suspect.ReplicaEnd{
 			{Replica: startKey, StartedAt: now.Add(time.Duration(i)*time.Second - time.Minute), EndedAt: now.Add(time.Duration(i)*time.Second - 59500*time.Millisecond)},
 		}})
 	}
@@ -638,7 +638,7 @@
 	other.LoadRow(site.Row{Key: BlockedRowKey, Value: []byte("no JSON")}, time.Now())
 	assert.Assert(t, other.register.Empty())
 	other.LoadRow(store.row, time.Now())
-	c := other.register.Case(deadlyContent)
+	c := other.register.Case(crashContent)
 	assert.Equal(t, c.Verdict(), suspect.Blocked)
 	other.store = store
 	other.SaveRow(t.Context())
