--- a/pkg/prompt/chain.go
+++ b/pkg/prompt/chain.go
@@ -62,7 +62,7 @@
 // TokenCount returns the estimated number of tokens of a text.
 func TokenCount(text string) int { return (len(text) + BytesPerToken - 1) / BytesPerToken }
 
-// IsMark says whether chains have a mark at this number of chunks.
+// IsMark reports whether chains have a mark at this number of chunks.
 func IsMark(chunks int) bool {
 	i := sort.SearchInts(markPositions, chunks)
 	return i < len(markPositions) && markPositions[i] == chunks
--- a/pkg/prompt/directory.go
+++ b/pkg/prompt/directory.go
@@ -55,7 +55,7 @@
 	entries   map[Key]entry
 	overflow  map[Key][]locationID
 	locations map[locationID]location
-	hot       map[string]locationID         // By engine.
+	cached    map[string]locationID         // Engines' own caches, by engine.
 	stored    map[string]map[Key]locationID // By store and object key.
 	lastID    locationID
 }
@@ -68,7 +68,7 @@
 		entries:   map[Key]entry{},
 		overflow:  map[Key][]locationID{},
 		locations: map[locationID]location{},
-		hot:       map[string]locationID{},
+		cached:    map[string]locationID{},
 		stored:    map[string]map[Key]locationID{},
 	}
 }
@@ -108,25 +108,25 @@
 	return m
 }
 
-// AddHot records that an engine has the blocks of keys in its cache.
-func (d *Directory) AddHot(engine string, keys []Key, now time.Time) {
+// AddCached records that an engine has the blocks of keys in its cache.
+func (d *Directory) AddCached(engine string, keys []Key, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id, ok := d.hot[engine]
+	id, ok := d.cached[engine]
 	if !ok {
 		id = d.newLocation(location{upstream: engine})
-		d.hot[engine] = id
+		d.cached[engine] = id
 	}
 	for _, k := range keys {
 		d.addLocation(k, id, now)
 	}
 }
 
-// RemoveHot records that an engine no longer has the blocks of keys.
-func (d *Directory) RemoveHot(engine string, keys []Key) {
+// RemoveCached records that an engine no longer has the blocks of keys.
+func (d *Directory) RemoveCached(engine string, keys []Key) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id, ok := d.hot[engine]
+	id, ok := d.cached[engine]
 	if !ok {
 		return
 	}
@@ -140,8 +140,8 @@
 func (d *Directory) RemoveEngine(engine string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.locations, d.hot[engine])
-	delete(d.hot, engine)
+	delete(d.locations, d.cached[engine])
+	delete(d.cached, engine)
 }
 
 // AddStored records an object of a store under all marks that it covers.
@@ -202,7 +202,7 @@
 func (d *Directory) Stats() Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := Stats{Marks: len(d.entries), Engines: len(d.hot)}
+	s := Stats{Marks: len(d.entries), Engines: len(d.cached)}
 	for _, objects := range d.stored {
 		s.Objects += len(objects)
 	}
--- a/pkg/prompt/directory_test.go
+++ b/pkg/prompt/directory_test.go
@@ -23,7 +23,7 @@
 	d := NewDirectory(1000, testStart)
 	c := testChain(t, "a", 40)
 	assert.Equal(t, len(d.Observe(c.Marks, testStart).Locations), 0)
-	d.AddHot("e1", []Key{c.Marks[2].Key, c.Marks[5].Key}, testStart)
+	d.AddCached("e1", []Key{c.Marks[2].Key, c.Marks[5].Key}, testStart)
 	tail, _ := c.Tail()
 	d.AddStored("s1", Object{Key: tail.Key, Chunks: tail.Chunks, Generation: 7}, c.Marks, testStart)
 	m := d.Observe(c.Marks, testStart.Add(time.Minute))
@@ -37,7 +37,7 @@
 	assert.Equal(t, len(d.Observe(c.Marks, testStart).Locations), 0)
 }
 
-func TestOccurrencesShowWhichPrefixReturns(t *testing.T) {
+func TestOccurrencesShowWhichPrefixRecurs(t *testing.T) {
 	d := NewDirectory(1000, testStart)
 	spec := strings.Repeat("s", 32*ChunkBytes)
 	for i := range 3 {
@@ -69,26 +69,26 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewDirectory(1000, testStart)
-		hot := map[string]map[Key]bool{"e0": {}, "e1": {}, "e2": {}, "e3": {}}
+		cached := map[string]map[Key]bool{"e0": {}, "e1": {}, "e2": {}, "e3": {}}
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			c := chains[rapid.IntRange(0, len(chains)-1).Draw(t, "chain")]
 			mark := c.Marks[rapid.IntRange(0, len(c.Marks)-1).Draw(t, "mark")]
 			engine := fmt.Sprint("e", rapid.IntRange(0, 3).Draw(t, "engine"))
 			switch rapid.IntRange(0, 2).Draw(t, "op") {
 			case 0:
-				d.AddHot(engine, []Key{mark.Key}, testStart)
-				hot[engine][mark.Key] = true
+				d.AddCached(engine, []Key{mark.Key}, testStart)
+				cached[engine][mark.Key] = true
 			case 1:
-				d.RemoveHot(engine, []Key{mark.Key})
-				delete(hot[engine], mark.Key)
+				d.RemoveCached(engine, []Key{mark.Key})
+				delete(cached[engine], mark.Key)
 			case 2:
 				d.RemoveEngine(engine)
-				clear(hot[engine])
+				clear(cached[engine])
 			}
 		}
 		for _, c := range chains {
 			want := map[string]int{}
-			for engine, keys := range hot {
+			for engine, keys := range cached {
 				for _, mark := range c.Marks {
 					if keys[mark.Key] {
 						want[engine] = mark.Chunks
@@ -134,7 +134,7 @@
 			for i := range prompts {
 				marks := syntheticMarks(i, benchMarks)
 				d.Observe(marks, testStart)
-				d.AddHot("engine", []Key{marks[30].Key}, testStart)
+				d.AddCached("engine", []Key{marks[30].Key}, testStart)
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
--- a/service/node/directory.go
+++ b/service/node/directory.go
@@ -210,9 +210,9 @@
 		d.local.RemoveEngine(req.Upstream)
 		d.local.RetainStored(req.Upstream, func(prompt.Object) bool { return false })
 	}
-	d.local.RemoveHot(req.Upstream, removed)
+	d.local.RemoveCached(req.Upstream, removed)
 	if len(added) > 0 {
-		d.local.AddHot(req.Upstream, added, now)
+		d.local.AddCached(req.Upstream, added, now)
 	}
 	for _, key := range req.Freed {
 		d.local.RemoveStored(req.Upstream, key)
