--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -198,10 +198,10 @@
 	return n
 }
 
-// effectiveRate is the rate at which tokens are granted.
+// effectiveRate returns the rate at which tokens are granted.
 func (b *bucket) effectiveRate() float64 { return max(minRate, b.rate.PerSecond) }
 
-// capacity is the largest number of tokens in the bucket.
+// capacity returns the largest number of tokens in the bucket.
 func (b *bucket) capacity() float64 { return 1 + b.effectiveRate()*burstWindow.Seconds() }
 
 // refill adds the tokens accrued since the last refill.
--- a/pkg/quota/ledger_test.go
+++ b/pkg/quota/ledger_test.go
@@ -31,7 +31,7 @@
 
 func TestLedgerGrantsAtRate(t *testing.T) {
 	for _, c := range []struct {
-		rate, part  float64
+		rate, share float64
 		least, most int // In 10 s.
 	}{
 		{0, 1, 2, 3}, // One in 4 s, so that a later rise is noticed.
@@ -44,8 +44,8 @@
 	} {
 		l := NewLedger()
 		assert.Equal(t, l.Observe("s", rateAt(c.rate, 0), atMillis(0)), ChangeSet)
-		granted := totalGranted(l, c.part, 0, 10_000)
-		assert.Assert(t, granted >= c.least && granted <= c.most, "%g a second, part %g: %d", c.rate, c.part, granted)
+		granted := totalGranted(l, c.share, 0, 10_000)
+		assert.Assert(t, granted >= c.least && granted <= c.most, "%g a second, share %g: %d", c.rate, c.share, granted)
 	}
 }
 
--- a/pkg/rollout/doc.go
+++ b/pkg/rollout/doc.go
@@ -1,6 +1,6 @@
-// Package rollout brings replicas to the newest weights of their models.
+// Package rollout updates replicas to the newest weights of their models.
 //
-// The replicas are divided into groups. In each group one node at a time gives orders,
+// The replicas are divided into groups. In each group one node at a time sends orders,
 // under a lease in the platform's store. It swaps few replicas at once, and has all nodes
 // send requests elsewhere shortly before a swap, so that few requests are interrupted by
 // it.
--- a/pkg/rollout/lease.go
+++ b/pkg/rollout/lease.go
@@ -29,7 +29,7 @@
 	takeoverMargin = 300 * time.Millisecond
 )
 
-// Lease says whether this node may give orders.
+// Lease is a node's right to send the orders of one group of replicas.
 //
 // The store returns the time on its monotonic clock with each answer. A holder writes the
 // end of its lease on that clock. It measures its own validity on its own boot-time clock,
@@ -52,7 +52,7 @@
 	storeClock       time.Duration
 	storeClockReadAt time.Time // When storeClock was requested, on this node's clock.
 	nextTry          time.Time // Earliest time of the next attempt to acquire.
-	closed           bool      // It must not be acquired again.
+	closed           bool      // Set by Close; the lease must not be acquired again.
 }
 
 type leaseRow struct {
@@ -61,28 +61,28 @@
 	Until  time.Duration `json:"until_ns"` // On the store's clock.
 }
 
-// NewLease returns a lease that is not held. pause is the least time between the orders of
+// NewLease returns a lease that is not held. pause is the minimum time between the orders of
 // two holders.
 func NewLease(key, node string, pause time.Duration, store Store, log *slog.Logger) *Lease {
 	return &Lease{key: key, node: node, takeoverPause: pause, store: store, log: log, now: boottime.RefreshNow}
 }
 
-// Held says whether an order may be given now. It is called just before each order.
+// Held reports whether an order may be sent now. It is called just before each order.
 func (l *Lease) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.now().Before(l.validUntil)
 }
 
-// Fence is the number that is sent with orders; it rises with each new holder.
+// Fence returns the number to send with orders; it rises with each new holder.
 func (l *Lease) Fence() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.row.Fence
 }
 
-// AcquireOrRenew acquires the lease if it is free, or renews it when that is due, and says
-// whether it is held.
+// AcquireOrRenew acquires the lease if it is free, or renews it when that is due, and
+// reports whether it is held.
 func (l *Lease) AcquireOrRenew(ctx context.Context) bool {
 	l.mu.Lock()
 	closed := l.closed
@@ -101,7 +101,7 @@
 	return l.tryAcquire(ctx)
 }
 
-// acquireRetryPause is the least pause between two attempts to acquire the lease when
+// acquireRetryPause is the minimum pause between two attempts to acquire the lease when
 // another node holds it or the store fails.
 const acquireRetryPause = 400 * time.Millisecond
 
@@ -143,7 +143,7 @@
 	l.Release(ctx)
 }
 
-// read loads the row and says whether the lease is free, or in what time it could be.
+// read loads the row and reports whether the lease is free, or in how long it could be.
 func (l *Lease) read(ctx context.Context) (free bool, freeIn time.Duration) {
 	askedAt := l.now()
 	listing, err := l.store.List(ctx, site.TableLeases)
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -23,19 +23,19 @@
 	Order(ctx context.Context, addr netip.AddrPort, o site.Order) (site.OrderOutcome, error)
 }
 
-// Fleet lists the replicas and is told of the progress of swaps.
+// Fleet lists the replicas and records the progress of swaps.
 type Fleet interface {
 	// Targets lists the replicas of all models that have a configured weight version.
 	Targets() []Target
-	// Rank is how many nodes precede this one for a duty.
+	// Rank returns how many nodes precede this one for a duty.
 	Rank(duty string) int
 	// AvoidForSwap has all nodes send requests to other replicas for a while.
 	AvoidForSwap(t Target, d time.Duration)
 	// CountSwapping counts the replicas that any node has marked with AvoidForSwap.
 	CountSwapping() int
-	// RecordWeights notes the version that a replica reports to serve.
+	// RecordWeights records the version that a replica reports to serve.
 	RecordWeights(t Target, version int64)
-	// RecordDraining notes that a replica reports to be draining.
+	// RecordDraining records that a replica reports to be draining.
 	RecordDraining(t Target)
 }
 
@@ -46,7 +46,7 @@
 	Version int64
 }
 
-// outdated says whether the replica still needs a swap.
+// outdated reports whether the replica still needs a swap.
 func (t *Target) outdated() bool { return t.Weights[t.Model] < t.Version }
 
 const (
@@ -61,8 +61,8 @@
 	// groupStagger is the delay between the starts of consecutive groups, so that a holder
 	// knows of the swaps that earlier groups have begun.
 	groupStagger = 60 * time.Millisecond
-	// rankDelay is how long a node leaves a lease to each node of lower rank, so that in a
-	// large fleet only a few nodes ask the store for it.
+	// rankDelay times its rank is how long a node waits before it tries to acquire a lease,
+	// so that in a large fleet only a few nodes ask the store for it.
 	rankDelay = time.Second
 	// avoidLead is how long before an order requests are sent to other replicas, so that
 	// most requests in flight finish.
@@ -94,7 +94,7 @@
 	wg sync.WaitGroup
 }
 
-// group is a part of the replicas whose orders are given under one lease.
+// group is a part of the replicas whose orders are sent under one lease.
 type group struct {
 	name  string
 	lease *Lease
@@ -132,13 +132,13 @@
 type swap struct {
 	backoffUntil time.Time // Once ended: no new swap before.
 	ended        bool
-	// slotFreeAt is from when on another swap may begin: this replica is expected to have
-	// loaded by the time that requests avoid the next one.
+	// slotFreeAt is when another swap may begin: by the time requests avoid the next
+	// replica, this one is expected to have loaded its weights.
 	slotFreeAt time.Time
 }
 
-// New returns a rollout that gives orders in a node's name. pause is the least time between
-// the orders of two nodes to one replica.
+// New returns a rollout that sends orders as the given node. pause is the minimum time
+// between the orders of two nodes to one replica.
 func New(node string, pause time.Duration, store Store, engines EngineClient, fleet Fleet, log *slog.Logger) *Rollout {
 	r := &Rollout{node: node, engines: engines, fleet: fleet, log: log, now: boottime.RefreshNow}
 	for i := range r.groups {
@@ -196,10 +196,10 @@
 	return swapLimits{group: maxSwaps(size), total: maxSwaps(total), startDelay: time.Duration(i) * groupStagger}
 }
 
-// maxSwaps is how many of size replicas may be swapped at once.
+// maxSwaps returns how many of size replicas may be swapped at once.
 func maxSwaps(size int) int { return max(1, int(math.Round(maxSwapShare*float64(size)))) }
 
-// hasWork says whether a group has replicas to swap, swaps in progress or a lease to
+// hasWork reports whether a group has replicas to swap, swaps in progress or a lease to
 // release.
 func (r *Rollout) hasWork(g *group, outdated []Target) bool {
 	g.mu.Lock()
@@ -290,7 +290,7 @@
 	})
 }
 
-// reserveSwap says whether another replica may be swapped under the limit for all groups,
+// reserveSwap reports whether another replica may be swapped under the limit for all groups,
 // and if so marks it with AvoidForSwap. Groups run concurrently, so both happen under one
 // lock.
 func (r *Rollout) reserveSwap(t Target, limit int) bool {
@@ -303,7 +303,7 @@
 	return true
 }
 
-// swapReplica brings one replica to its weights and returns its backoff.
+// swapReplica updates one replica to its target weights and returns its backoff.
 func (r *Rollout) swapReplica(ctx context.Context, g *group, t Target) time.Duration {
 	r.sleep(avoidLead)
 	end := r.now().Add(orderTimeout)
@@ -344,7 +344,7 @@
 	return swapBackoff
 }
 
-// sendOrder sends the order and says whether the replica may have accepted it.
+// sendOrder sends the order and reports whether the replica may have accepted it.
 func (r *Rollout) sendOrder(ctx context.Context, g *group, t Target, ordersBefore int64) bool {
 	if !g.lease.Held() {
 		return false
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -77,8 +77,8 @@
 	order   site.Order
 }
 
-// fakeFleet simulates replicas that take loadTime to load weights, and records what it is
-// told of swaps.
+// fakeFleet simulates replicas that take loadTime to load weights, and records orders and
+// the progress of swaps.
 type fakeFleet struct {
 	mu           sync.Mutex
 	replicas     map[string]*fakeReplica
@@ -379,7 +379,7 @@
 	})
 }
 
-func TestUnansweredOrderIsNotGivenTwice(t *testing.T) {
+func TestUnansweredOrderIsNotSentTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newMemoryStore(), newFakeFleet(6)
 		f.dropAnswers = true
--- a/service/ratelimit/grants.go
+++ b/service/ratelimit/grants.go
@@ -27,7 +27,7 @@
 	// holds only for that start of the replica.
 	Started   int64   `json:"t,omitempty"`
 	PerSecond float64 `json:"p"`
-	// Ended means that the replica no longer names a limit.
+	// Ended means that the replica no longer states a limit.
 	Ended bool `json:"e,omitempty"`
 	// AgeMS is how many milliseconds ago this was observed.
 	AgeMS int64 `json:"a"`
@@ -65,8 +65,8 @@
 	Rate *RateUpdate `json:"rate,omitempty"`
 }
 
-// MaySend reports whether a request may be sent to a replica now. If the replica names a
-// limit, that takes a grant from its owner, which may be this node.
+// MaySend reports whether a request may be sent to a replica now. If the replica states
+// a limit, it uses up a grant from the replica's owner, which may be this node.
 func (l *Limits) MaySend(ctx context.Context, u *site.Upstream) bool {
 	if l.ledger.Empty() {
 		return true // Saves building the start key.
--- a/service/ratelimit/limits.go
+++ b/service/ratelimit/limits.go
@@ -15,14 +15,14 @@
 	"github.com/drumpath/drumpath/pkg/site"
 )
 
-// Limits enforces the rate limits of replicas, which say in their answers how many requests a
-// second they take from all nodes together. Nodes exchange what they learn:
+// Limits enforces the rate limits of replicas, which state in their answers how many requests a
+// second they accept from all nodes together. Nodes exchange what they learn:
 //
-//	event                              sent to
-//	an answer names a first limit      all nodes
-//	an answer names another limit      the replica's owner
-//	an answer names no limit any more  the owner, which tells all nodes
-//	a node wants to send               the owner, which answers with a grant
+//	event                               sent to
+//	an answer states a first limit      all nodes
+//	an answer states another limit      the replica's owner
+//	an answer states no limit any more  the owner, which notifies all nodes
+//	a node wants to send                the owner, which answers with a grant
 //
 // The owner is chosen by rendezvous hashing among the working nodes. A node grants nothing if
 // it believes that another node is the owner, or if it has just started and is not yet in
@@ -130,7 +130,7 @@
 	}
 }
 
-// observeRate records a limit that an answer names.
+// observeRate records a limit that an answer states.
 func (l *Limits) observeRate(u *site.Upstream, rate quota.Rate, now time.Time) {
 	switch l.observe(u, rate, now) {
 	case quota.ChangeSet:
@@ -140,7 +140,7 @@
 	}
 }
 
-// observeNoRate records that an answer names no limit.
+// observeNoRate records that an answer states no limit.
 func (l *Limits) observeNoRate(u *site.Upstream, sent, now time.Time) {
 	rate, limited := l.activeRate(u.StartKey())
 	if !limited || !sent.After(rate.ObservedAt) {
@@ -199,7 +199,7 @@
 	return owner
 }
 
-// grantShare is the share of a rate that this node grants: the share of nodes that it doesn't
+// grantShare returns the share of a rate that this node grants: the share of nodes that it doesn't
 // consider dead.
 func (l *Limits) grantShare() float64 {
 	all, dead := l.members.View().All, 0
--- a/service/ratelimit/ratelimit_test.go
+++ b/service/ratelimit/ratelimit_test.go
@@ -179,7 +179,7 @@
 	return f.byPeer[addr]
 }
 
-// setLimit sets the limit that the replica names from now on; negative for none.
+// setLimit sets the limit that the replica states from now on; negative for none.
 func (f *fleet) setLimit(limit float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -249,7 +249,7 @@
 	return len(f.sentAt)
 }
 
-// allowedPerWindow is the most requests that all nodes together may send in 4 s.
+// allowedPerWindow returns the most requests that all nodes together may send in 4 s.
 func allowedPerWindow(rate float64) float64 { return 6*rate + 5 }
 
 func delayUpTo(ms int) func() time.Duration {
@@ -409,7 +409,7 @@
 			f.nodes[0].Spend(f.replica)
 		}
 		f.sendLoad(20, 4*time.Second)
-		assert.Assert(t, f.sentCount()-before <= 5, "%d sent beside 8 orders where 8 are named in 4 s", f.sentCount()-before)
+		assert.Assert(t, f.sentCount()-before <= 5, "%d sent beside 8 orders where 8 are allowed in 4 s", f.sentCount()-before)
 	})
 }
 
