--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -266,7 +266,7 @@
 	{
 		"suspects: owners broadcast changes to all nodes", "service/suspects/notes.go",
 		"	case collect && change.New && change.After != suspect.Allowed:\n		s.broadcast(c)\n", "",
-		"./service/suspects", "TestRepeatedDeadlyRequestIsBlockedAtAllSizes",
+		"./service/suspects", "TestRepeatedCrashRequestIsBlockedAtAllSizes",
 	},
 	{
 		"suspects: nodes compare digests of their records", "service/suspects/notes.go",
--- a/pkg/httpjson/progress_conn.go
+++ b/pkg/httpjson/progress_conn.go
@@ -36,7 +36,7 @@
 	idle bool
 }
 
-// errClosedWhileIdle says that the server had closed the connection before anything
+// errClosedWhileIdle means that the server had closed the connection before anything
 // of the call was sent on it.
 var errClosedWhileIdle = errors.New("connection was closed while it rested")
 
