--- a/pkg/explain/cause.go
+++ b/pkg/explain/cause.go
@@ -10,8 +10,8 @@
 // slowFirstByte is the time to the first byte from which on its causes are listed.
 const slowFirstByte = 300 * time.Millisecond
 
-// cause returns the sentence that explains a request's end; failed says that it got no
-// successful answer.
+// cause returns the sentence that explains a request's end; failed reports whether it got
+// no successful answer.
 func cause(r *Report) (sentence string, failed bool) {
 	last := &r.Lines[len(r.Lines)-1]
 	switch last.Msg {
--- a/pkg/explain/report.go
+++ b/pkg/explain/report.go
@@ -19,7 +19,7 @@
 	Before []Line
 	// Cause is a short text that says why the request ended as it did.
 	Cause string
-	// Failed says that the request got no successful answer.
+	// Failed is true if the request got no successful answer.
 	Failed bool
 }
 
@@ -76,13 +76,14 @@
 	if last < 0 {
 		return r, ErrRequestNotFound
 	}
-	r.Before = nodeStateBefore(all[:last], nodes, replicas, contents)
+	r.Before = stateBefore(all[:last], nodes, replicas, contents)
 	r.Cause, r.Failed = cause(&r)
 	return r, nil
 }
 
 // nodeMessages are messages whose last occurrence at a node shows that node's state.
-// The value is the attribute by which such lines are kept apart.
+// The value is the attribute that distinguishes such lines; the last line of each value
+// is reported.
 var nodeMessages = map[string]string{
 	"configuration in force": "",
 	"weights named":          "model",
@@ -109,8 +110,8 @@
 	"replica not reached":        "replica",
 }
 
-// contentMessages are messages of any node about a content, whichever request had it. The
-// value is the attribute by which such lines are kept apart.
+// contentMessages are messages of any node about requests with the same content as the
+// reported one. The value is the attribute that distinguishes such lines.
 var contentMessages = map[string]string{
 	"replica ended under a request": "replica",
 	"request suspected":             "verdict",
@@ -124,25 +125,25 @@
 	"store of kept state back": "store of kept state lost",
 }
 
-func nodeStateBefore(all []Line, nodes, replicas, contents map[string]bool) []Line {
-	kept := map[string]Line{}
+func stateBefore(all []Line, nodes, replicas, contents map[string]bool) []Line {
+	latest := map[string]Line{}
 	for _, l := range all {
 		if key, ok := nodeMessages[l.Msg]; ok && nodes[l.Node] {
 			kind := l.Msg
 			if opposite, paired := supersedes[kind]; paired {
 				kind = opposite
 			}
-			kept[l.Node+"\x00"+kind+"\x00"+l.Text(key)] = l
+			latest[l.Node+"\x00"+kind+"\x00"+l.Text(key)] = l
 		}
 		if key, ok := replicaMessages[l.Msg]; ok && replicas[l.Text(key)] {
-			kept[l.Msg+"\x00"+l.Text(key)] = l
+			latest[l.Msg+"\x00"+l.Text(key)] = l
 		}
 		if key, ok := contentMessages[l.Msg]; ok && contents[l.Text("content")] {
-			kept[l.Msg+"\x00"+l.Text(key)] = l
+			latest[l.Msg+"\x00"+l.Text(key)] = l
 		}
 	}
-	list := make([]Line, 0, len(kept))
-	for _, l := range kept {
+	list := make([]Line, 0, len(latest))
+	for _, l := range latest {
 		list = append(list, l)
 	}
 	slices.SortFunc(list, func(a, b Line) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.seq, b.seq)) })
--- a/pkg/explain/report_test.go
+++ b/pkg/explain/report_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestStateBeforeIsThatOfTheRequestsNodes(t *testing.T) {
+func TestStateBeforeCoversOnlyTheRequestsNodes(t *testing.T) {
 	r, err := Read("r1", strings.NewReader(log))
 	assert.NilError(t, err)
 	assert.Equal(t, len(r.Lines), 3)
@@ -100,7 +100,6 @@
 	assert.ErrorIs(t, err, ErrRequestNotFound)
 }
 
-// Lines of different files are ordered by time.
 func TestLinesOfSeveralFilesAreOrderedByTime(t *testing.T) {
 	a := `n1 {"time":"2026-01-01T00:00:02Z","msg":"refused","request":"r","reason":"deadline","status":504,"attempts":1}`
 	b := `n2 {"time":"2026-01-01T00:00:01Z","msg":"answer lost","request":"r","replica":"x","err":"reset"}`
--- a/service/entry/dependencies.go
+++ b/service/entry/dependencies.go
@@ -12,7 +12,7 @@
 	"github.com/drumpath/drumpath/service/suspects"
 )
 
-// directory is the part of the directory of cached state that this package uses.
+// directory is the part of the directory of KV caches that this package uses.
 type directory interface {
 	Observe(ctx context.Context, chain prompt.Chain) prompt.Match
 	Placed(chain prompt.Chain, engine string)
--- a/service/entry/disconnect.go
+++ b/service/entry/disconnect.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// closed peeks at the connection: an end or an error instead of "nothing yet".
+// closed reports whether the client has closed the connection: peeking then returns an end
+// of file or an error, instead of EAGAIN.
 func (w *watchedConn) closed() bool {
 	closed := false
 	err := w.raw.Control(func(fd uintptr) {
--- a/service/entry/export.go
+++ b/service/entry/export.go
@@ -85,7 +85,7 @@
 }
 
 // enqueue adds a job unless one for the same key is in progress. It drops the job if
-// the queue is full, as the prompt will come again.
+// the queue is full; the next request with the prompt queues it again.
 func (e *exporter) enqueue(j exportJob) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/service/entry/imports.go
+++ b/service/entry/imports.go
@@ -52,9 +52,9 @@
 	close(shared.done)
 }
 
-// importState has the engine import a stored KV cache and reports whether that succeeded.
-// It gives up after the timeout, when recomputing is expected to be faster.
-func (r *Run) importState(engine *upstream.Engine, decision route.Decision) bool {
+// importKVCache has the engine import a stored KV cache and reports whether that succeeded.
+// It gives up after the timeout, from which on recomputing is expected to be faster.
+func (r *Run) importKVCache(engine *upstream.Engine, decision route.Decision) bool {
 	key := importKey{replica: decision.Replica, object: decision.Import.Object.Key, chunks: decision.Import.Chunks}
 	shared, first := r.imports.join(key)
 	if !first {
--- a/service/entry/metrics.go
+++ b/service/entry/metrics.go
@@ -2,8 +2,8 @@
 
 import "expvar"
 
-// Metrics are the counters of the HTTP interface. Whoever creates them publishes
-// them under "entry".
+// Metrics are the counters of the HTTP interface. The node publishes them under
+// "entry".
 type Metrics struct {
 	Requests        expvar.Int
 	Answered        expvar.Int
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -52,7 +52,7 @@
 	done             bool
 	sentAt           time.Time // Start of the current attempt.
 	engineStarted    time.Time // As reported with the answer; zero if unknown.
-	mayRun           bool      // Suspects.StartRun permitted it, as engines have ended under its prompt.
+	mayRun           bool      // Suspects.StartRun has permitted this run of a watched prompt.
 }
 
 // Sources of a prompt's reused KV cache, as reported in the usage. SourceHot means that the
@@ -84,7 +84,7 @@
 }
 
 // selectWeights fixes the weight version for the rest of the run. It is part of the
-// prompt's cache keys, so the cached state is looked up here too.
+// prompt's cache keys, so the directory of KV caches is queried here too.
 func (r *Run) selectWeights() {
 	state := r.deps.State.State()
 	r.weights = r.deps.Fleet.ServedWeights(r.call.Model, state.Models[r.call.Model].Weights)
@@ -92,7 +92,7 @@
 	r.match = r.deps.Directory.Observe(r.ctx, r.chain)
 }
 
-// admit waits until the organisation's share lets the request in.
+// admit waits until the request is admitted under its organisation's share.
 func (r *Run) admit() *Failure {
 	limit := r.call.Received.Add(r.deps.Settings.Limits.QueueWait.Std())
 	if d := r.call.Deadline; !d.IsZero() {
@@ -127,7 +127,7 @@
 		return clientGoneFailure()
 	case <-timer.C:
 	}
-	if refused, inside := admission.GiveUp(time.Now()); !inside {
+	if refused, admitted := admission.GiveUp(time.Now()); !admitted {
 		return admissionRefusal(refused)
 	}
 	return nil
@@ -191,22 +191,22 @@
 		Exclude:  r.excluded,
 	}, now)
 	if err != nil {
-		return r.withCertainty(refusal(CodeNoUpstream, noUpstreamRetryAfter, "%v", err)), false
+		return r.setRan(refusal(CodeNoUpstream, noUpstreamRetryAfter, "%v", err)), false
 	}
 	if f := r.checkDeadline(decision, now); f != nil && resumeAfter == 0 {
-		return r.withCertainty(f), false
+		return r.setRan(f), false
 	}
 	engine, ok := r.deps.Upstreams.Engine(decision.Replica)
 	if !ok {
 		r.excluded = append(r.excluded, decision.Replica)
-		return r.withCertainty(refusal(CodeNoUpstream, noUpstreamRetryAfter, "engine %s is gone", decision.Replica)), true
+		return r.setRan(refusal(CodeNoUpstream, noUpstreamRetryAfter, "engine %s is gone", decision.Replica)), true
 	}
 	r.decision = decision
 	r.source = SourceNone
 	if decision.Cached > 0 {
 		r.source = SourceHot
 	}
-	if decision.Import != nil && r.importState(engine, decision) {
+	if decision.Import != nil && r.importKVCache(engine, decision) {
 		r.source = SourceImport
 	}
 	r.deps.Directory.Placed(r.chain, decision.Replica)
@@ -284,7 +284,7 @@
 			r.unreachableCount++
 		}
 		r.log.Info("upstream did not run the request", "upstream", replica, "reason", notRun.Reason)
-		return r.withCertainty(refusal(CodeNoUpstream, noUpstreamRetryAfter, "%v", err)), true
+		return r.setRan(refusal(CodeNoUpstream, noUpstreamRetryAfter, "%v", err)), true
 	case errors.As(err, &mismatch):
 		r.deps.Metrics.Mismatched.Add(1)
 		r.log.Error("answer of another request discarded", "upstream", replica, "err", err)
@@ -293,7 +293,7 @@
 		r.reportIfEnded(replica, err)
 	}
 	r.reached = true
-	f = r.withCertainty(&Failure{Status: statusBadGateway, Code: CodeUpstreamFailed, Message: err.Error()})
+	f = r.setRan(&Failure{Status: statusBadGateway, Code: CodeUpstreamFailed, Message: err.Error()})
 	return f, !r.call.Once
 }
 
@@ -311,8 +311,8 @@
 	}
 }
 
-// withCertainty sets what is certain about whether the request ran.
-func (r *Run) withCertainty(f *Failure) *Failure {
+// setRan sets f.Ran to what is certain about whether the request ran, and returns f.
+func (r *Run) setRan(f *Failure) *Failure {
 	switch {
 	case !r.reached:
 		f.Ran = NotRun
@@ -384,7 +384,7 @@
 	}
 }
 
-// Close ends the run and cancels it at the engine if it is not finished.
+// Close ends the run and cancels it at the engine if it has not finished.
 func (r *Run) Close() {
 	outcome := route.OutcomeNeutral
 	if r.done {
--- a/service/entry/run_suspects.go
+++ b/service/entry/run_suspects.go
@@ -49,7 +49,7 @@
 	switch c.Verdict() {
 	case suspect.Blocked:
 		r.log.Warn("prompt blocked", "content", c.Content, "ends", len(c.Ends), "engines", c.Replicas())
-		return r.withCertainty(&Failure{
+		return r.setRan(&Failure{
 			Status:  blockedStatus(r.reached),
 			Code:    CodeEndsEngines,
 			Message: fmt.Sprintf("%d engines ended under this prompt; it is not to be sent again", len(c.Ends)),
@@ -59,7 +59,7 @@
 			return nil // Asking again on a retry would wait for this very run.
 		}
 		if !suspects.StartRun(r.ctx, c.Content, maxPermittedRun) {
-			return r.withCertainty(refusal(CodeSuspected, suspectedRetryAfter, "engines ended under this prompt, and another one like it is under way"))
+			return r.setRan(refusal(CodeSuspected, suspectedRetryAfter, "engines ended under this prompt, and another one like it is under way"))
 		}
 		r.mayRun = true
 	}
--- a/service/entry/run_test.go
+++ b/service/entry/run_test.go
@@ -49,7 +49,7 @@
 	return nil, false
 }
 
-// emptyDirectory is a directory of cached state without entries.
+// emptyDirectory is a directory of KV caches without entries.
 type emptyDirectory struct{}
 
 func (emptyDirectory) Observe(context.Context, prompt.Chain) prompt.Match { return prompt.Match{} }
--- a/service/entry/server.go
+++ b/service/entry/server.go
@@ -86,9 +86,9 @@
 	return r
 }
 
-// drainFactor times the body limit is read and discarded before a body that is too
-// large is answered: a client that is still sending would see a broken connection
-// instead of the answer.
+// drainFactor times the body limit is read and discarded before a request with a body
+// that is too large is refused: a client that is still sending would see a broken
+// connection instead of the answer.
 const drainFactor = 8
 
 // limitBody reads the body and refuses one of more than maxBytes.
--- a/service/node/claim_table.go
+++ b/service/node/claim_table.go
@@ -18,7 +18,7 @@
 	// collectorAvoidDuration is how long a collector that did not answer is bypassed.
 	collectorAvoidDuration = 5 * time.Second
 	// collectorTimeout bounds a call to a collector. It is shorter than the time
-	// that a caller waits for a claim.
+	// that a request waits for its claim.
 	collectorTimeout = time.Second
 )
 
@@ -32,7 +32,7 @@
 
 // claimTable writes claims through the fleet's collectors, which batch the claims
 // of many nodes into one transaction. If a collector does not answer, the outcome
-// is unknown; control.Claims settles it by writing again, and that write goes
+// is unknown; control.Claims resolves it by writing again, and that write goes
 // through this node's own collector.
 type claimTable struct {
 	self    string
--- a/service/node/config_sync.go
+++ b/service/node/config_sync.go
@@ -41,8 +41,8 @@
 	return s
 }
 
-// HandleVersion takes in the configuration version that a peer has announced, and
-// fetches a newer one in the background.
+// HandleVersion handles a peer's announcement of its configuration version: if it is
+// newer than this node's, it is fetched in the background.
 func (s *ConfigSync) HandleVersion(from netip.AddrPort, version uint64) {
 	if version <= s.config.State().Version {
 		return
--- a/service/node/directory.go
+++ b/service/node/directory.go
@@ -19,7 +19,7 @@
 	// avoidDuration is how long a node that timed out is not asked again.
 	avoidDuration = time.Second
 	// updateQueueSize bounds the updates waiting to be sent. Further ones are
-	// dropped; the next resynchronisation makes up for them.
+	// dropped; the next resynchronisation sends their content.
 	updateQueueSize = 4096
 	updateTimeout   = 2 * time.Second
 )
@@ -75,7 +75,7 @@
 }
 
 // Observe looks a chain up and records the occurrence. If the shard's owner does
-// not answer in time, the match is empty and the request goes on.
+// not answer in time, the match is empty and the request proceeds without it.
 func (d *Directory) Observe(ctx context.Context, chain prompt.Chain) prompt.Match {
 	return d.query(ctx, chain.Marks, peer.MethodObserve, d.local.Observe)
 }
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -24,13 +24,13 @@
 
 const (
 	timerWorkers = 8
-	// indirectProbesPerPeriod is how often within a probe interval nodes that
+	// indirectProbesPerInterval is how often, within a probe interval, nodes that
 	// have not answered yet are probed through others.
-	indirectProbesPerPeriod = 3
-	watchInterval           = 200 * time.Millisecond
-	capacityInterval        = 100 * time.Millisecond
-	reconcileInterval       = time.Second
-	startTimeout            = 5 * time.Second
+	indirectProbesPerInterval = 3
+	watchInterval             = 200 * time.Millisecond
+	capacityInterval          = 100 * time.Millisecond
+	reconcileInterval         = time.Second
+	startTimeout              = 5 * time.Second
 	// overcommit is how many requests are admitted per engine slot, so that an
 	// engine always has a queue to schedule from.
 	overcommit = 1.5
@@ -107,7 +107,7 @@
 	n.setCapacity(ctx)
 	probeInterval := n.Settings.Peer.ProbeEvery.Std()
 	n.Timer.Subscribe(probeInterval, n.sendProbes)
-	n.Timer.Subscribe(probeInterval/indirectProbesPerPeriod, n.sendIndirectProbes)
+	n.Timer.Subscribe(probeInterval/indirectProbesPerInterval, n.sendIndirectProbes)
 	n.Timer.Subscribe(tableRefreshInterval, n.ConfigSync.Refresh)
 	n.Timer.Subscribe(loadPollInterval, n.Loads.Poll)
 	n.Timer.Subscribe(storePollInterval, n.Loads.PollStores)
@@ -121,8 +121,8 @@
 		"version", n.Config.State().Version)
 }
 
-// joinSeeds is after how many answers a starting node asks no further seeds; each
-// answer lists the whole fleet.
+// joinSeeds is how many seeds have to answer a starting node, which then asks no
+// others: each answer lists the whole fleet.
 const joinSeeds = 2
 
 // join fetches the member list and the configuration from seeds. It asks them in
--- a/service/node/platform_list.go
+++ b/service/node/platform_list.go
@@ -67,7 +67,7 @@
 func (p *PlatformList) poll(ctx context.Context) {
 	readers := control.Owners(p.members.Working(), "platform-list", listReaders)
 	isReader := slices.ContainsFunc(readers, func(m control.Member) bool { return m.Name == p.name })
-	// If no member is working, not even this node, it reads for itself.
+	// If no member is working, not even this node, there are no readers and it reads the list.
 	if p.client == nil || (len(readers) > 0 && !isReader) {
 		return
 	}
@@ -120,7 +120,7 @@
 	return time.Since(p.announcedAt) >= announceInterval
 }
 
-// announce notifies every other node which VMs are leaving.
+// announce notifies every other node of the VMs that are leaving.
 func (p *PlatformList) announce(ctx context.Context, leaving []netip.AddrPort) {
 	p.mu.Lock()
 	p.announcedAt = time.Now()
--- a/service/node/reconcile.go
+++ b/service/node/reconcile.go
@@ -181,7 +181,7 @@
 	if !e.Fenced && !r.leases.HeldForFullTerm(lease) {
 		return
 	}
-	// Taken last before the order: a lease that has expired gives no fence.
+	// Must come right before the order: a lease that has expired gives no fence.
 	fence, ok := r.leases.Fence(lease)
 	if !ok {
 		return
--- a/service/node/suspects.go
+++ b/service/node/suspects.go
@@ -44,7 +44,8 @@
 // HallPeers implements suspects.Notifier.
 func (t *suspectNotifier) HallPeers() []netip.AddrPort { return t.members.View().Peers(t.self, t.hall) }
 
-// registerSuspectHandlers registers the notes and methods about suspect prompts.
+// registerSuspectHandlers registers the handlers of notes and methods about suspected
+// prompts.
 func (n *Node) registerSuspectHandlers() {
 	s := n.Suspects
 	s.SetNotifier(&suspectNotifier{
--- a/service/operator/messages.go
+++ b/service/operator/messages.go
@@ -18,7 +18,7 @@
 type Result struct {
 	Table   *lang.Table `json:"table,omitempty"`
 	Version uint64      `json:"version,omitempty"` // Configuration version of the change.
-	// InForce says that every working node has the change; set only with wait.
+	// InForce is true if every working node has the change; set only with wait.
 	InForce bool `json:"in_force,omitempty"`
 	// Error ends the script; the changes of earlier statements stay in force.
 	Error *Error `json:"error,omitempty"`
--- a/service/operator/service.go
+++ b/service/operator/service.go
@@ -19,7 +19,7 @@
 	inForcePollInterval = 100 * time.Millisecond
 )
 
-// directory finds cached state of prompts.
+// directory finds the KV caches of prompts.
 type directory interface {
 	Lookup(ctx context.Context, marks []prompt.Mark) prompt.Match
 }
