--- a/pkg/events/catalogue.go
+++ b/pkg/events/catalogue.go
@@ -2,7 +2,7 @@
 
 // Keys that several lines have.
 var (
-	keyRequest       = Key{"request", "the client's ID of its attempt"}
+	keyRequest       = Key{"request", "the ID that the client gave its attempt"}
 	keyReplica       = Key{"replica", "the replica's ID"}
 	keyPeer          = Key{"peer", "the other node's address"}
 	keyRoute         = Key{"route", "the route's name"}
@@ -10,14 +10,14 @@
 	keyLimit         = Key{"limit", "requests per second that the replica's answer says it accepts from all nodes together; empty if it names no limit, ? if the limit can't be parsed"}
 	keyDraining      = Key{"draining", "whether the replica's answer says that it is draining"}
 	keyBackoff       = Key{"backoff", "nanoseconds for which the replica's refusal asks this node to send it nothing; 0 if it does not ask"}
-	keyEnds          = Key{"ends", "how many replicas are known to have ended while running the content"}
+	keyEnds          = Key{"ends", "how many replicas are known to have ended while running a request with this content"}
 	keyEndedReplicas = Key{"replicas", "these replicas, each with its start"}
-	keyVerdict       = Key{"verdict", "free, watched (runs once at a time) or blocked (is not sent)"}
-	keyContent       = Key{"content", "fingerprint of what the request asks and for whom, the same for every attempt of its caller"}
+	keyVerdict       = Key{"verdict", "free, watched (such requests run one at a time) or blocked (they are not sent)"}
+	keyContent       = Key{"content", "fingerprint of the request's content and organisation, the same for every attempt of its client"}
 	keyAttempts      = Key{"attempts", "attempts that may have run"}
 	keyNotRun        = Key{"not_run", "attempts that were refused or could not be sent"}
 	keyAfter         = Key{"after", "nanoseconds since the request's head was received"}
-	keySinceStop     = Key{"after", "nanoseconds since the node was told to stop"}
+	keySinceStop     = Key{"after", "nanoseconds since the stop signal"}
 	keyModel         = Key{"model", "the model"}
 	keyVersion       = Key{"version", "the version of the weights, of the configuration, or of the store's row"}
 	keyNode          = Key{"node", "the node's name"}
@@ -112,7 +112,7 @@
 	{"machine suspension can't be detected", Failure, "The operating system has no clock that counts suspended time.", []Key{keyNode, keyErr}},
 	{"replica ended under a request", Failure, "A replica stopped accepting connections or restarted after the answer to a request in flight there was lost.", []Key{
 		keyRequest, keyContent, keyReplica, keyEnds, keyVerdict,
-		{"finished_before", "whether a replica is known to have finished the same content; ends close to that time don't count"},
+		{"finished_before", "whether a replica is known to have finished a request with the same content; ends close to that time don't count"},
 	}},
 	{"replica reports draining", Change, "A replica's answer, at this node or another, says that it is about to end; its row does not say so yet.", []Key{
 		keyUpstream, keyService,
@@ -127,8 +127,8 @@
 	{"replica rate limit removed", Change, "A replica's answer named no limit any more.", []Key{
 		keyReplica, {"age", "nanoseconds since the request of that answer was sent"},
 	}},
-	{"request suspected", Failure, "Replicas ended under a content: from now on it runs once at a time among all nodes, or not at all.", []Key{keyContent, keyVerdict, keyEnds, keyEndedReplicas}},
-	{"request no longer suspected", Change, "A replica has finished a content under which replicas had ended.", []Key{keyContent}},
+	{"request suspected", Failure, "Replicas ended under requests with the same content: from now on such requests run one at a time among all nodes, or not at all.", []Key{keyContent, keyVerdict, keyEnds, keyEndedReplicas}},
+	{"request no longer suspected", Change, "A replica has finished a request with a content under which replicas had ended.", []Key{keyContent}},
 	{"request blocked", Failure, "A request was not sent on because replicas had ended under its content.", []Key{keyRequest, keyContent, keyEnds, keyEndedReplicas, keyAttempts}},
 	{"list of blocked requests not written", Failure, "The row from which nodes that start later learn what is blocked was not written; the write is retried.", []Key{keyErr}},
 	{"serving without the list of blocked requests", Failure, "A node that has started got the list neither from the store nor from another node in time; its first requests wait no longer.", []Key{keyNode, {"after", "nanoseconds that they have waited at most"}}},
@@ -175,8 +175,8 @@
 	{"store of kept state back", Change, "The events of a KV cache store can be read again.", []Key{keyStore, keyBoot, keyAway}},
 	{"engine event stream lost", Failure, "The events of an engine can't be read; what its KV cache holds is estimated, and nothing is fetched from it.", []Key{keyReplica, keyErr}},
 	{"engine event stream restored", Change, "The events of an engine can be read again.", []Key{keyReplica, keyBoot}},
-	{"engine cache updates from peer lost", Failure, "The node that tells this one what the engines' KV caches hold does not answer.", []Key{keyPeer, keyErr}},
-	{"engine cache updates from peer restored", Change, "The node that tells this one what the engines' KV caches hold answers again.", []Key{keyPeer}},
+	{"engine cache updates from peer lost", Failure, "The node that informs this one of what the engines' KV caches hold does not answer.", []Key{keyPeer, keyErr}},
+	{"engine cache updates from peer restored", Change, "The node that informs this one of what the engines' KV caches hold answers again.", []Key{keyPeer}},
 	{"engine cache update from peer can't be decoded", Failure, "Another node's update on what an engine's KV cache holds is invalid; it is ignored.", []Key{keyErr}},
 	{"parts freed", Change, "Parts computed with replaced weights were freed.", []Key{keyStore, keyParts, keyBoot}},
 	{"parts not freed", Failure, "A KV cache store did not free parts; the call is retried.", []Key{keyStore, keyParts, keyErr}},
@@ -202,7 +202,7 @@
 	{"node started", Change, "The process is serving.", []Key{
 		keyNode, {"entry", "address for client requests"}, {"directory", "address at which clients ask which node to use"}, {"peer", "address for other nodes"}, keyStore,
 	}},
-	{"stopping", Change, "The process was told to stop.", []Key{keyNode, keyInFlight}},
+	{"stopping", Change, "The process received a stop signal.", []Key{keyNode, keyInFlight}},
 	{"requests cut by a stop", Failure, "The stopping node closed connections that carried requests.", []Key{
 		keyNode, keySinceStop,
 		{"heading", "requests whose head was being read"},
--- a/pkg/events/handler.go
+++ b/pkg/events/handler.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// ringSize is how many lines may wait to be written: some seconds' worth of a
-	// busy node, in a few hundred kilobytes.
-	ringSize = 4096
-	// routineShare is the fraction of the ring that routine lines may fill; the
+	// queueSize is how many lines may wait to be written: some seconds' worth of a
+	// busy node, in a few hundred kilobytes of memory.
+	queueSize = 4096
+	// routineShare is the fraction of the queue that routine lines may fill; the
 	// rest is reserved for changes and failures.
 	routineShare = 0.5
 	// reportDroppedEvery is the interval between "log lines dropped" lines.
@@ -23,7 +23,7 @@
 )
 
 // Handler is a slog.Handler whose lines are written by a goroutine of its own. A
-// line for which the ring has no room is dropped and counted, so a process whose
+// line for which the queue has no room is dropped and counted, so a process whose
 // output nobody reads is not blocked.
 type Handler struct {
 	writer *writer
@@ -34,7 +34,7 @@
 type writer struct {
 	level        slog.Leveler
 	classes      map[string]Class
-	ring         chan slog.Record
+	queue        chan slog.Record
 	routineLimit *rate.Limiter // For routine lines.
 	dropped      [len(classNames)]atomic.Int64
 	output       slog.Handler
@@ -49,7 +49,7 @@
 	s := &writer{
 		level:        level,
 		classes:      map[string]Class{},
-		ring:         make(chan slog.Record, ringSize),
+		queue:        make(chan slog.Record, queueSize),
 		routineLimit: rate.NewLimiter(rate.Limit(perSecond), perSecond),
 		output:       slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level}),
 		done:         make(chan struct{}),
@@ -69,14 +69,14 @@
 func (h *Handler) Handle(_ context.Context, r slog.Record) error {
 	s := h.writer
 	class := s.classOf(&r)
-	if class == Routine && (len(s.ring) > int(routineShare*ringSize) || !s.routineLimit.Allow()) {
+	if class == Routine && (len(s.queue) > int(routineShare*queueSize) || !s.routineLimit.Allow()) {
 		s.dropped[class].Add(1)
 		return nil
 	}
 	r = r.Clone()
 	r.AddAttrs(h.attrs...)
 	select {
-	case s.ring <- r:
+	case s.queue <- r:
 	default:
 		s.dropped[class].Add(1)
 	}
@@ -125,7 +125,7 @@
 	var reported [len(classNames)]int64
 	for {
 		select {
-		case r := <-s.ring:
+		case r := <-s.queue:
 			s.write(r)
 		case <-t.C:
 			s.writeDropped(&reported)
@@ -140,7 +140,7 @@
 func (s *writer) drain() {
 	for {
 		select {
-		case r := <-s.ring:
+		case r := <-s.queue:
 			s.write(r)
 		default:
 			return
--- a/pkg/events/handler_test.go
+++ b/pkg/events/handler_test.go
@@ -31,7 +31,7 @@
 	out := &blockedOutput{release: make(chan struct{})}
 	h := NewHandler(out, slog.LevelInfo, 1_000_000)
 	log := slog.New(h)
-	for i := range 3 * ringSize {
+	for i := range 3 * queueSize {
 		log.Info("answered", "request", i)
 	}
 	for i := range 100 {
