--- a/cmd/drumpath/cmds/load.go
+++ b/cmd/drumpath/cmds/load.go
@@ -12,7 +12,7 @@
 )
 
 const loadHelp = `Sends the load of a profile to a running system and reports latencies and
-errors as callers see them. Requests are sent at the profile's rate, without
+errors as clients see them. Requests are sent at the profile's rate, without
 waiting for earlier answers. The exit code is not 0 if an answer was lost or
 wrong.
 
--- a/cmd/drumpath/cmds/root.go
+++ b/cmd/drumpath/cmds/root.go
@@ -39,7 +39,7 @@
 // Error returns the exit code as text.
 func (e *exitError) Error() string { return fmt.Sprintf("exit %d", e.code) }
 
-const longHelp = `drumpath routes LLM prompts to engines and reuses the cached state of
+const longHelp = `drumpath routes LLM prompts to engines and reuses the KV caches of
 prompts that are repeated after a long time.
 
 Examples:
--- a/cmd/drumpath/cmds/serve.go
+++ b/cmd/drumpath/cmds/serve.go
@@ -14,7 +14,7 @@
 
 const serveHelp = `Runs a node until SIGTERM or SIGINT, or until the platform's list marks
 this VM as leaving. The node then announces its stop, keeps serving while
-callers may still have its address, finishes requests in flight, and exits.
+clients may still have its address, finishes requests in flight, and exits.
 A second signal ends it without waiting for requests; claims are still
 written.
 
--- a/cmd/drumpath/cmds/try.go
+++ b/cmd/drumpath/cmds/try.go
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// tryOnce sends the prompt to the entry like a caller, and verifies the answer.
+// tryOnce sends the prompt to the entry address as a client would, and verifies the answer.
 func tryOnce(ctx context.Context, entry netip.AddrPort, text string) (r tryRun, err error) {
 	const tokens = 16
 	body, err := json.Marshal(map[string]any{"model": tryModel, "prompt": text, "max_tokens": tokens, "stream": true})
--- a/cmd/drumpath/scenario_test.go
+++ b/cmd/drumpath/scenario_test.go
@@ -155,7 +155,7 @@
 	ts.Check(os.WriteFile(ts.MkAbs(name+".json"), []byte(text), 0o600))
 }
 
-// maxAge is how long callers may cache an answer of /v1/entries: the variable MAXAGE, or
+// maxAge is how long clients may cache an answer of /v1/entries: the variable MAXAGE, or
 // one second.
 func maxAge(ts *testscript.TestScript) string {
 	if age := ts.Getenv("MAXAGE"); age != "" {
@@ -350,7 +350,7 @@
 	await(ts, args[1]+" runs", func() (string, bool) { return runsMatch(ts, args) })
 }
 
-// runsMatch says whether an upstream has run requests that contain a text N times; args are
+// runsMatch reports whether an upstream has run requests that contain a text N times; args are
 // those of cmdRuns. It also returns all runs, as JSON.
 func runsMatch(ts *testscript.TestScript, args []string) (body string, ok bool) {
 	resp, err := http.Get("http://" + args[0] + "/runs")
