--- a/service/peer/messages.go
+++ b/service/peer/messages.go
@@ -22,7 +22,7 @@
 	MethodLogLevel = "operator.log-level"
 	methodProbe    = "member.probe"
 	methodPing     = "ping"
-	// methodLargeAnswer announces to a caller that a large answer is being encoded.
+	// methodLargeAnswer announces to the calling node that a large answer is being encoded.
 	methodLargeAnswer = "coming"
 	errUnauthorised   = -32001
 	errUnknownMethod  = -32601
--- a/service/peer/server.go
+++ b/service/peer/server.go
@@ -299,7 +299,7 @@
 }
 
 // reply sends an answer. A large one is announced first: encoding it takes long on a busy
-// machine, and a caller that receives nothing meanwhile would give up and ask again.
+// machine, and a node that receives nothing meanwhile would give up and ask again.
 func reply(ctx context.Context, c *jsonrpc2.Conn, id jsonrpc2.ID, result any) {
 	raw, encoded := result.(json.RawMessage)
 	if !encoded {
@@ -318,8 +318,8 @@
 // largeAnswerSize is the size in bytes from which an answer is announced before it is sent.
 const largeAnswerSize = 64 << 10
 
-// Coded is an error with a code that callers can tell apart. It is sent as the data of the
-// JSON-RPC error, and callers can decode it into the same type.
+// Coded is an error with a code by which the calling node can distinguish it. It is sent as the
+// data of the JSON-RPC error, and the calling node can decode it into the same type.
 type Coded interface {
 	error
 	Code() int64
--- a/service/ratelimit/grants.go
+++ b/service/ratelimit/grants.go
@@ -24,7 +24,7 @@
 type RateUpdate struct {
 	Replica string `json:"r"`
 	// Started is when the replica was started, in Unix milliseconds; 0 if unknown. An update
-	// holds only for that start of the replica.
+	// applies only to that start of the replica.
 	Started   int64   `json:"t,omitempty"`
 	PerSecond float64 `json:"p"`
 	// Ended means that the replica no longer states a limit.
@@ -55,8 +55,8 @@
 	return quota.Rate{PerSecond: max(0, update.PerSecond), Ended: update.Ended, ObservedAt: now.Add(-age)}
 }
 
-// takeResponse is an owner's answer to MethodTake.
-type takeResponse struct {
+// takeAnswer is an owner's answer to MethodTake.
+type takeAnswer struct {
 	// Count is how many requests may be sent; if 0, WaitMS is how long to wait before asking
 	// again.
 	Count  int   `json:"count"`
@@ -76,18 +76,18 @@
 	if !limited || l.useGrant(start) {
 		return true
 	}
-	response := l.requestGrant(ctx, u, rate)
-	if response.Rate != nil {
-		l.observe(u, response.Rate.rate(boottime.Now()), boottime.Now())
+	answer := l.requestGrant(ctx, u, rate)
+	if answer.Rate != nil {
+		l.observe(u, answer.Rate.rate(boottime.Now()), boottime.Now())
 		if _, limited := l.activeRate(start); !limited {
 			return true
 		}
 	}
-	if response.Count == 0 {
+	if answer.Count == 0 {
 		l.counts.denied.Add(1)
 	}
-	l.storeGrant(start, response)
-	return response.Count > 0
+	l.storeGrant(start, answer)
+	return answer.Count > 0
 }
 
 // useGrant uses one request of a stored grant, if any is left.
@@ -104,59 +104,59 @@
 	return true
 }
 
-// storeGrant stores an owner's answer, less the one request that the caller sends now.
-func (l *Limits) storeGrant(start string, response takeResponse) {
+// storeGrant stores an owner's answer, less the one request that is sent now.
+func (l *Limits) storeGrant(start string, answer takeAnswer) {
 	now := boottime.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case response.Count > 1:
-		l.grants[start] = &grant{remaining: response.Count - 1, until: now.Add(grantLifetime)}
-	case response.Count == 0:
-		wait := max(minBackoff, time.Duration(response.WaitMS)*time.Millisecond)
+	case answer.Count > 1:
+		l.grants[start] = &grant{remaining: answer.Count - 1, until: now.Add(grantLifetime)}
+	case answer.Count == 0:
+		wait := max(minBackoff, time.Duration(answer.WaitMS)*time.Millisecond)
 		l.grants[start] = &grant{until: now.Add(wait)}
 	}
 }
 
 // requestGrant asks a replica's owner for a grant.
-func (l *Limits) requestGrant(ctx context.Context, u *site.Upstream, rate quota.Rate) (response takeResponse) {
+func (l *Limits) requestGrant(ctx context.Context, u *site.Upstream, rate quota.Rate) (answer takeAnswer) {
 	owner := l.owner(u.StartKey())
 	if owner.Name == l.self.Name {
 		return l.issueGrant(u, boottime.Now())
 	}
 	l.counts.requested.Add(1)
-	if err := l.client.CallWithin(ctx, callTimeout, owner.Peer, MethodTake, newRateUpdate(u, rate, boottime.Now()), &response); err != nil {
+	if err := l.client.CallWithin(ctx, callTimeout, owner.Peer, MethodTake, newRateUpdate(u, rate, boottime.Now()), &answer); err != nil {
 		if ctx.Err() != nil {
-			return takeResponse{} // The client has disconnected; the owner may be fine.
+			return takeAnswer{} // The client has disconnected; the owner may be fine.
 		}
 		l.counts.unanswered.Add(1)
 		l.log.Debug("grant not received", "replica", u.ID, "owner", owner.Name, "err", err)
-		return takeResponse{WaitMS: unansweredBackoff.Milliseconds()}
+		return takeAnswer{WaitMS: unansweredBackoff.Milliseconds()}
 	}
-	return response
+	return answer
 }
 
 // issueGrant grants requests to the replica if this node owns it.
-func (l *Limits) issueGrant(u *site.Upstream, now time.Time) (response takeResponse) {
+func (l *Limits) issueGrant(u *site.Upstream, now time.Time) (answer takeAnswer) {
 	start := u.StartKey()
 	if rate, known := l.ledger.Rate(start); known {
 		update := newRateUpdate(u, rate, now)
-		response.Rate = &update
+		answer.Rate = &update
 	}
 	if l.owner(start).Name != l.self.Name || !l.joined() {
-		response.WaitMS = notOwnerBackoff.Milliseconds()
-		return response
+		answer.WaitMS = notOwnerBackoff.Milliseconds()
+		return answer
 	}
 	granted, limited := l.ledger.Take(start, l.grantShare(), now)
 	if !limited {
-		return response
+		return answer
 	}
-	response.Count, response.WaitMS = granted.Count, granted.Wait.Milliseconds()
-	return response
+	answer.Count, answer.WaitMS = granted.Count, granted.Wait.Milliseconds()
+	return answer
 }
 
 // ServeTake answers a node that asks for a grant.
-func (l *Limits) ServeTake(_ context.Context, update RateUpdate) (takeResponse, error) {
+func (l *Limits) ServeTake(_ context.Context, update RateUpdate) (takeAnswer, error) {
 	now := boottime.Now()
 	u := update.upstream()
 	l.observe(u, update.rate(now), now)
--- a/service/ratelimit/limits.go
+++ b/service/ratelimit/limits.go
@@ -25,14 +25,14 @@
 //	a node wants to send                the owner, which answers with a grant
 //
 // The owner is chosen by rendezvous hashing among the working nodes. A node grants nothing if
-// it believes that another node is the owner, or if it has just started and is not yet in
+// it considers another node the owner, or if it has just started and is not yet in
 // contact with the others. A node that considers some nodes dead grants only the share of the
 // rate that the remaining nodes are of all nodes, so that the owners on both sides of a network
 // partition together grant no more than the rate.
 type Limits struct {
 	self    control.Member
 	members *control.Members
-	client  Caller
+	client  PeerClient
 	// joined reports whether this node is in contact with the others.
 	joined    func() bool
 	ledger    *quota.Ledger
@@ -47,8 +47,8 @@
 	view   *control.View // The view for which owners was computed.
 }
 
-// Caller calls other nodes.
-type Caller interface {
+// PeerClient calls other nodes; peer.Client implements it.
+type PeerClient interface {
 	CallWithin(ctx context.Context, within time.Duration, addr netip.AddrPort, method string, params, result any) error
 	Notify(ctx context.Context, addr netip.AddrPort, method string, params any) error
 }
@@ -90,13 +90,13 @@
 	unlimitedRate = 1e5
 	// ownerKeyPrefix goes before a replica's start key when its owner is chosen.
 	ownerKeyPrefix = "limit/"
-	// ForgetInterval is how often Forget is to be called.
+	// ForgetInterval is how often Forget must be called.
 	ForgetInterval = 2 * time.Second
 )
 
 // New returns a Limits that knows no replica. SetAnnouncer must be called before any other
 // method.
-func New(self control.Member, members *control.Members, client Caller, joined func() bool, log *slog.Logger) *Limits {
+func New(self control.Member, members *control.Members, client PeerClient, joined func() bool, log *slog.Logger) *Limits {
 	return &Limits{
 		self:    self,
 		members: members,
--- a/service/ratelimit/ratelimit_test.go
+++ b/service/ratelimit/ratelimit_test.go
@@ -74,7 +74,7 @@
 // startNode starts a node that doesn't know the replica's limit.
 func (f *fleet) startNode(m control.Member, side int) *Limits {
 	joined := func() bool { return !f.contains(f.notJoined, m.Name) }
-	l := New(m, f.sides[side], &delayedCaller{f, m.Name}, joined, slog.New(slog.DiscardHandler))
+	l := New(m, f.sides[side], &delayedClient{f, m.Name}, joined, slog.New(slog.DiscardHandler))
 	l.SetAnnouncer(&delayedAnnouncer{f, l})
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,14 +133,14 @@
 	return f.rng.Float64()
 }
 
-type delayedCaller struct {
+type delayedClient struct {
 	f    *fleet
 	from string
 }
 
 var errUnreachable = errors.New("silent")
 
-func (c *delayedCaller) CallWithin(ctx context.Context, within time.Duration, addr netip.AddrPort, _ string, params, result any) error {
+func (c *delayedClient) CallWithin(ctx context.Context, within time.Duration, addr netip.AddrPort, _ string, params, result any) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -151,14 +151,14 @@
 	}
 	time.Sleep(callLatency)
 	a, err := to.ServeTake(ctx, params.(RateUpdate))
-	*result.(*takeResponse) = a
+	*result.(*takeAnswer) = a
 	c.f.mu.Lock()
 	c.f.grantCalls++
 	c.f.mu.Unlock()
 	return err
 }
 
-func (c *delayedCaller) Notify(ctx context.Context, addr netip.AddrPort, method string, params any) (err error) {
+func (c *delayedClient) Notify(ctx context.Context, addr netip.AddrPort, method string, params any) (err error) {
 	to := c.f.nodeAt(addr)
 	if !c.f.reachable(c.from, to.self.Name) {
 		return errUnreachable
--- a/service/suspects/learn.go
+++ b/service/suspects/learn.go
@@ -14,8 +14,8 @@
 	// blocked requests. An answer takes some milliseconds, and a few tries are enough.
 	LearnInterval = 100 * time.Millisecond
 	// maxLearnWait bounds how long the first requests of a node wait until it knows the
-	// blocked requests. It covers a start of all nodes while the store refuses this one:
-	// the others know nothing either until they have read the store, which takes about
+	// blocked requests. It covers a start of all nodes while the platform's store refuses
+	// this one: the others know nothing either until they have read the store, which takes about
 	// 0.2 s.
 	maxLearnWait = time.Second
 )
--- a/service/suspects/suspects.go
+++ b/service/suspects/suspects.go
@@ -37,7 +37,7 @@
 	self     control.Member
 	members  *control.Members
 	store    Store
-	client   Caller
+	client   PeerClient
 	register *suspect.Register
 	log      *slog.Logger
 	notifier Notifier
@@ -53,10 +53,10 @@
 	announced      int                  // First ends announced since announceWindow.
 	announceWindow time.Time            // Start of the current second.
 	stored         map[site.Fingerprint]bool
-	nextSave       time.Time // Earliest time of the next write to the store.
+	nextSave       time.Time // Earliest time of the next write to the platform's store.
 }
 
-// Store holds the row of blocked requests.
+// Store is the platform's store, which holds the row of blocked requests.
 type Store interface {
 	List(ctx context.Context, t site.Table) (site.Listing, error)
 	// Put writes a row that has the expected version. If the row has another version, the
@@ -75,8 +75,8 @@
 	HallPeers() []netip.AddrPort
 }
 
-// Caller calls other nodes.
-type Caller interface {
+// PeerClient calls other nodes; peer.Client implements it.
+type PeerClient interface {
 	CallWithin(ctx context.Context, within time.Duration, addr netip.AddrPort, method string, params, result any) error
 	Notify(ctx context.Context, addr netip.AddrPort, method string, params any) error
 }
@@ -126,7 +126,7 @@
 
 // New returns a Suspects without evidence. Without a store, the evidence is lost when all
 // nodes stop. SetNotifier must be called before any other method.
-func New(self control.Member, members *control.Members, store Store, client Caller, log *slog.Logger) *Suspects {
+func New(self control.Member, members *control.Members, store Store, client PeerClient, log *slog.Logger) *Suspects {
 	return &Suspects{
 		self:       self,
 		members:    members,
--- a/service/suspects/suspects_test.go
+++ b/service/suspects/suspects_test.go
@@ -64,7 +64,7 @@
 }
 
 func (cluster *testCluster) add(m control.Member, members *control.Members) *Suspects {
-	s := New(m, members, nil, &delayedCaller{cluster: cluster, from: m.Name}, slog.New(slog.DiscardHandler))
+	s := New(m, members, nil, &delayedClient{cluster: cluster, from: m.Name}, slog.New(slog.DiscardHandler))
 	s.SetNotifier(&delayedNotifier{self: m, members: members, cluster: cluster})
 	s.MarkLearned()
 	cluster.nodes = append(cluster.nodes, s)
@@ -141,12 +141,12 @@
 	return len(body) * len(to)
 }
 
-type delayedCaller struct {
+type delayedClient struct {
 	cluster *testCluster
 	from    string
 }
 
-func (l *delayedCaller) CallWithin(ctx context.Context, within time.Duration, addr netip.AddrPort, _ string, params, result any) error {
+func (l *delayedClient) CallWithin(ctx context.Context, within time.Duration, addr netip.AddrPort, _ string, params, result any) error {
 	s := l.cluster.byAddr[addr]
 	if l.cluster.disconnected(l.from, s.self.Name) {
 		time.Sleep(within)
@@ -166,7 +166,7 @@
 	return err
 }
 
-func (l *delayedCaller) Notify(ctx context.Context, addr netip.AddrPort, _ string, params any) error {
+func (l *delayedClient) Notify(ctx context.Context, addr netip.AddrPort, _ string, params any) error {
 	s := l.cluster.byAddr[addr]
 	if l.cluster.disconnected(l.from, s.self.Name) {
 		return errors.New("silent")
