--- a/pkg/config/command.go
+++ b/pkg/config/command.go
@@ -58,7 +58,7 @@
 	return text
 }
 
-// CommandError says why a command can't be applied to the configuration.
+// CommandError is the reason why a command can't be applied to the configuration.
 type CommandError struct {
 	Command Command
 	Reason  string
--- a/pkg/config/objects.go
+++ b/pkg/config/objects.go
@@ -29,7 +29,7 @@
 	Model string `json:"model"`
 }
 
-// ReuseMode says which requests of an organisation may share KV cache.
+// ReuseMode determines which requests of an organisation may share KV cache.
 type ReuseMode string
 
 // Reuse modes.
@@ -42,7 +42,7 @@
 	ReuseNever ReuseMode = "never"
 )
 
-// Rule says which requests of an organisation may reuse each other's KV cache. A rule for
+// Rule determines which requests of an organisation may reuse each other's KV cache. A rule for
 // one model overrides the organisation's rule for all models.
 type Rule struct {
 	Name         string    `json:"name"`
--- a/pkg/prompt/directory.go
+++ b/pkg/prompt/directory.go
@@ -38,7 +38,7 @@
 	object   *Object
 }
 
-// Directory is one shard of the directory of cached prompt state.
+// Directory is one shard of the directory of cached KV state.
 //
 // Its content is a hint: it is built from cache events, store listings and
 // finished runs, which are late and incomplete. A wrong entry costs time but
@@ -311,7 +311,7 @@
 	}
 }
 
-// appendLocations adds the locations of one mark that no longer mark has added yet.
+// appendLocations adds the locations of one mark that no mark of a longer prefix has added.
 func (d *Directory) appendLocations(m *Match, mark Mark, e entry, seen map[locationID]bool) {
 	for _, id := range d.locationIDs(mark.Key, e) {
 		if seen[id] {
--- a/pkg/rollout/lease.go
+++ b/pkg/rollout/lease.go
@@ -33,9 +33,9 @@
 //
 // The platform's store returns the time on its monotonic clock with each answer. A holder
 // writes the end of its lease on that clock. It measures its own validity on its own
-// boot-time clock, which also counts time in suspension, from before the write was sent; so it stops before
-// the written end. Another node takes the lease only once the store's clock has passed the
-// written end and the takeover pause.
+// boot-time clock, which also counts time in suspension, from before the write was sent; so
+// it stops before the written end. Another node takes the lease only once the store's clock
+// has passed the written end and the takeover pause.
 type Lease struct {
 	key           string
 	node          string
--- a/pkg/route/prompt_queue.go
+++ b/pkg/route/prompt_queue.go
@@ -20,8 +20,8 @@
 // Prompts that can still be answered in time go before late ones: under load, a queue
 // in order of arrival would make all of them late. Then come priority (0 first, unlike
 // in Admission), fairness between organisations (start-time fair queueing) and arrival.
-// Only the first prompt is considered for admission, so that a large prompt that finds no room isn't overtaken by
-// smaller ones behind it.
+// Only the first prompt is considered for admission, so that a large prompt that finds
+// no room isn't overtaken by smaller ones behind it.
 //
 // Lock order: the queue's lock before that of a Pool, which QueueRequest.Fits takes.
 type PromptQueue struct {
--- a/pkg/route/retry_share.go
+++ b/pkg/route/retry_share.go
@@ -26,7 +26,7 @@
 const (
 	// retrySlots is the number of time slots that the window is divided into.
 	retrySlots = 16
-	// retrySafetyFactor is the part of its share that a node uses: whoever checks the
+	// retrySafetyFactor is the part of its share that a node uses: a check of the
 	// budget may use windows with other boundaries, and count some requests later.
 	retrySafetyFactor = 0.7
 )
--- a/pkg/site/route.go
+++ b/pkg/site/route.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Route says how requests to a host and path prefix are handled.
+// Route determines how requests to a host and path prefix are handled.
 type Route struct {
 	Name   string
 	Host   string
--- a/pkg/suspect/case.go
+++ b/pkg/suspect/case.go
@@ -70,8 +70,8 @@
 	QuickHash uint64
 	// Ends are sorted by time.
 	Ends []ReplicaEnd
-	// Finished is when a replica last finished the request, as far as is known; zero if
-	// never.
+	// Finished is the latest known finish of the request by a replica; zero if there is
+	// none.
 	Finished time.Time
 }
 
--- a/pkg/upstream/transfer.go
+++ b/pkg/upstream/transfer.go
@@ -29,7 +29,7 @@
 	WaitMillis int64 `json:"wait_ms"`
 }
 
-// ImportAnswer says how much an import transferred.
+// ImportAnswer reports how much an import transferred.
 type ImportAnswer struct {
 	Chunks int   `json:"chunks"`
 	Bytes  int64 `json:"bytes"`
--- a/service/gateway/cold_shares_test.go
+++ b/service/gateway/cold_shares_test.go
@@ -66,7 +66,7 @@
 	assert.Equal(t, shares.Share(1, "h0", 16), 2)
 }
 
-// The directory returns nodes in the caller's region and the host's home regions as long
+// The directory returns nodes in the client's region and the host's home regions as long
 // as there are any.
 func TestDirectoryPrefersHomeRegions(t *testing.T) {
 	self := control.Member{Name: "a0", DataHall: "a", Incarnation: 1}
--- a/service/gateway/engine_caches_serve.go
+++ b/service/gateway/engine_caches_serve.go
@@ -20,7 +20,7 @@
 	// MaxEngines limits the engines by rank in each hall, in the order of route.SelectTracked;
 	// nil means all engines of Halls.
 	MaxEngines map[string]int `json:"most,omitempty"`
-	// NeedFull lists engines whose contents the asking node does not have yet.
+	// NeedFull lists engines whose contents the requesting node does not have yet.
 	NeedFull []string `json:"fresh,omitempty"`
 	WaitMS   int64    `json:"wait_ms"`
 }
--- a/service/gateway/exchange.go
+++ b/service/gateway/exchange.go
@@ -169,7 +169,7 @@
 	}()
 	now = boottime.Now()
 	if result == resultAnswered || result == resultNotRun {
-		x.recordAnswerInfo(a, now)
+		x.recordResponseInfo(a, now)
 	}
 	switch result {
 	case resultAnswered:
--- a/service/gateway/exchange_limits.go
+++ b/service/gateway/exchange_limits.go
@@ -31,14 +31,14 @@
 	}
 }
 
-// recordAnswerInfo records what a replica's answer says about it. An answer from another
+// recordResponseInfo records what a replica's answer says about it. An answer from another
 // replica at a reused address says nothing about this one.
-func (x *exchange) recordAnswerInfo(a *attempt, now time.Time) {
+func (x *exchange) recordResponseInfo(a *attempt, now time.Time) {
 	if a.head.Status == http.StatusMisdirectedRequest {
 		return
 	}
 	u := &a.choice.Upstream
-	x.g.rateLimits.ObserveAnswer(u, &a.info, a.startedAt, now)
+	x.g.rateLimits.ObserveResponse(u, &a.info, a.startedAt, now)
 	if a.info.Draining {
 		x.g.nodes.recordDraining(route.RefOf(u))
 	}
--- a/service/gateway/large_configuration_test.go
+++ b/service/gateway/large_configuration_test.go
@@ -93,10 +93,10 @@
 // waited up to 1 s for the change, and a call to the store 1.7 s after, however much has
 // arrived. A version that takes longer is requested again and again and never arrives;
 // abandoned transfers go on filling the link, so versions that would fit are late, too.
-// In four runs with 20 nodes the first version was in force everywhere after at most 0.8 s; the second
-// was late at 4 to 15 nodes, the third at 16 to 18, the fourth at 18, which are all with
-// narrow links. For the last two, links carried up to 4.4 MB in 3.5 s, which is all that
-// they can.
+// In four runs with 20 nodes the first version was in force everywhere after at most
+// 0.8 s; the second was late at 4 to 15 nodes, the third at 16 to 18, the fourth at 18,
+// which are all with narrow links. For the last two, links carried up to 4.4 MB in 3.5 s,
+// which is all that they can.
 func TestLargeConfigurationIsInForceInTime(t *testing.T) {
 	for _, c := range []growthCase{
 		{name: "wide reader", nodes: largeHallNodes, wideLinks: 2, finalChanges: 4, maxBytes: maxChangeBytes},
--- a/service/gateway/reader_serve.go
+++ b/service/gateway/reader_serve.go
@@ -18,10 +18,10 @@
 	After  int64      `json:"after"`
 	WaitMS int64      `json:"wait_ms"`
 	Whole  bool       `json:"whole"`
-	// StoreUnreachable means that the asking node can't reach the store, so that an older copy
+	// StoreUnreachable means that the requesting node can't reach the store, so that an older copy
 	// is acceptable.
 	StoreUnreachable bool `json:"detour"`
-	// HaveRef names a large value that the asking node already has.
+	// HaveRef names a large value that the requesting node already has.
 	HaveRef rowRef `json:"have,omitzero"`
 
 	haveValue []byte // The value that HaveRef names; not sent.
@@ -61,7 +61,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(boottime.Until(trustedUntil)): // The asking node tries another one.
+		case <-time.After(boottime.Until(trustedUntil)): // The requesting node tries another one.
 		case <-end:
 			answer, _, _, err = r.answer(q)
 			return answer, err
--- a/service/gateway/readers_test.go
+++ b/service/gateway/readers_test.go
@@ -221,7 +221,8 @@
 	h.checkReadOnceForAll(t, 2) // A call for the changes, and one for the whole table.
 }
 
-// checkReadOnceForAll reads the table 8 times at once, and checks the number of calls to the store.
+// checkReadOnceForAll reads the table 8 times at once, and checks the number of calls to
+// the store.
 func (h *testHall) checkReadOnceForAll(t *testing.T, calls int) {
 	t.Helper()
 	before := h.store.count()
@@ -534,7 +535,8 @@
 	slowReceiveLimit = 2600 * time.Millisecond
 )
 
-// timeToReceive returns how long the requester takes to receive a change that the store already has.
+// timeToReceive returns how long the requester takes to receive a change that the store
+// already has.
 func (h *testHall) timeToReceive(t *testing.T, after int64) time.Duration {
 	t.Helper()
 	startedAt := time.Now()
--- a/service/gateway/site_state.go
+++ b/service/gateway/site_state.go
@@ -52,7 +52,7 @@
 	revision int
 	// droppedIDs are the replicas for which onDelisted has yet to be called.
 	droppedIDs []string
-	// unreachableAt is when the store's upstream list last could not be read, syncedAt
+	// unreachableAt is when the platform's upstream list last could not be read, syncedAt
 	// when it was last read.
 	unreachableAt time.Time
 	syncedAt      time.Time
@@ -73,7 +73,7 @@
 type upstreamEntry struct {
 	site.Upstream
 	version int64 // Of the row.
-	// missingSince is when the store removed the row, zero while it has it.
+	// missingSince is when the platform's store removed the row, zero while it has it.
 	missingSince time.Time
 }
 
@@ -230,7 +230,7 @@
 	st.unreachableAt = now
 }
 
-// MarkStoreSynced records that the upstream list is as the store has it.
+// MarkStoreSynced records that the upstream list is as the platform's store has it.
 func (st *SiteState) MarkStoreSynced(now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -252,7 +252,7 @@
 	return config, sinceSync, sinceUnreachable
 }
 
-// unreachableGrace is how long after the store was unreachable a removed row may be one
+// unreachableGrace is how long after the platform's store was unreachable a removed row may be one
 // that expired only because the replica could not renew it.
 const unreachableGrace = 4 * time.Second
 
@@ -396,8 +396,8 @@
 	return reported
 }
 
-// drop removes an upstream whose row is gone: at once, unless the store was unreachable
-// shortly before. Then the row may have expired only because heartbeats could not be
+// drop removes an upstream whose row is gone: at once, unless the platform's store was
+// unreachable shortly before. Then the row may have expired only because heartbeats could not be
 // written, and the upstream gets time to return.
 func (st *SiteState) drop(id string, now time.Time) {
 	e, known := st.upstreams[id]
--- a/service/ratelimit/limits.go
+++ b/service/ratelimit/limits.go
@@ -114,17 +114,17 @@
 // Close waits for background calls.
 func (l *Limits) Close() { l.wg.Wait() }
 
-// ObserveAnswer records the rate limit in an answer. An answer without a limit shows that the
+// ObserveResponse records the rate limit in an answer. An answer without a limit shows that the
 // limit has ended only if its request ran and was sent after the limit was last observed:
 // otherwise the request may have been under way since before the limit was set.
-func (l *Limits) ObserveAnswer(u *site.Upstream, answer *site.ResponseInfo, sent, now time.Time) {
+func (l *Limits) ObserveResponse(u *site.Upstream, response *site.ResponseInfo, sent, now time.Time) {
 	switch {
-	case answer.Limit.Presence == site.RateUnreadable:
+	case response.Limit.Presence == site.RateUnreadable:
 		l.counts.unreadable.Add(1)
 		l.log.Debug("replica rate limit can't be decoded", "replica", u.ID)
-	case answer.Limit.Presence == site.RatePresent && answer.Limit.PerSecond < unlimitedRate:
-		l.observeRate(u, quota.Rate{PerSecond: answer.Limit.PerSecond, ObservedAt: now}, now)
-	case l.ledger.Empty() || answer.NotRun:
+	case response.Limit.Presence == site.RatePresent && response.Limit.PerSecond < unlimitedRate:
+		l.observeRate(u, quota.Rate{PerSecond: response.Limit.PerSecond, ObservedAt: now}, now)
+	case l.ledger.Empty() || response.NotRun:
 	default:
 		l.observeNoRate(u, sent, now)
 	}
--- a/service/ratelimit/ratelimit_test.go
+++ b/service/ratelimit/ratelimit_test.go
@@ -219,7 +219,7 @@
 	if limit >= 0 {
 		answer.Limit = site.NewRateLimit(limit)
 	}
-	l.ObserveAnswer(u, &answer, sent, time.Now())
+	l.ObserveResponse(u, &answer, sent, time.Now())
 }
 
 // busiestWindow returns the most requests that the replica got in any 4 s since a time, and the
