--- a/service/gateway/cold_shares_test.go
+++ b/service/gateway/cold_shares_test.go
@@ -23,7 +23,7 @@
 	return list
 }
 
-// The shares of a cold replica together stay within its limit, also if nodes believe
+// The shares of a cold replica together stay within its limit, also if nodes consider
 // different members dead, and most of the limit is assigned.
 func TestColdSharesDoNotExceedLimit(t *testing.T) {
 	const views = 5 // Each with other dead nodes.
@@ -66,7 +66,7 @@
 	assert.Equal(t, shares.Share(1, "h0", 16), 2)
 }
 
-// The directory returns nodes in the caller's region and the host's home regions as long
+// The directory returns nodes in the client's region and the host's home regions as long
 // as there are any.
 func TestDirectoryPrefersHomeRegions(t *testing.T) {
 	self := control.Member{Name: "a0", DataHall: "a", Incarnation: 1}
--- a/service/gateway/reader_serve.go
+++ b/service/gateway/reader_serve.go
@@ -18,10 +18,10 @@
 	After  int64      `json:"after"`
 	WaitMS int64      `json:"wait_ms"`
 	Whole  bool       `json:"whole"`
-	// StoreUnreachable says that the asking node can't reach the store, so that an older copy
+	// StoreUnreachable means that the requesting node can't reach the store, so that an older copy
 	// is acceptable.
 	StoreUnreachable bool `json:"detour"`
-	// HaveRef names a large value that the asking node already has.
+	// HaveRef names a large value that the requesting node already has.
 	HaveRef rowRef `json:"have,omitzero"`
 
 	haveValue []byte // The value that HaveRef names; not sent.
@@ -39,7 +39,7 @@
 	Rows    packedRows `json:"rows,omitzero"`
 	Version int64      `json:"version"`
 	AgeMS   int64      `json:"age_ms"`
-	// HistoryGone says that this node does not have the changes since the requested version.
+	// HistoryGone means that this node does not have the changes since the requested version.
 	HistoryGone bool `json:"gone"`
 }
 
@@ -61,7 +61,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(boottime.Until(trustedUntil)): // The asking node tries another one.
+		case <-time.After(boottime.Until(trustedUntil)): // The requesting node tries another one.
 		case <-end:
 			answer, _, _, err = r.answer(q)
 			return answer, err
--- a/service/gateway/site_state.go
+++ b/service/gateway/site_state.go
@@ -28,7 +28,7 @@
 	// evacuationTime is the time over which the replicas of an evacuated data hall are
 	// taken out of use.
 	evacuationTime time.Duration
-	// onRestart is called for each replica that has restarted under its ID; planned says
+	// onRestart is called for each replica that has restarted under its ID; planned means
 	// that it had announced that it was leaving.
 	onRestart func(id string, planned bool, now time.Time)
 	// onDelisted is called for each replica whose row was removed though it had not
@@ -52,7 +52,7 @@
 	revision int
 	// droppedIDs are the replicas for which onDelisted has yet to be called.
 	droppedIDs []string
-	// unreachableAt is when the store's upstream list last could not be read, syncedAt
+	// unreachableAt is when the platform's upstream list last could not be read, syncedAt
 	// when it was last read.
 	unreachableAt time.Time
 	syncedAt      time.Time
@@ -73,7 +73,7 @@
 type upstreamEntry struct {
 	site.Upstream
 	version int64 // Of the row.
-	// missingSince is when the store removed the row, zero while it has it.
+	// missingSince is when the platform's store removed the row, zero while it has it.
 	missingSince time.Time
 }
 
@@ -98,7 +98,7 @@
 // Snapshot returns the configuration in force, nil if none is known yet.
 func (st *SiteState) Snapshot() *site.Snapshot { return st.snapshot.Load() }
 
-// ApplyOperator applies rows of the operator's table; whole says that rows is the complete
+// ApplyOperator applies rows of the operator's table; whole means that rows is the complete
 // table.
 func (st *SiteState) ApplyOperator(rows []site.Row, whole bool, now time.Time) {
 	for _, r := range rows {
@@ -230,7 +230,7 @@
 	st.unreachableAt = now
 }
 
-// MarkStoreSynced records that the upstream list is as the store has it.
+// MarkStoreSynced records that the upstream list is as the platform's store has it.
 func (st *SiteState) MarkStoreSynced(now time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -252,11 +252,11 @@
 	return config, sinceSync, sinceUnreachable
 }
 
-// unreachableGrace is how long after the store was unreachable a removed row may be one
+// unreachableGrace is how long after the platform's store was unreachable a removed row may be one
 // that expired only because the replica could not renew it.
 const unreachableGrace = 4 * time.Second
 
-// ApplyUpstreams applies rows of the upstream list; whole says that rows is the complete
+// ApplyUpstreams applies rows of the upstream list; whole means that rows is the complete
 // list.
 func (st *SiteState) ApplyUpstreams(rows []site.Row, whole bool, now time.Time) {
 	// The cache index is reset without holding mu: its look-ups call SiteState while
@@ -396,8 +396,8 @@
 	return reported
 }
 
-// drop removes an upstream whose row is gone: at once, unless the store was unreachable
-// shortly before. Then the row may have expired only because heartbeats could not be
+// drop removes an upstream whose row is gone: at once, unless the platform's store was
+// unreachable shortly before. Then the row may have expired only because heartbeats could not be
 // written, and the upstream gets time to return.
 func (st *SiteState) drop(id string, now time.Time) {
 	e, known := st.upstreams[id]
--- a/service/ratelimit/limits.go
+++ b/service/ratelimit/limits.go
@@ -25,14 +25,14 @@
 //	a node wants to send                the owner, which answers with a grant
 //
 // The owner is chosen by rendezvous hashing among the working nodes. A node grants nothing if
-// it believes that another node is the owner, or if it has just started and is not yet in
+// it considers another node the owner, or if it has just started and is not yet in
 // contact with the others. A node that considers some nodes dead grants only the share of the
 // rate that the remaining nodes are of all nodes, so that the owners on both sides of a network
 // partition together grant no more than the rate.
 type Limits struct {
 	self    control.Member
 	members *control.Members
-	client  Caller
+	client  PeerClient
 	// joined reports whether this node is in contact with the others.
 	joined    func() bool
 	ledger    *quota.Ledger
@@ -47,8 +47,8 @@
 	view   *control.View // The view for which owners was computed.
 }
 
-// Caller calls other nodes.
-type Caller interface {
+// PeerClient calls other nodes; peer.Client implements it.
+type PeerClient interface {
 	CallWithin(ctx context.Context, within time.Duration, addr netip.AddrPort, method string, params, result any) error
 	Notify(ctx context.Context, addr netip.AddrPort, method string, params any) error
 }
@@ -90,13 +90,13 @@
 	unlimitedRate = 1e5
 	// ownerKeyPrefix goes before a replica's start key when its owner is chosen.
 	ownerKeyPrefix = "limit/"
-	// ForgetInterval is how often Forget is to be called.
+	// ForgetInterval is how often Forget must be called.
 	ForgetInterval = 2 * time.Second
 )
 
 // New returns a Limits that knows no replica. SetAnnouncer must be called before any other
 // method.
-func New(self control.Member, members *control.Members, client Caller, joined func() bool, log *slog.Logger) *Limits {
+func New(self control.Member, members *control.Members, client PeerClient, joined func() bool, log *slog.Logger) *Limits {
 	return &Limits{
 		self:    self,
 		members: members,
@@ -114,17 +114,17 @@
 // Close waits for background calls.
 func (l *Limits) Close() { l.wg.Wait() }
 
-// ObserveAnswer records the rate limit in an answer. An answer without a limit shows that the
+// ObserveResponse records the rate limit in an answer. An answer without a limit shows that the
 // limit has ended only if its request ran and was sent after the limit was last observed:
 // otherwise the request may have been under way since before the limit was set.
-func (l *Limits) ObserveAnswer(u *site.Upstream, answer *site.ResponseInfo, sent, now time.Time) {
+func (l *Limits) ObserveResponse(u *site.Upstream, response *site.ResponseInfo, sent, now time.Time) {
 	switch {
-	case answer.Limit.Presence == site.RateUnreadable:
+	case response.Limit.Presence == site.RateUnreadable:
 		l.counts.unreadable.Add(1)
 		l.log.Debug("replica rate limit can't be decoded", "replica", u.ID)
-	case answer.Limit.Presence == site.RatePresent && answer.Limit.PerSecond < unlimitedRate:
-		l.observeRate(u, quota.Rate{PerSecond: answer.Limit.PerSecond, ObservedAt: now}, now)
-	case l.ledger.Empty() || answer.NotRun:
+	case response.Limit.Presence == site.RatePresent && response.Limit.PerSecond < unlimitedRate:
+		l.observeRate(u, quota.Rate{PerSecond: response.Limit.PerSecond, ObservedAt: now}, now)
+	case l.ledger.Empty() || response.NotRun:
 	default:
 		l.observeNoRate(u, sent, now)
 	}
