--- a/_scripts/ablate/ablate_test.go
+++ b/_scripts/ablate/ablate_test.go
@@ -17,6 +17,7 @@
 	return path
 }
 
+// Plays take long, so a misspelt argument must be rejected before the first one.
 func TestUnknownNamesAreRejectedBeforeAnyPlay(t *testing.T) {
 	site := writeFile(t, "s.toml", siteFile)
 	out := filepath.Join(t.TempDir(), "out.jsonl")
--- a/_scripts/ablate/plan.go
+++ b/_scripts/ablate/plan.go
@@ -30,7 +30,7 @@
 	Worth float64 `json:"worth"`
 	// OwnCode is the processor time of the nodes' own code in seconds.
 	OwnCode float64 `json:"own_code_s"`
-	// Broken means that a rule of the bench was broken or that the day did not run to its end.
+	// Broken is set if a rule of the bench was broken or the day did not run to its end.
 	Broken bool `json:"broken,omitempty"`
 }
 
@@ -114,8 +114,8 @@
 	return seeds, nil
 }
 
-// remainingPlays returns the plays that have no result yet, for each seed those with all
-// mechanisms on first, and the site files by site name.
+// remainingPlays returns the plays that have no result yet, and the site files by site name. For
+// each seed, the plays with all mechanisms on come first.
 func remainingPlays(names []string, days []siteDay, seeds []int64, done []result) (list []play, sites map[string]string) {
 	sites = map[string]string{}
 	finished := map[play]bool{}
--- a/_scripts/ablate/play.go
+++ b/_scripts/ablate/play.go
@@ -48,11 +48,11 @@
 	return c.playAll(list, sites, done)
 }
 
-// playAll runs up to Jobs plays at a time and writes each result when it is there.
+// playAll runs up to Jobs plays at a time and writes each result as soon as its play has ended.
 func (c *playCommand) playAll(list []play, sites map[string]string, done []result) (err error) {
 	copies := &workingCopies{repo: c.Repo, copies: map[string]*workingCopy{}}
 	defer copies.close()
-	// Rewritten, as its last line may be incomplete.
+	// The file is rewritten, since its last line may be incomplete.
 	out, err := os.Create(c.Out)
 	if err != nil {
 		return err
@@ -203,7 +203,7 @@
 			fmt.Fprintf(os.Stderr, "journal of %s not copied, it stays there: %v\n", wc.dir, err)
 			continue
 		}
-		_ = os.RemoveAll(wc.dir) // A remainder stays in the temporary directory.
+		_ = os.RemoveAll(wc.dir) // If it fails, a part stays in the temporary directory.
 	}
 }
 
--- a/_scripts/mutate/mutations.go
+++ b/_scripts/mutate/mutations.go
@@ -1,5 +1,6 @@
 package main
 
+// scenarios is the package of the tests that run drumpath as processes.
 const scenarios = "./cmd/drumpath"
 
 var mutations = []mutation{
@@ -139,7 +140,7 @@
 		"./pkg/control", "TestFenceRequiresHeldLease",
 	},
 	{
-		"a node that others suspect or hold dead is told so", "pkg/control/members_updates.go",
+		"a node that others suspect or consider dead is informed", "pkg/control/members_updates.go",
 		"e != nil && (e.State == MemberSuspect", "false && e != nil && (e.State == MemberSuspect",
 		"./pkg/control", "TestHalvesRejoinAfterPartition",
 	},
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -49,7 +49,7 @@
 	cmd          *exec.Cmd
 	name         string
 	done         chan struct{}
-	exitExpected bool // The fleet kills it on purpose.
+	exitExpected bool // The fleet kills it.
 	frozen       bool
 	exited       bool
 }
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -130,15 +130,15 @@
 	}, nil
 }
 
-// capacityRate is about the highest rate at which drumpath answered every request
-// within its deadline in trial runs of this measurement.
+// capacityRate is about the highest rate, in requests per second, at which drumpath
+// answered every request within its deadline in trial runs of this measurement.
 const capacityRate = 70
 
-// policyResult is what one load under one policy gave.
+// policyResult is the result of one load under one policy.
 type policyResult struct {
 	Policy string      `json:"policy"`
 	Report load.Report `json:"report"`
-	// LinkBytes were moved over the stores' links.
+	// LinkBytes is how many bytes were moved over the stores' links.
 	LinkBytes int64 `json:"link_bytes"`
 	BadReads  int   `json:"bad_reads"`
 	// Imports and the following counts are sums over the nodes.
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -76,8 +76,7 @@
 	return nil
 }
 
-// onceState is the outcome of a request that must not be repeated, as its client
-// knows it.
+// onceState is what a client knows of the outcome of a request that must not be repeated.
 type onceState string
 
 const (
@@ -104,7 +103,7 @@
 // faultWindow is a time with a fault, as offsets from the start of the run.
 type faultWindow struct{ from, to time.Duration }
 
-// firstToken is how long a first token took, with its offset from the start.
+// firstToken is how long a first token took, with its offset from the start of the run.
 type firstToken struct{ at, took time.Duration }
 
 const (
@@ -155,7 +154,7 @@
 	return nil
 }
 
-// finish compares the service's own counts with what clients were told.
+// finish compares the service's own counts with the answers that clients got.
 func (s *soak) finish() {
 	runs := s.fleet.serviceRuns()
 	for body, state := range s.once {
@@ -330,7 +329,7 @@
 	}
 }
 
-// faultKinds is how many kinds of fault there are.
+// faultKinds is how many kinds of fault startFault knows.
 const faultKinds = 7
 
 // startFault starts a fault of a kind and returns its description and the
--- a/internal/netproxy/proxy.go
+++ b/internal/netproxy/proxy.go
@@ -216,7 +216,7 @@
 }
 
 // waitToForward blocks while the link is held and for its delay; ok is false if the
-// bytes must be discarded.
+// direction is silent, so the bytes must be discarded.
 func (p *Proxy) waitToForward(c *proxiedConn, direction int) (ok bool) {
 	for {
 		p.mu.Lock()
--- a/internal/netproxy/proxy_test.go
+++ b/internal/netproxy/proxy_test.go
@@ -48,8 +48,8 @@
 	return err
 }
 
-// If the proxy reset or closed silenced connections, tests of undetected network
-// failures would see an error that a real silent path does not give.
+// If the proxy reset or closed silenced connections, tests of undetected network failures would
+// see an error that a path which silently loses bytes does not give.
 func TestSilencedConnectionsStayOpenAndNewOnesPass(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/soak/advice.go
+++ b/internal/soak/advice.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxDrainLag is how long after an answer that reports a drain clients may send requests
+	// maxDrainLag is how long after an answer that announces a drain clients may send requests
 	// that the node still passes to the replica.
 	maxDrainLag = 2 * time.Second
 	// maxBackoffLag is how long after a replica asked for backoff a node's requests are not
@@ -21,8 +21,8 @@
 	// the backoff ends.
 	maxBackoffLag      = 500 * time.Millisecond
 	maxBackoffRequests = 2
-	// unlistedDrainTime is how long a replica still serves when only its answers, not its
-	// row, say that it drains.
+	// unlistedDrainTime is how long a replica still serves while only its answers, not its
+	// row, announce a drain.
 	unlistedDrainTime = 3500 * time.Millisecond
 )
 
@@ -32,10 +32,10 @@
 	headerSent = "Soak-Sent"
 )
 
-// advice is what a replica's answers have told one node: to drain it or to back off.
+// advice is what a replica's answers have announced to one node: a drain, or a backoff.
 type advice struct {
-	drainingSince     time.Time // Zero if not yet told.
-	backoffFrom       time.Time // When backoff was last requested,
+	drainingSince     time.Time // Zero if not announced.
+	backoffFrom       time.Time // When the replica last asked for backoff,
 	backoffUntil      time.Time // and until when.
 	requestsInBackoff int       // Those sent more than maxBackoffLag after backoffFrom.
 }
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// drainUnlisted replaces a replica, whose answers then say that it drains while its row
-// still says ready.
+// drainUnlisted replaces a replica, whose answers then announce a drain while its row is still
+// "ready".
 func (s *soak) drainUnlisted(rng *rand.Rand, _ time.Duration) {
 	if old := s.replaceRandomReplica(rng); old != nil {
 		old.draining.Store(true)
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -13,9 +13,9 @@
 	node     *node
 	sentAt   time.Time
 	endedAt  time.Time
-	status   int  // 0 without an answer.
-	complete bool // The answer has status 200 and was read to its end.
-	mismatch string
+	status   int    // 0 without an answer.
+	complete bool   // The answer has status 200 and was read to its end.
+	mismatch string // How the answer differs from the replica's, "" if it does not.
 }
 
 // checker records what clients and replicas observed and checks it against the guarantees.
@@ -31,7 +31,7 @@
 
 func newChecker() *checker { return &checker{runs: map[string]int{}} }
 
-// addViolation records a violated guarantee.
+// addViolation records a violated guarantee, up to maxViolations.
 func (c *checker) addViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -12,7 +12,7 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// Guards against checks that never fail.
+// A check of the soak that never fails would hide violations, so each gets one to report.
 func TestCheckerReportsViolations(t *testing.T) {
 	now := time.Now()
 	healthy, faulty := &node{name: "calm"}, &node{name: "harmed", faultUntil: now.Add(time.Minute)}
@@ -53,6 +53,8 @@
 	}
 }
 
+// Requests sent too late to a draining replica, or too many during a backoff, must be reported,
+// and those within the allowed times, or of a node that was restarted, must not.
 func TestRequestsAgainstDrainOrBackoffAreReported(t *testing.T) {
 	n := &node{name: "n"}
 	ask := func(r *replica, sent time.Time, refused bool) {
--- a/internal/soak/crash_request.go
+++ b/internal/soak/crash_request.go
@@ -56,8 +56,8 @@
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// crashOnRequest crashes a replica that runs a crashing request. Its replacement and the
-// removal of its row follow later.
+// crashOnRequest crashes a replica that runs a crashing request; the replica is replaced and its
+// row removed after replacementDelay.
 func (s *soak) crashOnRequest(r *replica, body string) {
 	s.mu.Lock()
 	i := slices.Index(s.replicas, r)
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -30,7 +30,7 @@
 	settingsFile string
 	logFile      *os.File
 	storeProxy   *netproxy.Proxy // In front of the platform's store.
-	program      string
+	program      string          // The program under test.
 
 	processMu sync.Mutex // Held during a fault of the process itself.
 	// suspended is the total time for which its machine was suspended; guarded by processMu.
@@ -132,7 +132,7 @@
 	return n.stopSignalAt.After(at)
 }
 
-// signal sends the process a signal; expectExit means that the process is to exit on it.
+// signal sends the process a signal; expectExit is set if the process should exit on it.
 func (n *node) signal(sig syscall.Signal, expectExit bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -155,7 +155,7 @@
 	return n.start()
 }
 
-// stop stops the process in the planned way and restarts it.
+// stop stops the process with SIGTERM, which lets it drain, and restarts it.
 func (n *node) stop() error {
 	n.signal(syscall.SIGTERM, true)
 	select {
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -31,12 +31,12 @@
 	proxy     *netproxy.Proxy
 	checker   *checker
 	behaviour atomic.Int32
-	// onCrashRequest is called for a request that is to crash the replica.
+	// onCrashRequest is called for a request that crashes the replica.
 	onCrashRequest func(r *replica, body string)
-	crashed        bool // On a request; guarded by soak.mu.
+	crashed        bool // By a request; guarded by soak.mu.
 
-	draining   atomic.Bool  // Its answers say so.
-	backoff    atomic.Int64 // Requested with refusals, in nanoseconds; 0 for none.
+	draining   atomic.Bool  // Its answers announce a drain.
+	backoff    atomic.Int64 // Asked for with refusals, in nanoseconds; 0 for none.
 	nodeByName func(name string) *node
 	adviceMu   sync.Mutex
 	advice     map[*node]*advice
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -65,7 +65,7 @@
 	replicasMade int
 	version      int // Of the newest configuration.
 	faultCounts  map[string]int
-	crashes      map[string]int // Replicas that crashed on a request, by its body.
+	crashes      map[string]int // How many replicas a request has crashed, by its body.
 }
 
 // Run runs one soak and reports what it found.
@@ -141,7 +141,7 @@
 	}
 }
 
-// recordStartError reports a process that could not be restarted.
+// recordStartError records the failed restart of a process as a violation.
 func (s *soak) recordStartError(err error) {
 	if err != nil {
 		s.checker.addViolation("process not started: %v", err)
--- a/internal/standin/engine_cache.go
+++ b/internal/standin/engine_cache.go
@@ -9,7 +9,8 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// maxKeptEvents is how many events are kept; a reader further behind sees a gap.
+// maxKeptEvents is how many events are kept; a reader that is further behind sees a gap in
+// their numbers.
 const maxKeptEvents = 20_000
 
 // prefixCache is a prefix cache of limited size that evicts the least recently
--- a/internal/standin/engine_load.go
+++ b/internal/standin/engine_load.go
@@ -7,7 +7,7 @@
 	"github.com/drumpath/drumpath/pkg/upstream"
 )
 
-// delayedLoad reports a load that may be out of date by refreshInterval.
+// delayedLoad reports a load that may be out of date by up to refreshInterval.
 type delayedLoad struct {
 	refreshInterval time.Duration
 	measure         func() upstream.LoadReport
--- a/internal/standin/onplatform/accept_test.go
+++ b/internal/standin/onplatform/accept_test.go
@@ -58,6 +58,7 @@
 	})
 }
 
+// A failed accept must not end the accept loop of the entry, ready or directory address.
 func TestNodeAcceptsAgainAfterRunningOutOfDescriptors(t *testing.T) {
 	s := newSite(t)
 	s.startReplica(appService, "a")
@@ -98,6 +99,8 @@
 	return n
 }
 
+// Idle clients hold all connections that the node accepts. It must close idle ones to serve new
+// clients.
 func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
 	s := newSite(t)
 	s.startReplica(appService, "a")
--- a/internal/standin/onplatform/client_disconnect_test.go
+++ b/internal/standin/onplatform/client_disconnect_test.go
@@ -152,6 +152,7 @@
 	assert.Equal(t, len(r.Received()), before+1)
 }
 
+// A client disconnects before it has sent its whole body.
 func TestRequestIsNotSentAfterDisconnectDuringBody(t *testing.T) {
 	s := newSite(t)
 	work := &workCounter{}
@@ -179,7 +180,8 @@
 	assert.Equal(t, len(a.Received()), 0)
 }
 
-// A client disconnects just when its first attempt fails in a way that allows a retry.
+// A client disconnects just when the first attempt of its request fails in a way that allows
+// a retry. The node must not retry for a client that has gone.
 func TestNoRetryAfterClientDisconnect(t *testing.T) {
 	for name, script := range map[string]onplatform.Script{
 		"refused": onplatform.NotExecuted(503),
@@ -270,7 +272,7 @@
 }
 
 // A client stops reading its stream and then disconnects while the node is blocked in a
-// write to it.
+// write to it. The replica must not go on streaming.
 func TestClientDisconnectStopsUnreadStream(t *testing.T) {
 	s := newSite(t)
 	work := &workCounter{}
@@ -378,14 +380,15 @@
 	return work, a, c
 }
 
+// A client that closes only its sending side counts as disconnected.
 func TestClientHalfCloseStopsReplica(t *testing.T) {
 	work, a, c := requestInProgress(t)
 	assert.NilError(t, c.conn.(*net.TCPConn).CloseWrite())
 	work.assertAllEnded(t, time.Now(), a)
 }
 
-// A client disconnects while a replica works on its request and the node has already read
-// bytes of the client's next request, which hid the end of the connection.
+// A client disconnects while a replica works on its request. Bytes of the client's next request,
+// which the node had already read, hid the end of the connection, and the replica worked on.
 func TestDisconnectIsNoticedBehindPipelinedRequest(t *testing.T) {
 	whole := request("GET", "/safe/x", "")
 	for name, next := range map[string]string{
@@ -403,8 +406,8 @@
 	}
 }
 
-// A client pipelines a second request and disconnects while the first one runs, so the node
-// reads the second one only after the disconnect.
+// A client pipelines a second request and disconnects while the first one runs. The node reads
+// the second one only after the disconnect and must not send it to a replica.
 func TestPipelinedRequestIsNotSentAfterDisconnect(t *testing.T) {
 	s := newSite(t)
 	work := &workCounter{}
@@ -436,7 +439,8 @@
 	assert.Equal(t, len(a.Received()), rounds)
 }
 
-// Many clients disconnect at once, right after they have sent their requests.
+// Many clients disconnect at once, right after they have sent their requests. Replicas must not
+// go on with any of them.
 func TestMassDisconnectLeavesNoRunningRequests(t *testing.T) {
 	for name, linger := range map[string]int{"closed": -1, "reset": 0} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/standin/onplatform/configuration.go
+++ b/internal/standin/onplatform/configuration.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// randomName returns a random name of two syllables and a number, like the platform's names.
+// randomName returns a random name of two syllables and five hex digits, like the platform's names.
 func randomName(r *rand.Rand) string {
 	const consonants, vowels = "bcdfghjklmnpqrstvwxyz", "aeiou"
 	syllable := func() string {
--- a/internal/standin/onplatform/drain_backoff_test.go
+++ b/internal/standin/onplatform/drain_backoff_test.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// drainDelay is how long after a replica's answer has announced a drain requests that
-	// clients sent in the meantime may still reach it.
-	drainDelay = 2 * time.Second
-	// backoffDelay is how long after its answer a replica that asked for backoff may still get
-	// requests; from then until the end of the backoff it gets at most maxInBackoff.
-	backoffDelay = 500 * time.Millisecond
-	maxInBackoff = 2
+	// maxDrainLag is how long after an answer that announces a drain clients may send requests
+	// that the node still passes to the replica.
+	maxDrainLag = 2 * time.Second
+	// maxBackoffLag is how long after its answer a replica that asked for backoff may still get
+	// requests; from then until the end of the backoff it gets at most maxBackoffRequests.
+	maxBackoffLag      = 500 * time.Millisecond
+	maxBackoffRequests = 2
 )
 
 // arrival is a request that reached a replica.
 type arrival struct {
 	node   string
-	sentAt time.Time // By the client.
+	sentAt time.Time // When the client sent it.
 	at     time.Time
 }
 
@@ -42,17 +42,17 @@
 type signallingReplica struct {
 	*onplatform.Replica
 
-	mu              sync.Mutex
-	draining        bool
-	retryAfter      string        // Value of Retry-After, "" while it serves.
-	backoff         time.Duration // The time that retryAfter stands for.
-	firstTold       map[string]time.Time
-	backoffRequests []backoffRequest
-	arrived         []arrival
+	mu               sync.Mutex
+	draining         bool
+	retryAfter       string               // Value of Retry-After; "" while the replica serves.
+	backoff          time.Duration        // The time that retryAfter stands for.
+	drainAnnouncedAt map[string]time.Time // By node.
+	backoffRequests  []backoffRequest
+	arrived          []arrival
 }
 
 func (s *site) startSignallingReplica(service, id string) *signallingReplica {
-	r := &signallingReplica{Replica: s.newReplica(id), firstTold: map[string]time.Time{}}
+	r := &signallingReplica{Replica: s.newReplica(id), drainAnnouncedAt: map[string]time.Time{}}
 	r.Script(r.answer)
 	s.listReplica(service, r.Replica, "ready", 1)
 	return r
@@ -83,8 +83,8 @@
 	fields, status, body := "Server-Stamp: s\r\n", 200, "from "+r.ID
 	if r.draining {
 		fields += "Server-Leaving: 1\r\n"
-		if r.firstTold[node].IsZero() {
-			r.firstTold[node] = now
+		if r.drainAnnouncedAt[node].IsZero() {
+			r.drainAnnouncedAt[node] = now
 		}
 	}
 	if r.retryAfter != "" {
@@ -97,27 +97,27 @@
 	return err == nil
 }
 
-// sentTooLate counts the requests that arrived although their client sent them later than
-// drainDelay after their node was told of the drain.
+// sentTooLate counts the requests that arrived although their client sent them more than
+// maxDrainLag after their node had got an answer that announced the drain.
 func (r *signallingReplica) sentTooLate() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range r.arrived {
-		if told := r.firstTold[a.node]; !told.IsZero() && a.sentAt.Sub(told) > drainDelay {
+		if announcedAt := r.drainAnnouncedAt[a.node]; !announcedAt.IsZero() && a.sentAt.Sub(announcedAt) > maxDrainLag {
 			n++
 		}
 	}
 	return n
 }
 
-// maxDuringBackoff returns the largest number of requests of one node within one backoff.
-func (r *signallingReplica) maxDuringBackoff() (highest int) {
+// maxRequestsInBackoff returns the largest number of requests of one node within one backoff.
+func (r *signallingReplica) maxRequestsInBackoff() (highest int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range r.backoffRequests {
 		n := 0
 		for _, a := range r.arrived {
-			if a.node == b.node && a.at.Sub(b.from) >= backoffDelay && a.at.Before(b.until) {
+			if a.node == b.node && a.at.Sub(b.from) >= maxBackoffLag && a.at.Before(b.until) {
 				n++
 			}
 		}
@@ -139,7 +139,7 @@
 	}
 }
 
-// stampedPrompt builds a prompt with the same fields; all prompts share a prefix.
+// stampedPrompt builds a prompt with the header fields of stampedRequest; all prompts share a prefix.
 func stampedPrompt(node string) string {
 	return request("POST", "/prompt/x", "text", "X-Node: "+node, fmt.Sprintf("X-Sent: %d", time.Now().UnixNano()),
 		"Model: "+model, "Token-Usage: 900,10", fmt.Sprintf("Prefix-Hash: aa:500,b0:300,%x:100", requestCount.Add(1)))
@@ -212,7 +212,7 @@
 			time.Sleep(500 * time.Millisecond)
 			r.setBackoff("1.5", 1500*time.Millisecond)
 			time.Sleep(3 * time.Second)
-			most := r.maxDuringBackoff()
+			most := r.maxRequestsInBackoff()
 			r.setBackoff("", 0)
 			time.Sleep(2500 * time.Millisecond)
 			before := r.arrivalCount()
@@ -220,7 +220,7 @@
 			after := r.arrivalCount() - before
 			statuses, reasons := end()
 			t.Logf("answers %v, refused as %v; %d in one backoff, %d in the second after it", statuses, reasons, most, after)
-			assert.Assert(t, most <= maxInBackoff, "%d requests of one node within one backoff", most)
+			assert.Assert(t, most <= maxBackoffRequests, "%d requests of one node within one backoff", most)
 			assert.Assert(t, after >= 15, "%d of 90 requests in the second after it", after)
 			assert.Equal(t, len(statuses), 1, "no request fails while another replica is free: %v, refused as %v", statuses, reasons)
 		})
@@ -232,9 +232,9 @@
 func TestRequestIsRefusedAtOnceWhereAllReplicasDrainOrAskForBackoff(t *testing.T) {
 	const backoff = 4 * time.Second
 	for name, c := range map[string]struct {
-		say    func(r *signallingReplica)
-		reason string
-		least  time.Duration // Of the Retry-After value.
+		announce func(r *signallingReplica)
+		reason   string
+		least    time.Duration // Of the Retry-After value.
 	}{
 		"backoff": {func(r *signallingReplica) { r.setBackoff("4", backoff) }, "backoff", 3 * time.Second},
 		"drain":   {(*signallingReplica).startDraining, "draining", 0},
@@ -244,10 +244,10 @@
 			replicas := []*signallingReplica{s.startSignallingReplica(appService, "a"), s.startSignallingReplica(appService, "b")}
 			n := s.startReadyNode("n")
 			for _, r := range replicas {
-				c.say(r)
+				c.announce(r)
 			}
 			text := stampedRequest("GET", "/safe/x")
-			s.waitUntil("both have told the node", func() bool {
+			s.waitUntil("both replicas have answered the node", func() bool {
 				n.sendAndClose(text("n"))
 				return replicas[0].arrivalCount() > 0 && replicas[1].arrivalCount() > 0
 			})
@@ -279,8 +279,8 @@
 	}
 }
 
-// A node that had heard of a drain told no other, so each node sent the replica one more
-// request before it learnt of the drain from an answer of its own.
+// A node that had learnt of a drain did not inform the others, so each node sent the replica one
+// more request before it learnt of the drain from an answer to its own request.
 func TestNodesTellEachOtherThatAReplicaDrains(t *testing.T) {
 	s := newSite(t)
 	s.startSignallingReplica(appService, "free")
@@ -288,11 +288,11 @@
 	nodes := s.startNodes(3)
 	r.startDraining()
 	text := stampedRequest("GET", "/safe/x")
-	s.waitUntil("one node is told", func() bool {
+	s.waitUntil("one node has learnt of the drain", func() bool {
 		nodes[0].sendAndClose(text("0"))
 		return r.arrivalCount() > 0
 	})
-	time.Sleep(2 * time.Second) // Time for the other nodes to be told, also on a busy machine.
+	time.Sleep(2 * time.Second) // Time for the other nodes to learn of it, also on a busy machine.
 	before := r.arrivalCount()
 	for _, n := range nodes {
 		for range 20 {
@@ -302,7 +302,7 @@
 	assert.Equal(t, r.arrivalCount(), before)
 }
 
-// An order to load weights was sent to an engine that had asked for backoff.
+// An order to load weights was sent to an engine before the backoff that it had asked for ended.
 func TestWeightsOrderWaitsForBackoff(t *testing.T) {
 	s := newSite(t)
 	var mu sync.Mutex
--- a/internal/standin/onplatform/forward_test.go
+++ b/internal/standin/onplatform/forward_test.go
@@ -160,8 +160,8 @@
 		"cut in head":   onplatform.Raw("HTTP/1.1 200 OK\r\nRequest-Id: %ID%\r\n", false),
 		"cut in body":   onplatform.Raw("HTTP/1.1 200 OK\r\nRequest-Id: %ID%\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nabc", false),
 		"not an answer": onplatform.Raw("\x00\x01\x02 what\r\n\r\n", false),
-		"no name":       onplatform.Raw("HTTP/1.1 200 OK\r\nServer-Stamp: s\r\nContent-Length: 3\r\n\r\nabc", false),
-		"framed twice":  onplatform.Raw("HTTP/1.1 200 OK\r\nRequest-Id: %ID%\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", false),
+		"no request ID": onplatform.Raw("HTTP/1.1 200 OK\r\nServer-Stamp: s\r\nContent-Length: 3\r\n\r\nabc", false),
+		"two framings":  onplatform.Raw("HTTP/1.1 200 OK\r\nRequest-Id: %ID%\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", false),
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
@@ -203,8 +203,8 @@
 	assert.Equal(t, len(a.Received())+len(b.Received()), 3)
 }
 
-// A health endpoint may be wrong either way, also for some callers only. Nodes must not call
-// it, and judge a replica by its answers.
+// A health endpoint may report a working replica as failed or a failed one as working, also to
+// some callers only. Nodes must not call it, and judge a replica by its answers.
 func TestHealthEndpointIsIgnored(t *testing.T) {
 	s := newSite(t)
 	well := s.startReplica(appService, "well") // Its health endpoint reports a failure.
@@ -242,7 +242,7 @@
 	}
 }
 
-// A replica sends an answer too many, which would be taken for the answer to the next request
+// A replica sends a surplus answer. The node must not take it for the answer to the next request
 // on the connection.
 func TestAnswerToAnotherRequestIsNotDelivered(t *testing.T) {
 	s := newSite(t)
@@ -304,7 +304,7 @@
 	assert.Equal(t, got.status, 504) // It may have run, so no Retry-After.
 	assert.Equal(t, got.header.Get("Retry-After"), "")
 	in := a.Received()[0]
-	s.waitUntil("the replica is told to stop", func() bool {
+	s.waitUntil("the connection to the replica is closed", func() bool {
 		select {
 		case <-in.Disconnected:
 			return true
--- a/internal/standin/onplatform/limit_test.go
+++ b/internal/standin/onplatform/limit_test.go
@@ -12,11 +12,6 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// Replicas name in their answers how many requests a second they take from all nodes together.
-// Two that named 1 and 1.1 got 17 and 19 in 4 s, where 11 and 12 are allowed: no node read the
-// header. Each node keeping to the rate by itself would not do either: a rate of less than one
-// request a second for each node has to be divided among the nodes.
-
 const (
 	limitWindow = 4 * time.Second
 	// limitDelay is how long after an answer named a limit all nodes must keep to it.
@@ -147,6 +142,10 @@
 	return l.statuses
 }
 
+// Replicas name in their answers how many requests a second they take from all nodes together.
+// Two that named 1 and 1.1 got 17 and 19 in 4 s, where 11 and 12 are allowed: no node read the
+// header. It is not enough that each node by itself keeps to the rate: the nodes have to share it,
+// also when that leaves each of them less than one request a second.
 func TestReplicaGetsNoMoreThanItNamesFromAllNodes(t *testing.T) {
 	const loadTime = 7 * time.Second
 	sharedPrompt := func() string { return prompt("b0") }
@@ -222,8 +221,7 @@
 	assert.Assert(t, len(r.arrived)-before >= 30, "of 120 requests %d came in 2 s", len(r.arrived)-before)
 }
 
-// A replica that names a limit of nothing, or an unusable one, must get requests again once it
-// names none.
+// A replica that names a limit of 0 or an unusable one must get requests again once it names none.
 func TestUnusableRateLimitDoesNotDisableReplicaForGood(t *testing.T) {
 	t.Parallel()
 	for _, named := range []string{"0", "1e9", "-3", "inf", "NaN", "", "much"} {
--- a/internal/standin/onplatform/replica.go
+++ b/internal/standin/onplatform/replica.go
@@ -55,7 +55,7 @@
 
 // Close stops the replica.
 func (r *Replica) Close() {
-	_ = r.ln.Close() // An error loses nothing.
+	_ = r.ln.Close() // The replica ends in any case.
 	r.mu.Lock()
 	r.closed = true
 	for conn := range r.conns {
@@ -75,15 +75,15 @@
 	r.script = s
 }
 
-// Received returns the requests received, without those to the platform's own paths under /-/.
+// Received returns the requests received, except those to the platform's own paths under /-/.
 func (r *Replica) Received() []*Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*Request(nil), r.received...)
 }
 
-// OpenConns returns the number of open connections.
-func (r *Replica) OpenConns() int {
+// OpenConnections returns the number of open connections.
+func (r *Replica) OpenConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.conns)
@@ -96,7 +96,7 @@
 			return
 		}
 		r.mu.Lock()
-		if r.closed { // Accepted while Close ran, which did not see it.
+		if r.closed { // Close ran after Accept returned and did not see the connection.
 			_ = conn.Close()
 		}
 		r.conns[conn] = struct{}{}
@@ -160,13 +160,13 @@
 	}
 }
 
-// Failed answers 500 after running the request.
+// Failed answers 500 without Not-Executed, as after a run that failed.
 func Failed(w io.Writer, r *Request) bool {
 	writeText(w, Head(r, 500, 4)+"oops")
 	return true
 }
 
-// Hang reads the request and never answers.
+// Hang never answers and returns when the caller has disconnected.
 func Hang(_ io.Writer, r *Request) bool {
 	<-r.Disconnected
 	return false
@@ -225,7 +225,8 @@
 	}
 }
 
-// Head returns the response head of an answer that the replica itself produced.
+// Head returns the response head of an answer that the replica itself produced, which is marked
+// by the Server-Stamp header.
 func Head(r *Request, status, length int) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nServer-Stamp: s\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n", status, r.ID(), length)
 }
--- a/internal/standin/onplatform/requests_ending_replicas_test.go
+++ b/internal/standin/onplatform/requests_ending_replicas_test.go
@@ -14,24 +14,20 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// A request may crash each replica that starts to run it. A client that repeats it, each time
-// with a new ID and at any node, ended 17 of 18 replicas within 16 s, with all other requests in
-// flight there and all cached state. What nodes knew (lateness, ejection, suspicion) was about
-// replicas, and went with the replica that ended. Nodes have to remember the request itself, by
-// its fingerprint, so that each repeat is recognised.
-
 const (
 	// crashBody ends each replica that runs it, popularBody is sent again and again.
 	crashBody   = "a body that ends replicas"
 	popularBody = "a body that many callers send"
-	// restartDelay is how long after its end a replica is replaced by one with a new ID.
-	restartDelay = 300 * time.Millisecond
+	// replacementDelay is how long after its end a replica is replaced by one with a new ID.
+	replacementDelay = 300 * time.Millisecond
 	// blockDelay is the time within which all nodes must know that a replica ended under a
 	// request. Operators allow some seconds.
 	blockDelay = 500 * time.Millisecond
 	// retryPause is how long a refused client waits before its next request.
 	retryPause = 5 * time.Millisecond
-	maxEnded   = 5 // Three, and those that ran the request meanwhile.
+	// maxCrashes is how many replicas one request may end: three before it is blocked, and those
+	// that ran it meanwhile.
+	maxCrashes = 5
 )
 
 // fleet is a service whose replicas end under crashBody and are replaced.
@@ -96,7 +92,7 @@
 	}
 	f.wg.Go(func() {
 		r.Close()
-		time.Sleep(restartDelay)
+		time.Sleep(replacementDelay)
 		f.startReplica()
 		f.s.store.Delete(onplatform.TableUpstreams, r.ID)
 	})
@@ -182,6 +178,11 @@
 	return list
 }
 
+// A request may crash each replica that starts to run it. A client that repeats it, each time
+// with a new ID and at any node, ended 17 of 18 replicas within 16 s, with all other requests in
+// flight there and all cached state. What nodes knew (lateness, ejection, suspicion) was about
+// replicas, and was lost with the replica that ended. Nodes have to remember the request itself,
+// by its fingerprint, so that each repeat is recognised.
 func TestRequestThatEndsReplicasIsStoppedByAllNodes(t *testing.T) {
 	s := newSite(t)
 	f := s.newFleet(8)
@@ -215,7 +216,7 @@
 	others.Wait()
 	ended, later := f.counts()
 	t.Logf("%d replicas ended, %d arrivals later, answers %v; others: %d served, %d failed", ended, later, answers, served.Load(), failed.Load())
-	assert.Assert(t, ended <= maxEnded, "%d replicas ended", ended)
+	assert.Assert(t, ended <= maxCrashes, "%d replicas ended", ended)
 	assert.Equal(t, later, 0, "arrivals at replicas once all nodes must know")
 	const final = `400 {"error":"ends_replicas"}`
 	assert.Assert(t, answers[final] > 0, "the client gets a final answer: %v", answers)
@@ -224,7 +225,7 @@
 		got := n.send(request("POST", "/resume/x", popularBody))
 		assert.Equal(t, got.status, 200, "a request that often runs is served: %s", got.body)
 		got = n.send(strings.Replace(request("POST", "/resume/x", crashBody), "Bearer "+key, "Bearer key-two", 1))
-		assert.Equal(t, got.status, 200, "another organisation is not concerned: %s", got.body)
+		assert.Equal(t, got.status, 200, "another organisation is not affected: %s", got.body)
 	}
 }
 
@@ -252,13 +253,13 @@
 		}
 	}
 	after, _ := f.counts()
-	assert.Assert(t, ended <= maxEnded, "%d replicas ended", ended)
+	assert.Assert(t, ended <= maxCrashes, "%d replicas ended", ended)
 	assert.Equal(t, after, ended, "replicas that ended under nodes started later")
 }
 
 // A node that had just started sent on a blocked request that it received some milliseconds
 // before it had read the list of blocked requests, and ended a fourth replica. Here the store
-// delays that list. A node that nobody tells in time serves without it.
+// delays that list. A node that cannot get the list in time serves without it.
 func TestStartingNodeWaitsForListOfBlockedRequests(t *testing.T) {
 	const readDelay = 500 * time.Millisecond
 	s := newSite(t)
@@ -291,8 +292,8 @@
 	assert.Assert(t, time.Since(start) < 500*time.Millisecond, "only the first requests wait: %v", time.Since(start))
 }
 
-// When many replicas end by themselves, several times, the request that clients send most often
-// is running at each of them, and must not be taken for the cause.
+// Many replicas end several times for reasons of their own. The request that clients send most
+// often is running at each of them, and must not be taken for the cause.
 func TestPopularRequestIsNotBlockedWhenReplicasEndByThemselves(t *testing.T) {
 	s := newSite(t)
 	f := s.newFleet(9)
@@ -322,7 +323,7 @@
 		}
 	}
 	for range 8 {
-		time.Sleep(restartDelay + 50*time.Millisecond)
+		time.Sleep(replacementDelay + 50*time.Millisecond)
 		f.stopSome(4)
 	}
 	close(stop)
@@ -351,10 +352,10 @@
 // be blamed for them.
 func TestPlannedReplicaShutdownMakesNoRequestSuspect(t *testing.T) {
 	for name, leave := range map[string]func(s *site, r *onplatform.Replica){
-		"says that it leaves": func(s *site, r *onplatform.Replica) {
+		"row says draining": func(s *site, r *onplatform.Replica) {
 			s.putRow(r, replicaRow(appService, r, map[string]any{"state": "draining"}))
 		},
-		"its entry goes": func(s *site, r *onplatform.Replica) { s.store.Delete(onplatform.TableUpstreams, r.ID) },
+		"row is deleted": func(s *site, r *onplatform.Replica) { s.store.Delete(onplatform.TableUpstreams, r.ID) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
--- a/internal/standin/onplatform/silent_connections_test.go
+++ b/internal/standin/onplatform/silent_connections_test.go
@@ -58,7 +58,7 @@
 			n.site.waitUntil("the request is answered", func() bool { return n.send(request("POST", "/once/x", "body")).status == 200 })
 		})
 	}
-	n.site.waitUntil("each request has a connection of its own", func() bool { return a.OpenConns() >= conns })
+	n.site.waitUntil("each request has a connection of its own", func() bool { return a.OpenConnections() >= conns })
 	close(answerNow)
 	done.Wait()
 	a.Script(onplatform.OK("from " + a.ID))
--- a/internal/standin/onplatform/site_state_test.go
+++ b/internal/standin/onplatform/site_state_test.go
@@ -163,10 +163,10 @@
 	c := n2.dial()
 	c.write(request("POST", "/once/x", "body"))
 	<-started
-	left := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
 		n2.Drain()
-		close(left)
+		close(drained)
 	}()
 	s.waitUntil("no node lists the stopping one", func() bool {
 		return !strings.Contains(n1.resolve(), n2.entry) && !n2.isReady()
@@ -175,7 +175,7 @@
 	got := c.read()
 	assert.Equal(t, got.body, "whole")
 	assert.Assert(t, got.closing)
-	<-left
+	<-drained
 	n2.close()
 }
 
@@ -217,11 +217,11 @@
 	s.startReadyNode("n1")
 	for round, mode := range []onplatform.Mode{onplatform.ModeRefusing, onplatform.ModeSilent, onplatform.ModeRefusing} {
 		s.store.SetMode(mode)
-		s.waitUntil("both tables are lost", func() bool { return lines.count(`msg="store lost"`) == 2*(round+1) })
+		s.waitUntil("the loss of both tables is logged", func() bool { return lines.count(`msg="store lost"`) == 2*(round+1) })
 		calls := s.store.Calls()
 		s.waitUntil("the store was called again", func() bool { return s.store.Calls() > calls+3 })
 		s.store.SetMode(onplatform.ModeUp)
-		s.waitUntil("both are back", func() bool { return lines.count(`msg="store back"`) == 2*(round+1) })
+		s.waitUntil("the return of both is logged", func() bool { return lines.count(`msg="store back"`) == 2*(round+1) })
 	}
 	assert.Equal(t, lines.count(`msg="store lost"`), 6)
 	assert.Equal(t, lines.count(`table=operator`), 6)
@@ -251,6 +251,7 @@
 	})
 }
 
+// Prompts of an isolated organisation must have a cache salt of their own.
 func TestIsolatedOrganisationSharesNoCache(t *testing.T) {
 	s := newSite(t)
 	r := s.startReplica(llmService, "e")
@@ -360,8 +361,8 @@
 	assert.Equal(t, len(r.Received()), held, "what was refused has not run")
 }
 
-// A replica that answers 421 is another start than the one listed, so the listed one has gone.
-// It must cost an attempt only every few seconds.
+// A replica that answers 421 has restarted since it was listed, so the listed process is gone.
+// Nodes must try it again only every few seconds.
 func TestReplicaThatAnswers421IsRetriedRarely(t *testing.T) {
 	s := newSite(t)
 	restarted, serving := s.startReplica(appService, "a"), s.startReplica(appService, "b")
--- a/internal/standin/onplatform/site_test.go
+++ b/internal/standin/onplatform/site_test.go
@@ -33,7 +33,7 @@
 	appService  = "app"
 	llmService  = "llm"
 	model       = "m0"
-	waitTimeout = 20 * time.Second // Until a condition fails the test; no measured time.
+	waitTimeout = 20 * time.Second // How long waitUntil waits before it fails the test.
 )
 
 // site is a store and replicas of the platform, and the settings of the nodes in front of them.
--- a/internal/standin/onplatform/stop_test.go
+++ b/internal/standin/onplatform/stop_test.go
@@ -15,8 +15,8 @@
 	"github.com/drumpath/drumpath/internal/standin/onplatform"
 )
 
-// quietTime is how long after the start of a stop nothing is left to wait for but a
-// request that is still being read.
+// quietTime is how long after the start of a stop a node waits only for requests that it is
+// still reading.
 const quietTime = 2 * time.Second
 
 // workTime is how long replicas in these tests work on a request.
@@ -109,7 +109,7 @@
 // The load and the stops of TestOverlappingStopsCutNoStartedRequest.
 const (
 	stoppedNodes   = 3
-	clientsPerNode = 24 // Of each node.
+	clientsPerNode = 24
 	stopInterval   = 300 * time.Millisecond
 	maxPause       = 250 * time.Millisecond // Before a request, and within one.
 	shortWorkTime  = 15 * time.Millisecond
@@ -117,8 +117,8 @@
 
 // Clients keep sending while several nodes stop at overlapping times, on old and new connections,
 // with requests of which a part comes at a random later time. Each request that a replica has
-// started must be answered. The test above places the late bytes at the critical moment; this
-// one leaves that to chance.
+// started must be answered. TestStopWaitsForRequestsThatAreBeingRead sends the late bytes at the
+// critical moment; this test leaves that to chance.
 func TestOverlappingStopsCutNoStartedRequest(t *testing.T) {
 	s := newSite(t)
 	a := s.startReplica(appService, "a")
--- a/internal/standin/onplatform/store.go
+++ b/internal/standin/onplatform/store.go
@@ -19,7 +19,7 @@
 	TableNodes     = "drumpath-nodes"
 )
 
-// Row is one row.
+// Row is one row of a table.
 type Row struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -28,8 +28,8 @@
 	Version int64  `json:"ver"`
 	Gone    bool   `json:"gone,omitempty"`
 
-	// encoded is the row as JSON. It is encoded once, not for each call:
-	// rows may be megabytes long, and the store shares the processor with the nodes under test.
+	// encoded is the row as JSON. It is encoded once, not for each call: rows may be megabytes
+	// long, and the store shares the processor with the nodes under test.
 	encoded []byte
 }
 
@@ -58,7 +58,7 @@
 	staleRows    map[string]map[string]Row
 	staleVersion int64
 	version      int64
-	historyStart int64 // The feed knows no changes up to this version.
+	historyStart int64 // The feed no longer has the changes up to this version.
 	changed      chan struct{}
 	mode         Mode
 	calls        int
--- a/internal/standin/onplatform/suspended_test.go
+++ b/internal/standin/onplatform/suspended_test.go
@@ -13,12 +13,6 @@
 	"github.com/drumpath/drumpath/pkg/boottime"
 )
 
-// The monotonic clock does not count the time for which a machine is suspended, so a node that
-// woke up took its state for as fresh as before: for some milliseconds it accepted a key that had
-// been revoked, sent requests to evacuated data halls, and was ready. A process that was only
-// stopped sees the time that passed; after a suspension the monotonic clock has to be compared
-// with the boot-time clock.
-
 // cutStore holds up all bytes between the site's nodes and the store until restore is called.
 func (s *site) cutStore() (restore func()) {
 	held := netproxy.Link{Held: true}
@@ -26,6 +20,11 @@
 	return s.storeProxy.Heal
 }
 
+// The monotonic clock does not count the time for which a machine is suspended, so a node that
+// woke up took its state for as fresh as before: for some milliseconds it accepted a key that had
+// been revoked, sent requests to evacuated data halls, and was ready. The clock goes on for a
+// process that is only stopped; to notice a suspension, a node has to compare the monotonic clock
+// with the boot-time clock.
 func TestSuspendedNodeDoesNotActOnStaleState(t *testing.T) {
 	for _, d := range []time.Duration{2 * time.Second, 8 * time.Second, 30 * time.Second} {
 		t.Run(d.String(), func(t *testing.T) {
@@ -52,7 +51,7 @@
 			assert.Equal(t, len(a.Received())+len(b.Received()), before, "a request with a revoked key was sent on")
 			s.waitUntil("the node knows that the key is revoked", func() bool { return n.send(asTwo()).status == 401 })
 			s.waitUntil("the node serves again", func() bool { return n.send(request("GET", "/safe/x", "")).status == 200 })
-			assert.Assert(t, time.Since(wokeAt) < time.Second, "no longer than a start: %v", time.Since(wokeAt))
+			assert.Assert(t, time.Since(wokeAt) < time.Second, "it took longer than a start: %v", time.Since(wokeAt))
 			assert.Assert(t, n.isReady())
 		})
 	}
@@ -93,7 +92,8 @@
 	assert.Equal(t, len(a.Received())+len(b.Received()), 1)
 }
 
-// A data hall is evacuated while the machine is suspended.
+// A data hall is evacuated while the machine is suspended. The node woke up with the old state and
+// sent requests there.
 func TestSuspendedNodeSendsNothingToEvacuatedHall(t *testing.T) {
 	s := newSite(t)
 	s.storeProxy = s.newProxy(s.store.Addr())
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -43,7 +43,7 @@
 // maxKeptChanges is how many changes are kept for incremental listings.
 const maxKeptChanges = 1000
 
-// storedObject is one generation of an object, from its begin to its release.
+// storedObject is one generation of an object, from begin to its release.
 type storedObject struct {
 	prompt.Object
 	marks       prompt.PackedMarks
--- a/internal/standin/store_test.go
+++ b/internal/standin/store_test.go
@@ -62,6 +62,7 @@
 	assert.Assert(t, err != nil, "a half-written object was sealed")
 }
 
+// An object that is freed while a reader has pinned it must stay readable until the unpin.
 func TestFreeWaitsForPins(t *testing.T) {
 	f := newStoreFixture(t)
 	o := f.put(testBlocks)
