--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -141,7 +141,8 @@
 	}
 }
 
-// recordStartError records the failed restart of a process as a violation.
+// recordStartError records as a violation that a process could not be restarted or its settings
+// not be written.
 func (s *soak) recordStartError(err error) {
 	if err != nil {
 		s.checker.addViolation("process not started: %v", err)
