--- a/internal/standin/onplatform/requests_ending_replicas_test.go
+++ b/internal/standin/onplatform/requests_ending_replicas_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// stopReplica ends a replica and starts another one in its place after restartDelay.
+// stopReplica ends a replica and starts another one in its place after replacementDelay.
 func (f *fleet) stopReplica(r *onplatform.Replica, crashed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
