--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -56,7 +56,7 @@
 	// a lost holder delays only its group, and swaps only a few replicas at once.
 	groupCount = 6
 	// maxSwapShare is the share of replicas that are swapped at once: with fewer the
-	// rollout takes long, with more too few are left to serve. Measured, docs/POLICY.md.
+	// rollout takes long, with more too few are left to serve.
 	maxSwapShare = 0.3
 	// groupStagger is the delay between the starts of consecutive groups, so that a holder
 	// knows of the swaps that earlier groups have begun.
