--- a/pkg/route/memory.go
+++ b/pkg/route/memory.go
@@ -5,8 +5,8 @@
 const (
 	// usableMemoryShare is the share of an engine's memory that prompts in flight may
 	// fill. The rest is left for generated tokens and for prompts of other nodes
-	// that are not known yet. At 1.05 the benchmark score fell from 0.758 to 0.745
-	// (three days with four seeds each, nine engines).
+	// that are not known yet. At 1.05 worth, the value served less its costs, fell
+	// from 0.758 to 0.745 (three days with four seeds each, nine engines).
 	usableMemoryShare = 0.9
 	// initialMemoryHoldTime is how long a prompt is assumed to hold an engine's memory
 	// until the first measurement.
--- a/pkg/route/prompt_queue.go
+++ b/pkg/route/prompt_queue.go
@@ -14,8 +14,8 @@
 // need may be evicted before they run, and if they exceed the engine's memory, another
 // prompt is preempted and prefilled again. So a prompt is sent only when an engine is
 // expected to begin it soon, and waits here otherwise. Compared with limiting the number
-// of admitted prompts by the median wait, the benchmark score rose from 0.698 to 0.723
-// (four days with four seeds each, nine engines).
+// of admitted prompts by the median wait, worth, the value served less its costs, rose
+// from 0.698 to 0.723 (four days with four seeds each, nine engines).
 //
 // Prompts that can still be answered in time go before late ones: under load, a queue
 // in order of arrival would make all of them late. Then come priority (0 first, unlike
